--- a/components/gateway/src/endpoint/busy.rs
+++ b/components/gateway/src/endpoint/busy.rs
@@ -11,9 +11,9 @@
 
 /// Endpoints with something under way. One whose work has ended stays until the next look.
 #[derive(Debug, Default)]
-pub struct Busy(Mutex<Vec<Arc<Target>>>);
+pub struct BusySet(Mutex<Vec<Arc<Target>>>);
 
-impl Busy {
+impl BusySet {
     /// Adds an endpoint that had nothing under way until now.
     pub(super) fn add(&self, target: &Arc<Target>) {
         self.0.lock().push(Arc::clone(target));
@@ -26,18 +26,18 @@
         let mut loads = Vec::with_capacity(busy.len());
         // what begins now where everything had ended is added again
         busy.retain(|target| {
-            let load = target.with(|state| state.own);
-            let under_way = load != Load::default();
-            if under_way {
-                loads.push((target.short, load));
+            let load = target.with(|state| state.own_load);
+            let in_flight = load != Load::default();
+            if in_flight {
+                loads.push((target.short_id, load));
             }
-            under_way
+            in_flight
         });
-        busy.sort_unstable_by_key(|target| target.short);
+        busy.sort_unstable_by_key(|target| target.short_id);
         busy.dedup_by(|a, b| Arc::ptr_eq(a, b));
-        loads.sort_unstable_by_key(|(short, _)| *short);
+        loads.sort_unstable_by_key(|(short_id, _)| *short_id);
         // one that is there twice, or two that share a number, which would only blur their loads
-        loads.dedup_by_key(|(short, _)| *short);
+        loads.dedup_by_key(|(short_id, _)| *short_id);
         loads
     }
 }
--- a/components/gateway/src/endpoint/link.rs
+++ b/components/gateway/src/endpoint/connection.rs
@@ -20,23 +20,23 @@
 
 /// The longest that a new connection may take. Data centres are a few milliseconds apart; a first
 /// packet that is lost is sent again after a second, by when another endpoint has served.
-const CONNECT: Duration = Duration::from_millis(300);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// Data that stays unacknowledged this long breaks a connection: its peer is dark or cut off. Well
 /// above a few retransmissions on a link that loses packets.
-const UNACKNOWLEDGED: Duration = Duration::from_secs(3);
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(3);
 /// After this silence the system asks the peer for a sign of life, and so often again.
-const PROBE: Duration = Duration::from_secs(1);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 /// Probes without an answer that break a connection.
-const PROBES: u32 = 3;
+const KEEPALIVE_RETRIES: u32 = 3;
 /// An idle connection is dropped this long before its endpoint would close it, so that no request
 /// meets the close half way.
-const BEFORE_CLOSE: Duration = Duration::from_millis(700);
+const CLOSE_MARGIN: Duration = Duration::from_millis(700);
 /// How long an idle connection is kept if the endpoint doesn't say how long it keeps it.
-const IDLE: Duration = Duration::from_secs(4);
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// Why no connection was made. Nothing was sent.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
-pub enum NotOpened {
+pub enum ConnectError {
     /// The endpoint did not answer in time.
     #[display("the endpoint did not answer a new connection")]
     Silent,
@@ -50,60 +50,63 @@
 
 /// A connection.
 #[derive(Debug)]
-pub struct Link {
+pub struct Connection {
     sender: SendRequest<Full<Bytes>>,
     task: JoinHandle<()>,
-    open: Arc<AtomicUsize>,
+    open_count: Arc<AtomicUsize>,
 }
 
-impl Link {
+impl Connection {
     /// The side that sends requests.
     pub fn sender(&mut self) -> &mut SendRequest<Full<Bytes>> {
         &mut self.sender
     }
 }
 
-impl Drop for Link {
+impl Drop for Connection {
     fn drop(&mut self) {
         // closes the socket at once, so that the endpoint stops work that nobody waits for
         self.task.abort();
-        self.open.fetch_sub(1, Ordering::Relaxed);
+        self.open_count.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
 /// Makes a connection; `open` counts it as long as it lives.
-pub(super) async fn open(address: SocketAddr, open: &Arc<AtomicUsize>) -> Result<Link, NotOpened> {
+pub(super) async fn open(
+    address: SocketAddr,
+    open_count: &Arc<AtomicUsize>,
+) -> Result<Connection, ConnectError> {
     let connecting = TcpStream::connect(address);
-    let stream = match clock::timeout(CONNECT, connecting).await {
+    let stream = match clock::timeout(CONNECT_TIMEOUT, connecting).await {
         Ok(Ok(stream)) => stream,
-        Ok(Err(_)) => return Err(NotOpened::Refused),
-        Err(_) => return Err(NotOpened::Silent),
+        Ok(Err(_)) => return Err(ConnectError::Refused),
+        Err(_) => return Err(ConnectError::Silent),
     };
-    bound_silence(&stream);
+    set_socket_options(&stream);
     let handshake = http1::handshake(TokioIo::new(stream)).await;
-    let (sender, connection) = handshake.map_err(|_| NotOpened::Refused)?;
+    let (sender, connection) = handshake.map_err(|_| ConnectError::Refused)?;
     let task = tokio::spawn(async move {
         // its request hears of a failure on its own
         let _ = connection.await;
     });
-    open.fetch_add(1, Ordering::Relaxed);
-    Ok(Link {
+    open_count.fetch_add(1, Ordering::Relaxed);
+    Ok(Connection {
         sender,
         task,
-        open: Arc::clone(open),
+        open_count: Arc::clone(open_count),
     })
 }
 
-fn bound_silence(stream: &TcpStream) {
+fn set_socket_options(stream: &TcpStream) {
     let socket = SockRef::from(stream);
     let keepalive = TcpKeepalive::new()
-        .with_time(PROBE)
-        .with_interval(PROBE)
-        .with_retries(PROBES);
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(KEEPALIVE_RETRIES);
     let options = [
         stream.set_nodelay(true),
         socket.set_tcp_keepalive(&keepalive),
-        socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED)),
+        socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT)),
     ];
     for error in options.into_iter().filter_map(Result::err) {
         log::debug!(error:%; "a socket option was not set; a silent peer is noticed later");
@@ -113,28 +116,36 @@
 /// A connection that waits for its next request.
 #[derive(Debug)]
 pub(super) struct Idle {
-    pub(super) link: Link,
-    since: Instant,
-    until: Instant,
+    pub(super) connection: Connection,
+    idle_since: Instant,
+    expires: Instant,
 }
 
 impl Idle {
-    pub(super) fn new(link: Link, now: Instant, keeps: Option<Duration>) -> Self {
-        let keep = keeps.map_or(IDLE, |keeps| keeps.saturating_sub(BEFORE_CLOSE));
+    pub(super) fn new(
+        connection: Connection,
+        now: Instant,
+        idle_timeout: Option<Duration>,
+    ) -> Self {
+        let ttl = idle_timeout.map_or(DEFAULT_IDLE_TIMEOUT, |idle_timeout| {
+            idle_timeout.saturating_sub(CLOSE_MARGIN)
+        });
         Self {
-            link,
-            since: now,
-            until: now + keep,
+            connection,
+            idle_since: now,
+            expires: now + ttl,
         }
     }
 
     /// Whether the endpoint still keeps it open, as far as is known.
-    pub(super) fn alive(&self, now: Instant) -> bool {
-        self.until > now && !self.link.sender.is_closed()
+    pub(super) fn is_open(&self, now: Instant) -> bool {
+        self.expires > now && !self.connection.sender.is_closed()
     }
 
     /// Whether it may take a request that wants one used within `fresh`.
-    pub(super) fn usable(&self, now: Instant, fresh: Duration) -> bool {
-        self.alive(now) && now.duration_since(self.since) <= fresh && self.link.sender.is_ready()
+    pub(super) fn is_usable(&self, now: Instant, max_idle: Duration) -> bool {
+        self.is_open(now)
+            && now.duration_since(self.idle_since) <= max_idle
+            && self.connection.sender.is_ready()
     }
 }
--- a/components/gateway/src/endpoint/health.rs
+++ b/components/gateway/src/endpoint/health.rs
@@ -22,103 +22,108 @@
 
 /// Weight of the newest attempt in the failure rate: a run of five failures takes a sound endpoint
 /// past [`SICK`], one failure in five doesn't.
-const WEIGHT: f64 = 0.25;
+const FAILURE_WEIGHT: f64 = 0.25;
 /// Above this failure rate an endpoint is avoided where there is another one.
-const SICK: f64 = 0.6;
+const UNHEALTHY_FAILURE_RATIO: f64 = 0.6;
 /// Silent attempts in a row after which an endpoint is taken to be away.
-const SILENT: u32 = 2;
+const MAX_SILENT_ATTEMPTS: u32 = 2;
 /// How long an endpoint that is away gets nothing but one trial a span; it doubles up to
 /// [`LONGEST_AWAY`] while trials fail.
-const AWAY: Duration = Duration::from_millis(400);
+const INITIAL_SILENT_BACKOFF: Duration = Duration::from_millis(400);
 /// The longest pause between two trials: within it a healed endpoint is found again.
-const LONGEST_AWAY: Duration = Duration::from_millis(1_600);
+const MAX_BACKOFF: Duration = Duration::from_millis(1_600);
 
 /// Refusals in a row after which an endpoint is left alone for a while: one alone may be a race for
 /// its last slot.
-const REFUSALS: u32 = 2;
+const MAX_REFUSALS: u32 = 2;
 /// How long an endpoint that refuses is left alone; it doubles up to [`LONGEST_AWAY`] while it goes on
 /// refusing. Each refusal is paid for like a repeat.
-const REFUSES: Duration = Duration::from_millis(100);
+const INITIAL_REFUSAL_BACKOFF: Duration = Duration::from_millis(100);
 
 /// Failures, silences and refusals of an endpoint.
 #[derive(Clone, Debug, Default)]
 pub struct Health {
     /// Moving average of failures, from 0 to 1.
-    failures: f64,
+    failure_ratio: f64,
     /// Silent attempts in a row.
-    silent: u32,
+    consecutive_silent: u32,
     /// Refusals in a row.
-    refused: u32,
-    away: Option<Away>,
+    consecutive_refusals: u32,
+    backoff: Option<Backoff>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Away {
+struct Backoff {
     until: Instant,
-    span: Duration,
+    delay: Duration,
 }
 
 impl Health {
     /// Takes the end of an attempt. Says whether the endpoint was sound before and isn't now, or the
     /// other way round.
-    pub fn note(&mut self, verdict: Verdict, now: Instant) -> bool {
-        let before = self.sound();
+    pub fn record(&mut self, verdict: Verdict, now: Instant) -> bool {
+        let before = self.is_healthy();
         let failed = match verdict {
             Verdict::Fine => 0.0,
             // a full endpoint isn't a failing one
-            Verdict::Refused => self.failures,
+            Verdict::Refused => self.failure_ratio,
             Verdict::Failed | Verdict::Silent => 1.0,
         };
-        self.failures += WEIGHT * (failed - self.failures);
-        self.silent = match verdict {
-            Verdict::Silent => self.silent + 1,
+        self.failure_ratio += FAILURE_WEIGHT * (failed - self.failure_ratio);
+        self.consecutive_silent = match verdict {
+            Verdict::Silent => self.consecutive_silent + 1,
             Verdict::Fine | Verdict::Refused | Verdict::Failed => 0,
         };
-        self.refused = match verdict {
-            Verdict::Refused => self.refused + 1,
+        self.consecutive_refusals = match verdict {
+            Verdict::Refused => self.consecutive_refusals + 1,
             Verdict::Fine | Verdict::Silent | Verdict::Failed => 0,
         };
         match () {
-            () if self.silent >= SILENT => self.go_away(AWAY, now),
-            () if self.refused >= REFUSALS => self.go_away(REFUSES, now),
-            () if verdict == Verdict::Fine => self.away = None,
+            () if self.consecutive_silent >= MAX_SILENT_ATTEMPTS => {
+                self.back_off(INITIAL_SILENT_BACKOFF, now)
+            }
+            () if self.consecutive_refusals >= MAX_REFUSALS => {
+                self.back_off(INITIAL_REFUSAL_BACKOFF, now)
+            }
+            () if verdict == Verdict::Fine => self.backoff = None,
             () => {}
         }
-        before != self.sound()
+        before != self.is_healthy()
     }
 
-    fn go_away(&mut self, first: Duration, now: Instant) {
-        let span = self
-            .away
-            .map_or(first, |away| (away.span * 2).min(LONGEST_AWAY));
-        self.away = Some(Away {
-            until: now + span,
-            span,
+    fn back_off(&mut self, initial: Duration, now: Instant) {
+        let delay = self
+            .backoff
+            .map_or(initial, |backoff| (backoff.delay * 2).min(MAX_BACKOFF));
+        self.backoff = Some(Backoff {
+            until: now + delay,
+            delay,
         });
     }
 
     /// Whether it should get a request: not while it is away, but for a trial when a pause is over.
     #[must_use]
-    pub fn takes(&self, now: Instant) -> bool {
-        self.away.is_none_or(|away| away.until <= now)
+    pub fn accepts_requests(&self, now: Instant) -> bool {
+        self.backoff.is_none_or(|backoff| backoff.until <= now)
     }
 
     /// Puts the next trial off, so that one request at a time finds out whether it is back.
-    pub fn tried(&mut self, now: Instant) {
-        if let Some(away) = &mut self.away {
-            away.until = now + away.span;
+    pub fn postpone_trial(&mut self, now: Instant) {
+        if let Some(backoff) = &mut self.backoff {
+            backoff.until = now + backoff.delay;
         }
     }
 
     /// Whether it answers, and mostly as it should.
     #[must_use]
-    pub fn sound(&self) -> bool {
-        self.silent < SILENT && self.failures < SICK
+    pub fn is_healthy(&self) -> bool {
+        self.consecutive_silent < MAX_SILENT_ATTEMPTS
+            && self.failure_ratio < UNHEALTHY_FAILURE_RATIO
     }
 
     /// The part of its attempts that fail, from 0 to 1.
     #[must_use]
-    pub fn failures(&self) -> f64 {
-        self.failures
+    pub fn failure_ratio(&self) -> f64 {
+        self.failure_ratio
     }
 }
--- a/components/gateway/src/endpoint/mod.rs
+++ b/components/gateway/src/endpoint/mod.rs
@@ -4,11 +4,11 @@
 //! under the same name or at the same address, so nothing learnt of one is believed of the other.
 
 mod busy;
+mod connection;
 mod health;
-mod link;
 mod load;
 mod registry;
-mod runs;
+mod requests;
 mod subset;
 mod target;
 
@@ -16,13 +16,13 @@
 
 use derive_more::Display;
 
-pub use busy::Busy;
+pub use busy::BusySet;
+pub use connection::{ConnectError, Connection};
 pub use health::{Health, Verdict};
-pub use link::{Link, NotOpened};
-pub use load::{Load, Reading, Writing};
+pub use load::{DecodeGuard, Load, PrefillGuard};
 pub use registry::{Fleet, Registry};
-pub use runs::{Run, Runs};
-pub use target::{Common, Paces, Seen, Target};
+pub use requests::{RequestGuard, RequestTracker};
+pub use target::{Paces, ServiceDefaults, Snapshot, Target};
 
 /// The name of an endpoint. It may start again under the same name, see [`Profile::started`].
 #[derive(Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord)]
@@ -31,7 +31,7 @@
 
 /// A short number for a name, the same in every process.
 #[must_use]
-pub fn short(name: &str) -> u32 {
+pub fn short_id(name: &str) -> u32 {
     let hash = xxhash_rust::xxh3::xxh3_64(name.as_bytes());
     u32::try_from(hash >> u32::BITS).unwrap_or_default()
 }
@@ -80,33 +80,33 @@
 
 /// What an entry says of an endpoint that was known before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Life {
+pub enum IncarnationOrder {
     /// It is the same incarnation.
     Same,
     /// It has started again: nothing that was known of it holds.
-    Next,
+    Newer,
     /// The entry is one of an earlier incarnation.
-    Former,
+    Older,
 }
 
 impl Profile {
     /// A short number for the incarnation, the same in every process. Two endpoints of a fleet of thousands
     /// share one with a chance of about one in a thousand, which would only blur their loads.
     #[must_use]
-    pub fn short(&self) -> u32 {
+    pub fn short_id(&self) -> u32 {
         match self.started {
-            None => short(&self.id.0),
-            Some(started) => short(&format!("{} {started}", self.id)),
+            None => short_id(&self.id.0),
+            Some(started) => short_id(&format!("{} {started}", self.id)),
         }
     }
 
     /// What a newer entry says of this incarnation.
     #[must_use]
-    pub fn life(&self, newer: &Self) -> Life {
+    pub fn compare_incarnation(&self, newer: &Self) -> IncarnationOrder {
         match (self.started, newer.started) {
-            (Some(known), Some(told)) if told > known => Life::Next,
-            (Some(known), Some(told)) if told < known => Life::Former,
-            _ => Life::Same,
+            (Some(known), Some(listed)) if listed > known => IncarnationOrder::Newer,
+            (Some(known), Some(listed)) if listed < known => IncarnationOrder::Older,
+            _ => IncarnationOrder::Same,
         }
     }
 }
--- a/components/gateway/src/endpoint/registry.rs
+++ b/components/gateway/src/endpoint/registry.rs
@@ -4,18 +4,18 @@
 
 use parking_lot::{Mutex, RwLock};
 
-use super::{Busy, Id, Life, Profile, State, Target, subset};
+use super::{BusySet, Id, IncarnationOrder, Profile, State, Target, subset};
 use crate::edge::Change;
 
 /// The most endpoints that are new at once and have a line in the log each: the lists of the first
 /// deployments have 60. The thousands of a large one would push all other lines out of it at each start.
-const MOST_LINES: usize = 100;
+const MAX_LOG_LINES: usize = 100;
 
 /// The endpoints of one service, sorted by name.
 #[derive(Clone, Debug, Default)]
 pub struct Fleet {
     targets: Arc<Vec<Arc<Target>>>,
-    used: Arc<Vec<Arc<Target>>>,
+    subset: Arc<Vec<Arc<Target>>>,
 }
 
 impl Fleet {
@@ -27,8 +27,8 @@
 
     /// Those of them that this process sends requests to.
     #[must_use]
-    pub fn used(&self) -> &[Arc<Target>] {
-        &self.used
+    pub fn subset(&self) -> &[Arc<Target>] {
+        &self.subset
     }
 }
 
@@ -40,11 +40,11 @@
     /// The same by service, sorted by its name. Services are few, endpoints many.
     fleets: RwLock<Vec<(Arc<str>, Fleet)>>,
     /// The same by their short numbers, sorted by these.
-    numbered: RwLock<Vec<(u32, Arc<Target>)>>,
+    by_short_id: RwLock<Vec<(u32, Arc<Target>)>>,
     /// Which endpoints of large fleets this process uses.
-    choice: subset::Choice,
+    selector: subset::Selector,
     /// Those with something under way.
-    busy: Arc<Busy>,
+    busy: Arc<BusySet>,
     /// Only one update at a time.
     updating: Mutex<()>,
 }
@@ -54,17 +54,17 @@
     #[must_use]
     pub fn new(process: &str, data_centre: &str) -> Self {
         Self {
-            choice: subset::Choice::new(process, data_centre),
+            selector: subset::Selector::new(process, data_centre),
             ..Self::default()
         }
     }
 
     /// An endpoint by its short number.
     #[must_use]
-    pub fn find(&self, short: u32) -> Option<Arc<Target>> {
-        let numbered = self.numbered.read();
-        let at = numbered.binary_search_by_key(&short, |(short, _)| *short);
-        at.ok().map(|at| Arc::clone(&numbered[at].1))
+    pub fn find(&self, short_id: u32) -> Option<Arc<Target>> {
+        let by_short_id = self.by_short_id.read();
+        let at = by_short_id.binary_search_by_key(&short_id, |(short_id, _)| *short_id);
+        at.ok().map(|at| Arc::clone(&by_short_id[at].1))
     }
 
     /// The endpoints of a service.
@@ -83,7 +83,7 @@
 
     /// The endpoints at which this process has something under way, also those that have left the list.
     #[must_use]
-    pub fn busy(&self) -> &Busy {
+    pub fn busy(&self) -> &BusySet {
         &self.busy
     }
 
@@ -99,66 +99,68 @@
             let is_present = |target: &Arc<Target>| present.binary_search(&&target.id).is_ok();
             gone.extend(targets.extract_if(.., |target| !is_present(target)));
         }
-        let each = changes.len() <= MOST_LINES;
-        if !each {
+        let log_each = changes.len() <= MAX_LOG_LINES;
+        if !log_each {
             log::info!(changes = changes.len(), whole, before = targets.len(); "many endpoints changed");
         }
         for change in changes {
             match change {
-                Change::Present(profile) => gone.extend(self.present(&mut targets, profile, each)),
+                Change::Present(profile) => {
+                    gone.extend(self.upsert(&mut targets, profile, log_each))
+                }
                 Change::Gone(id) | Change::Unusable(id) => gone.extend(remove(&mut targets, id)),
             }
         }
         for target in &gone {
-            leave(target);
+            unlist(target);
         }
         self.publish(targets);
-        let stayed =
+        let was_ready =
             |target: &Arc<Target>| target.with(|state| state.profile.state == State::Ready);
-        gone.retain(stayed);
+        gone.retain(was_ready);
         gone
     }
 
     /// Takes an entry. Gives the incarnation in whose place it comes.
-    fn present(
+    fn upsert(
         &self,
         targets: &mut Vec<Arc<Target>>,
         profile: &Profile,
-        tell: bool,
+        log_new: bool,
     ) -> Option<Arc<Target>> {
         match targets.binary_search_by(|target| target.id.cmp(&profile.id)) {
-            Ok(at) => match targets[at].with(|state| state.profile.life(profile)) {
-                Life::Same => update(&targets[at], profile),
-                Life::Former => log::info!(
+            Ok(at) => match targets[at].with(|state| state.profile.compare_incarnation(profile)) {
+                IncarnationOrder::Same => update(&targets[at], profile),
+                IncarnationOrder::Older => log::info!(
                     endpoint = &*profile.id.0, started = profile.started;
                     "an entry of an earlier incarnation is passed over"
                 ),
-                Life::Next => {
-                    let former = std::mem::replace(&mut targets[at], self.target(profile));
+                IncarnationOrder::Newer => {
+                    let former = std::mem::replace(&mut targets[at], self.new_target(profile));
                     log::info!(
                         endpoint = &*profile.id.0, started = profile.started, address:% = profile.address;
                         "an endpoint has started again"
                     );
-                    former.end();
+                    former.mark_terminated();
                     return Some(former);
                 }
             },
             Err(at) => {
-                if tell {
+                if log_new {
                     log::info!(
                         endpoint = &*profile.id.0, service = &*profile.service, state:% = profile.state,
                         address:% = profile.address, data_centre = &*profile.data_centre;
                         "an endpoint is listed"
                     );
                 }
-                targets.insert(at, self.target(profile));
+                targets.insert(at, self.new_target(profile));
             }
         }
         None
     }
 
     /// An incarnation of which nothing is known yet.
-    fn target(&self, profile: &Profile) -> Arc<Target> {
+    fn new_target(&self, profile: &Profile) -> Arc<Target> {
         Arc::new(Target::new(profile.clone(), Arc::clone(&self.busy)))
     }
 
@@ -173,24 +175,24 @@
         }
         *self.fleets.write() = fleets
             .into_iter()
-            .map(|(name, targets)| (name, self.fleet_of(targets)))
+            .map(|(name, targets)| (name, self.build_fleet(targets)))
             .collect();
-        let mut numbered: Vec<(u32, Arc<Target>)> = targets
+        let mut by_short_id: Vec<(u32, Arc<Target>)> = targets
             .iter()
-            .map(|target| (target.short, Arc::clone(target)))
+            .map(|target| (target.short_id, Arc::clone(target)))
             .collect();
-        numbered.sort_unstable_by_key(|(short, _)| *short);
-        *self.numbered.write() = numbered;
+        by_short_id.sort_unstable_by_key(|(short_id, _)| *short_id);
+        *self.by_short_id.write() = by_short_id;
         *self.targets.write() = Arc::new(targets);
     }
 
-    fn fleet_of(&self, targets: Vec<Arc<Target>>) -> Fleet {
+    fn build_fleet(&self, targets: Vec<Arc<Target>>) -> Fleet {
         let targets = Arc::new(targets);
-        let used = match self.choice.of(&targets) {
-            Some(used) => Arc::new(used),
+        let subset = match self.selector.select(&targets) {
+            Some(subset) => Arc::new(subset),
             None => Arc::clone(&targets),
         };
-        Fleet { targets, used }
+        Fleet { targets, subset }
     }
 }
 
@@ -214,8 +216,8 @@
     Some(targets.remove(at))
 }
 
-fn leave(target: &Target) {
+fn unlist(target: &Target) {
     target.with(|state| state.listed = false);
-    target.forget_links();
+    target.drop_idle_connections();
     log::info!(endpoint = &*target.id.0; "an endpoint is no longer listed");
 }
--- a/components/gateway/src/endpoint/subset.rs
+++ b/components/gateway/src/endpoint/subset.rs
@@ -13,18 +13,18 @@
 
 /// Endpoints of the own data centre that are used: placement among this many finds nearly what it would
 /// find among all, and fleets of the first deployments (57 engines at most) are used whole.
-const NEAR: usize = 64;
+const MAX_LOCAL: usize = 64;
 /// Endpoints of other data centres that are used besides, for when the own one has none left.
-const FAR: usize = 32;
+const MAX_REMOTE: usize = 32;
 
 /// How a process draws the endpoints that it uses.
 #[derive(Debug, Default)]
-pub struct Choice {
+pub struct Selector {
     seed: u64,
     data_centre: Box<str>,
 }
 
-impl Choice {
+impl Selector {
     /// The choice of a process with a name, in a data centre.
     pub fn new(process: &str, data_centre: &str) -> Self {
         Self {
@@ -34,24 +34,24 @@
     }
 
     /// The endpoints of a fleet that are used, in the order of the fleet; none if all of them are.
-    pub fn of(&self, fleet: &[Arc<Target>]) -> Option<Vec<Arc<Target>>> {
-        if fleet.len() <= NEAR + FAR {
+    pub fn select(&self, fleet: &[Arc<Target>]) -> Option<Vec<Arc<Target>>> {
+        if fleet.len() <= MAX_LOCAL + MAX_REMOTE {
             return None;
         }
-        let (near, far) = fleet.iter().partition(|target| {
+        let (local, remote) = fleet.iter().partition(|target| {
             target.with(|state| *state.profile.data_centre == *self.data_centre)
         });
-        let mut used = self.highest(near, NEAR);
-        let room = NEAR + FAR - used.len();
-        used.extend(self.highest(far, room));
-        used.sort_unstable_by(|a, b| a.id.cmp(&b.id));
-        Some(used)
+        let mut selected = self.take_highest(local, MAX_LOCAL);
+        let remaining = MAX_LOCAL + MAX_REMOTE - selected.len();
+        selected.extend(self.take_highest(remote, remaining));
+        selected.sort_unstable_by(|a, b| a.id.cmp(&b.id));
+        Some(selected)
     }
 
     /// So many of some endpoints, those with the highest hashes.
-    fn highest(&self, mut targets: Vec<&Arc<Target>>, most: usize) -> Vec<Arc<Target>> {
+    fn take_highest(&self, mut targets: Vec<&Arc<Target>>, count: usize) -> Vec<Arc<Target>> {
         let hash = |target: &Arc<Target>| xxh3_64_with_seed(target.id.0.as_bytes(), self.seed);
         targets.sort_by_cached_key(|target| std::cmp::Reverse(hash(target)));
-        targets.into_iter().take(most).map(Arc::clone).collect()
+        targets.into_iter().take(count).map(Arc::clone).collect()
     }
 }
--- a/components/gateway/src/endpoint/target.rs
+++ b/components/gateway/src/endpoint/target.rs
@@ -14,14 +14,15 @@
 use tokio::sync::{Mutex as AsyncMutex, Notify};
 
 use super::{
-    Busy, Health, Id, Link, Load, NotOpened, Profile, Runs, Stage, State, Verdict,
-    link::{self, Idle},
+    BusySet, ConnectError, Connection, Health, Id, Load, Profile, RequestTracker, Stage, State,
+    Verdict,
+    connection::{self, Idle},
 };
 use crate::request::Content;
 
 /// How long it is taken to be known whether an endpoint still listens: its connections break within some milliseconds
 /// of each other when it ends.
-const CHECKED: Duration = Duration::from_millis(100);
+const LISTEN_CHECK_TTL: Duration = Duration::from_millis(100);
 
 /// An endpoint: lives as long as anything is under way there, also after it has left the list.
 #[derive(Debug)]
@@ -29,18 +30,18 @@
     /// Its name.
     pub id: Id,
     /// The short number by which peers name it.
-    pub short: u32,
+    pub short_id: u32,
     state: Mutex<Inner>,
     /// Told when long answers should go on elsewhere.
-    leave: Notify,
+    migration: Notify,
     /// Told when this incarnation has ended.
-    end: Notify,
+    termination: Notify,
     /// Open connections, idle or in use.
-    open: Arc<AtomicUsize>,
+    open_connections: Arc<AtomicUsize>,
     /// Where it is noted while it has something under way.
-    busy: Arc<Busy>,
+    busy: Arc<BusySet>,
     /// Held while it is found out whether it still listens.
-    checking: AsyncMutex<()>,
+    listen_check: AsyncMutex<()>,
 }
 
 /// What changes about an endpoint.
@@ -51,11 +52,11 @@
     /// Whether it is still listed.
     pub listed: bool,
     /// Whether this incarnation has certainly ended, as a later one is listed.
-    ended: bool,
+    terminated: bool,
     /// This process's requests.
-    pub own: Load,
+    pub own_load: Load,
     /// Peers' requests, as of their last digests.
-    pub peers: Load,
+    pub peer_load: Load,
     /// How it does.
     pub health: Health,
     /// How fast it is in its present stage; none before it has done anything in it.
@@ -65,45 +66,45 @@
     /// Idle connections, the longest idle first.
     idle: Vec<Idle>,
     /// Until when it is taken to be changing its stage.
-    pub changing: Option<Instant>,
+    pub changing_until: Option<Instant>,
     /// How long it keeps an idle connection, as last told.
-    keeps: Option<Duration>,
+    idle_timeout: Option<Duration>,
     /// When it was last seen to get on with something, for this process or for a peer.
-    progressed: Instant,
+    last_progress: Instant,
     /// What is left to read of the prompts under way.
     backlog: Backlog,
     /// When this process first knew of it: its own time starts there.
-    since: Instant,
+    known_since: Instant,
     /// This process's requests by what they ask for.
-    pub runs: Runs,
+    pub requests: RequestTracker,
     /// When it was last found out whether it still listens.
-    checked: Option<Instant>,
+    last_checked: Option<Instant>,
 }
 
 /// How fast the engines of a service are on average.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Paces {
     /// Those that read.
-    pub readers: Pace,
+    pub prefill: Pace,
     /// Those that write.
-    pub writers: Pace,
+    pub decode: Pace,
 }
 
 impl Paces {
     /// How fast engines are on average in a stage; an endpoint without one writes.
     #[must_use]
-    pub fn of(&self, stage: Option<Stage>) -> Pace {
+    pub fn for_stage(&self, stage: Option<Stage>) -> Pace {
         match stage {
-            Some(Stage::Prefill) => self.readers,
-            Some(Stage::Decode) | None => self.writers,
+            Some(Stage::Prefill) => self.prefill,
+            Some(Stage::Decode) | None => self.decode,
         }
     }
 
     /// The same, to learn.
-    pub fn of_mut(&mut self, stage: Stage) -> &mut Pace {
+    pub fn for_stage_mut(&mut self, stage: Stage) -> &mut Pace {
         match stage {
-            Stage::Prefill => &mut self.readers,
-            Stage::Decode => &mut self.writers,
+            Stage::Prefill => &mut self.prefill,
+            Stage::Decode => &mut self.decode,
         }
     }
 }
@@ -111,8 +112,8 @@
 impl Default for Paces {
     fn default() -> Self {
         Self {
-            readers: Pace::of_reader(),
-            writers: Pace::of_writer(),
+            prefill: Pace::of_reader(),
+            decode: Pace::of_writer(),
         }
     }
 }
@@ -122,7 +123,7 @@
 /// The size of their memory is that of the configuration in force, and comes with each look and each use: an
 /// endpoint may be listed before the first configuration is known, and a later one may change it.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Common {
+pub struct ServiceDefaults {
     /// How fast they are.
     pub paces: Paces,
     /// Tokens that the memory of each holds; zero for plain services.
@@ -131,7 +132,7 @@
 
 /// An endpoint at one moment, for a decision.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct Snapshot {
     /// What the platform says.
     pub profile: Profile,
     /// All that is under way there.
@@ -139,101 +140,115 @@
     /// How fast it is in its present stage.
     pub pace: Pace,
     /// Tokens of the prompt asked about that it likely holds.
-    pub held: u64,
+    pub cached_tokens: u64,
     /// Tokens of it that other engines can likely fetch there.
-    pub fetchable: u64,
+    pub fetchable_tokens: u64,
     /// Part of its attempts that fail.
-    pub failures: f64,
+    pub failure_ratio: f64,
 }
 
 impl Inner {
     /// All that is under way there.
-    pub fn load(&self) -> Load {
-        self.own.with(self.peers)
+    pub fn total_load(&self) -> Load {
+        self.own_load.plus(self.peer_load)
     }
 
     /// Work that is left to read there, if it reads at this pace unless its own is known.
-    pub fn left(&self, now: Instant, common: Pace) -> u64 {
-        let read_us = self.pace.unwrap_or(common).read_us;
-        let left = self
+    pub fn remaining_prefill(&self, now: Instant, default_pace: Pace) -> u64 {
+        let read_us = self.pace.unwrap_or(default_pace).read_us;
+        let remaining = self
             .backlog
-            .left(self.age(now), read_us, self.load().reading);
-        policy::count(left)
+            .left(self.age(now), read_us, self.total_load().prefill_work);
+        policy::count(remaining)
     }
 
     /// The time that it still takes for the prompts under way there, in microseconds; none if there are none.
-    pub fn time_to_read(&self, now: Instant, common: &Common) -> Option<policy::Micros> {
-        let pace = common.paces.of(self.profile.stage);
-        let read_us = self.pace.unwrap_or(pace).read_us;
-        let time = policy::real(self.left(now, pace)) * read_us;
-        (self.load().prompts > 0).then(|| policy::count(time))
+    pub fn remaining_prefill_time(
+        &self,
+        now: Instant,
+        defaults: &ServiceDefaults,
+    ) -> Option<policy::Micros> {
+        let default_pace = defaults.paces.for_stage(self.profile.stage);
+        let read_us = self.pace.unwrap_or(default_pace).read_us;
+        let time = policy::real(self.remaining_prefill(now, default_pace)) * read_us;
+        (self.total_load().prompts > 0).then(|| policy::count(time))
     }
 
     /// Notes work that is about to be sent there, by this process or a peer.
-    pub fn sends(&mut self, now: Instant, common: Pace, work: u64) {
-        let read_us = self.pace.unwrap_or(common).read_us;
-        let (age, under_way) = (self.age(now), self.load().reading);
-        self.backlog.add(age, read_us, under_way, work);
+    pub fn record_prefill(&mut self, now: Instant, default_pace: Pace, work: u64) {
+        let read_us = self.pace.unwrap_or(default_pace).read_us;
+        let (age, prefill_work) = (self.age(now), self.total_load().prefill_work);
+        self.backlog.add(age, read_us, prefill_work, work);
     }
 
     /// Notes that it uses a prompt, which it reads after what it has left to read, or holds at once if it is
     /// `fetched`.
-    pub fn uses(&mut self, now: Instant, common: &Common, parts: &[Part], fetched: bool) {
-        let pace = common.paces.of(self.profile.stage);
-        self.memory.resize(common.memory_tokens);
-        let read_us = self.pace.unwrap_or(pace).read_us;
-        let left = if fetched { 0 } else { self.left(now, pace) };
-        let read_at = self.age(now) + policy::count(policy::real(left) * read_us);
+    pub fn record_prompt(
+        &mut self,
+        now: Instant,
+        defaults: &ServiceDefaults,
+        parts: &[Part],
+        fetched: bool,
+    ) {
+        let default_pace = defaults.paces.for_stage(self.profile.stage);
+        self.memory.resize(defaults.memory_tokens);
+        let read_us = self.pace.unwrap_or(default_pace).read_us;
+        let remaining = if fetched {
+            0
+        } else {
+            self.remaining_prefill(now, default_pace)
+        };
+        let read_at = self.age(now) + policy::count(policy::real(remaining) * read_us);
         self.memory.used(parts, read_at);
     }
 
     fn age(&self, now: Instant) -> policy::Micros {
-        policy::micros(now.saturating_duration_since(self.since))
+        policy::micros(now.saturating_duration_since(self.known_since))
     }
 }
 
 impl Target {
     /// An endpoint that is new on the list.
     #[must_use]
-    pub fn new(profile: Profile, busy: Arc<Busy>) -> Self {
+    pub fn new(profile: Profile, busy: Arc<BusySet>) -> Self {
         Self {
             id: profile.id.clone(),
-            short: profile.short(),
-            open: Arc::default(),
+            short_id: profile.short_id(),
+            open_connections: Arc::default(),
             busy,
-            leave: Notify::new(),
-            end: Notify::new(),
-            checking: AsyncMutex::new(()),
+            migration: Notify::new(),
+            termination: Notify::new(),
+            listen_check: AsyncMutex::new(()),
             state: Mutex::new(Inner {
                 profile,
                 listed: true,
-                ended: false,
-                own: Load::default(),
-                peers: Load::default(),
+                terminated: false,
+                own_load: Load::default(),
+                peer_load: Load::default(),
                 health: Health::default(),
                 pace: None,
                 memory: Memory::default(),
                 idle: Vec::new(),
-                changing: None,
-                keeps: None,
-                progressed: Instant::now(),
+                changing_until: None,
+                idle_timeout: None,
+                last_progress: Instant::now(),
                 backlog: Backlog::default(),
-                since: Instant::now(),
-                runs: Runs::default(),
-                checked: None,
+                known_since: Instant::now(),
+                requests: RequestTracker::default(),
+                last_checked: None,
             }),
         }
     }
 
     /// Notes that it got on with something.
-    pub fn progressed(&self) {
-        self.with(|state| state.progressed = Instant::now());
+    pub fn record_progress(&self) {
+        self.with(|state| state.last_progress = Instant::now());
     }
 
     /// When it was last seen to get on with something.
     #[must_use]
     pub fn last_progress(&self) -> Instant {
-        self.with(|state| state.progressed)
+        self.with(|state| state.last_progress)
     }
 
     /// Reads or changes its state; the lock is held only for this.
@@ -242,10 +257,10 @@
     }
 
     /// Counts something that begins.
-    pub(super) fn begin(self: &Arc<Self>, count: impl FnOnce(&mut Load)) {
+    pub(super) fn add_load(self: &Arc<Self>, count: impl FnOnce(&mut Load)) {
         let was_idle = self.with(|state| {
-            let was_idle = state.own == Load::default();
-            count(&mut state.own);
+            let was_idle = state.own_load == Load::default();
+            count(&mut state.own_load);
             was_idle
         });
         if was_idle {
@@ -255,24 +270,29 @@
 
     /// It as a decision sees it; none while it takes nothing new.
     #[must_use]
-    pub fn seen(&self, now: Instant, parts: &[Part], common: &Common) -> Option<Seen> {
+    pub fn snapshot(
+        &self,
+        now: Instant,
+        parts: &[Part],
+        defaults: &ServiceDefaults,
+    ) -> Option<Snapshot> {
         self.with(|state| {
-            state.memory.resize(common.memory_tokens);
-            let open = state.listed
+            state.memory.resize(defaults.memory_tokens);
+            let accepts = state.listed
                 && state.profile.state == State::Ready
-                && state.health.takes(now)
-                && state.changing.is_none_or(|until| until <= now);
-            let common = common.paces.of(state.profile.stage);
-            open.then(|| Seen {
+                && state.health.accepts_requests(now)
+                && state.changing_until.is_none_or(|until| until <= now);
+            let default_pace = defaults.paces.for_stage(state.profile.stage);
+            accepts.then(|| Snapshot {
                 profile: state.profile.clone(),
                 load: Load {
-                    reading: state.left(now, common),
-                    ..state.load()
+                    prefill_work: state.remaining_prefill(now, default_pace),
+                    ..state.total_load()
                 },
-                pace: state.pace.unwrap_or(common),
-                held: state.memory.held(parts),
-                fetchable: state.memory.fetchable(parts, state.age(now)),
-                failures: state.health.failures(),
+                pace: state.pace.unwrap_or(default_pace),
+                cached_tokens: state.memory.held(parts),
+                fetchable_tokens: state.memory.fetchable(parts, state.age(now)),
+                failure_ratio: state.health.failure_ratio(),
             })
         })
     }
@@ -284,61 +304,61 @@
     }
 
     /// Takes the stage that the engine itself told.
-    pub fn take_stage(&self, stage: Stage) {
+    pub fn set_stage(&self, stage: Stage) {
         self.with(|state| {
             if state.profile.stage != Some(stage) {
                 state.profile.stage = Some(stage);
                 state.pace = None;
             }
-            state.changing = None;
+            state.changing_until = None;
         });
     }
 
     /// Whether answers that take long should go on elsewhere: it leaves, or will do something else.
     #[must_use]
-    pub fn is_left(&self) -> bool {
+    pub fn should_migrate(&self) -> bool {
         let now = Instant::now();
         self.with(|state| {
-            let changes = state.changing.is_some_and(|until| until > now);
+            let changes = state.changing_until.is_some_and(|until| until > now);
             let leaves = state.listed && state.profile.state == State::Draining;
             changes || leaves
         })
     }
 
     /// Waits until answers that take long should go on elsewhere.
-    pub async fn left(&self) {
+    pub async fn migration_needed(&self) {
         loop {
-            let told = self.leave.notified();
-            if self.is_left() {
+            let notified = self.migration.notified();
+            if self.should_migrate() {
                 return;
             }
-            told.await;
+            notified.await;
         }
     }
 
     /// Notes that this incarnation has ended: what was under way there is over.
-    pub fn end(&self) {
-        self.with(|state| state.ended = true);
-        self.end.notify_waiters();
+    pub fn mark_terminated(&self) {
+        self.with(|state| state.terminated = true);
+        self.termination.notify_waiters();
     }
 
     /// Waits until this incarnation has ended.
-    pub async fn ended(&self) {
+    pub async fn terminated(&self) {
         loop {
-            let told = self.end.notified();
-            if self.with(|state| state.ended) {
+            let notified = self.termination.notified();
+            if self.with(|state| state.terminated) {
                 return;
             }
-            told.await;
+            notified.await;
         }
     }
 
     /// Leaves it alone until then, as it is changing its stage.
-    pub fn leave_alone(&self, until: Instant) {
+    pub fn mark_changing(&self, until: Instant) {
         let now = Instant::now();
-        let before = self.with(|state| state.changing.replace(until));
+        let before = self.with(|state| state.changing_until.replace(until));
         if before.is_none_or(|before| before <= now) {
-            self.leave.notify_waiters();
+            self.migration.notify_waiters();
         }
     }
 
@@ -346,26 +366,30 @@
     pub fn update(&self, profile: &Profile) -> Profile {
         let before = self.with(|state| {
             if state.profile.stage != profile.stage {
-                state.changing = None;
+                state.changing_until = None;
                 state.pace = None;
             }
             std::mem::replace(&mut state.profile, profile.clone())
         });
         if profile.state == State::Draining {
-            self.leave.notify_waiters();
+            self.migration.notify_waiters();
         }
         before
     }
 
     /// Notes how an attempt ended.
-    pub fn note(&self, verdict: Verdict, request: &str) {
+    pub fn record_verdict(&self, verdict: Verdict, request: &str) {
         let now = Instant::now();
         let (changed, failures, sound) = self.with(|state| {
-            let changed = state.health.note(verdict, now);
+            let changed = state.health.record(verdict, now);
             if verdict == Verdict::Silent {
                 state.idle.clear();
             }
-            (changed, state.health.failures(), state.health.sound())
+            (
+                changed,
+                state.health.failure_ratio(),
+                state.health.is_healthy(),
+            )
         });
         if changed {
             log::info!(
@@ -380,74 +404,81 @@
     /// # Errors
     ///
     /// [`NotOpened`]: nothing was sent.
-    pub async fn connect(&self, fresh: Duration, most: usize) -> Result<Link, NotOpened> {
+    pub async fn connect(
+        &self,
+        max_idle: Duration,
+        max_open: usize,
+    ) -> Result<Connection, ConnectError> {
         let now = Instant::now();
         let found = self.with(|state| {
-            let at = state.idle.iter().position(|idle| idle.usable(now, fresh));
+            let at = state
+                .idle
+                .iter()
+                .position(|idle| idle.is_usable(now, max_idle));
             at.map(|at| state.idle.remove(at))
         });
         if let Some(idle) = found {
-            return Ok(idle.link);
+            return Ok(idle.connection);
         }
-        if self.open.load(Ordering::Relaxed) >= most {
+        if self.open_connections.load(Ordering::Relaxed) >= max_open {
             // an idle connection that is too old for this request still counts
             let removed = self.with(|state| state.idle.pop().is_some());
             if !removed {
-                return Err(NotOpened::Full);
+                return Err(ConnectError::Full);
             }
         }
         let address = self.with(|state| state.profile.address);
-        link::open(address, &self.open).await
+        connection::open(address, &self.open_connections).await
     }
 
     /// Takes what was under way there lately if it no longer listens; nothing if it does, if it is leaving anyway, or
     /// if that has been found out since `broke`. An endpoint that resets connections still takes new ones, one that
     /// has ended refuses them.
-    pub async fn take_if_ended(&self, broke: Instant) -> Vec<Content> {
-        let _checking = self.checking.lock().await;
+    pub async fn take_requests_if_terminated(&self, broke: Instant) -> Vec<Content> {
+        let _listen_check = self.listen_check.lock().await;
         let (address, due) = self.with(|state| {
             let stays = state.listed && state.profile.state == State::Ready;
-            let known = |checked: Instant| checked + CHECKED > broke;
+            let known = |checked: Instant| checked + LISTEN_CHECK_TTL > broke;
             (
                 state.profile.address,
-                stays && !state.checked.is_some_and(known),
+                stays && !state.last_checked.is_some_and(known),
             )
         });
         if !due {
             return Vec::new();
         }
         let now = Instant::now();
-        let opened = link::open(address, &self.open).await;
+        let opened = connection::open(address, &self.open_connections).await;
         self.with(|state| {
-            state.checked = Some(now);
+            state.last_checked = Some(now);
             match opened {
-                Err(NotOpened::Refused) => state.runs.take(now),
+                Err(ConnectError::Refused) => state.requests.take_all(now),
                 Ok(_) | Err(_) => Vec::new(),
             }
         })
     }
 
     /// Takes a connection back that may serve another request.
-    pub fn give_back(&self, link: Link) {
+    pub fn return_connection(&self, connection: Connection) {
         let now = Instant::now();
         self.with(|state| {
-            let keeps = state.keeps;
-            state.idle.retain(|idle| idle.alive(now));
+            let idle_timeout = state.idle_timeout;
+            state.idle.retain(|idle| idle.is_open(now));
             if state.listed {
-                state.idle.push(Idle::new(link, now, keeps));
+                state.idle.push(Idle::new(connection, now, idle_timeout));
             }
         });
     }
 
     /// Notes how long the endpoint keeps idle connections.
-    pub fn keeps(&self, keeps: Option<Duration>) {
-        if keeps.is_some() {
-            self.with(|state| state.keeps = keeps);
+    pub fn set_idle_timeout(&self, idle_timeout: Option<Duration>) {
+        if idle_timeout.is_some() {
+            self.with(|state| state.idle_timeout = idle_timeout);
         }
     }
 
     /// Drops idle connections, once the endpoint is no longer listed.
-    pub fn forget_links(&self) {
+    pub fn drop_idle_connections(&self) {
         self.with(|state| state.idle.clear());
     }
 }
--- a/components/gateway/src/peer/changes.rs
+++ b/components/gateway/src/peer/changes.rs
@@ -11,23 +11,23 @@
 
 /// Changes of the endpoints that a reader of the list has just read.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Advertised {
+pub struct Advertisement {
     /// They are all that changed after this revision.
-    pub after: u64,
+    pub after_revision: u64,
     /// They are all that changed up to this one.
-    pub to: u64,
+    pub to_revision: u64,
     /// Whether the store was away before they were read.
     pub after_outage: bool,
     /// The changes, in their order.
     pub changes: Vec<Change>,
 }
 
-impl Advertised {
+impl Advertisement {
     /// The message.
     pub fn encode(&self) -> EndpointChanges {
         EndpointChanges {
-            after: self.after,
-            to: self.to,
+            after: self.after_revision,
+            to: self.to_revision,
             after_outage: self.after_outage,
             changes: self.changes.iter().map(encode).collect(),
         }
@@ -37,8 +37,8 @@
     pub fn decode(message: &EndpointChanges) -> Option<Self> {
         let changes: Option<Vec<Change>> = message.changes.iter().map(decode).collect();
         Some(Self {
-            after: message.after,
-            to: message.to,
+            after_revision: message.after,
+            to_revision: message.to,
             after_outage: message.after_outage,
             changes: changes?,
         })
--- a/components/gateway/src/peer/register.rs
+++ b/components/gateway/src/peer/discovery.rs
@@ -7,19 +7,19 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::oneshot;
 
-use super::held;
+use super::cache_listing;
 use crate::process::Gateway;
 
 /// Rows of gateways begin so.
 const PREFIX: &str = "gateway/";
 /// Between the first two tries to register; each further one comes after twice the time, up to [`MOST_AGAIN`]. Gateways that
 /// start together would else keep the store so busy that each answer comes later than it is waited for.
-const AGAIN: Duration = Duration::from_millis(400);
-const MOST_AGAIN: Duration = Duration::from_secs(10);
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(400);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(10);
 /// The part of a pause by which it may be shorter or longer, so that gateways spread.
-const SPREAD: f64 = 0.5;
+const JITTER_RATIO: f64 = 0.5;
 /// Between two reads of all rows, for peers that were cut off when both started.
-const REFRESH: Duration = Duration::from_secs(20);
+const REFRESH_INTERVAL: Duration = Duration::from_secs(20);
 
 /// A gateway's row.
 #[derive(Debug, Serialize, Deserialize)]
@@ -29,43 +29,43 @@
 }
 
 /// Registers this process and reads the others' rows from time to time.
-pub async fn keep(gateway: &Gateway) {
-    gateway.peers.learn_seeds(&gateway.settings);
-    let (known, others) = oneshot::channel();
-    let learn = async {
+pub async fn run(gateway: &Gateway) {
+    gateway.peers.add_seeds(&gateway.settings);
+    let (known, discovered) = oneshot::channel();
+    let query = async {
         // the others are known then, and so is which engines fall to this process
-        if others.await.is_ok() {
-            held::learn(gateway).await;
+        if discovered.await.is_ok() {
+            cache_listing::query_engines(gateway).await;
         }
     };
-    tokio::join!(refresh(gateway, known), learn);
+    tokio::join!(refresh(gateway, known), query);
 }
 
 /// Writes the own row, and reads all rows as long as the process lives; says when they are `known` first.
 async fn refresh(gateway: &Gateway, known: oneshot::Sender<()>) {
     let mut known = Some(known);
-    let mut again = AGAIN;
+    let mut retry_delay = MIN_RETRY_DELAY;
     let mut written = false;
     loop {
-        written = written || write(gateway).await;
-        let registered = written && read(gateway, &mut written).await;
+        written = written || write_own_row(gateway).await;
+        let registered = written && read_rows(gateway, &mut written).await;
         if registered {
             if let Some(known) = known.take() {
                 // nobody waits any more if the process ends
                 let _ = known.send(());
             }
-            again = AGAIN;
-            clock::sleep(REFRESH).await;
+            retry_delay = MIN_RETRY_DELAY;
+            clock::sleep(REFRESH_INTERVAL).await;
         } else {
-            let spread = rand::random_range(1.0 - SPREAD..1.0 + SPREAD);
-            clock::sleep(again.mul_f64(spread)).await;
-            again = (again * 2).min(MOST_AGAIN);
+            let jitter = rand::random_range(1.0 - JITTER_RATIO..1.0 + JITTER_RATIO);
+            clock::sleep(retry_delay.mul_f64(jitter)).await;
+            retry_delay = (retry_delay * 2).min(MAX_RETRY_DELAY);
         }
     }
 }
 
 /// Writes the own row. Says whether it may be there: an answer that was lost is no reason to write again.
-async fn write(gateway: &Gateway) -> bool {
+async fn write_own_row(gateway: &Gateway) -> bool {
     let row = Row {
         address: gateway.settings.gateway.peers,
         data_centre: gateway.settings.gateway.data_centre.clone(),
@@ -88,7 +88,7 @@
 }
 
 /// Reads all rows. Says whether it is known who is registered, this process among them; notes whether the own row is there.
-async fn read(gateway: &Gateway, written: &mut bool) -> bool {
+async fn read_rows(gateway: &Gateway, written: &mut bool) -> bool {
     let read = Read {
         keys: Vec::new(),
         prefixes: vec![PREFIX.to_owned()],
@@ -109,12 +109,15 @@
     for row in rows {
         match serde_json::from_str::<Row>(&row.value) {
             Ok(peer) if peer.address == gateway.settings.gateway.peers => *written = true,
-            Ok(peer) => gateway.peers.learn(peer.address, &peer.data_centre),
+            Ok(peer) => gateway.peers.add(peer.address, &peer.data_centre),
             Err(error) => log::warn!(key = row.key, error:%; "a gateway's row can't be read"),
         }
     }
     if *written {
-        gateway.peers.registered.store(true, Ordering::Relaxed);
+        gateway
+            .peers
+            .membership_known
+            .store(true, Ordering::Relaxed);
     }
     *written
 }
--- a/components/gateway/src/peer/paces.rs
+++ b/components/gateway/src/peer/paces.rs
@@ -7,49 +7,49 @@
 use wire::ServicePace;
 
 use crate::{
-    endpoint::{Stage, short},
+    endpoint::{Stage, short_id},
     process::Gateway,
 };
 
 /// What this process has learnt, as digests tell it; with `all` also what only a new peer wants to know.
-pub(super) fn own(gateway: &Gateway, all: bool) -> Vec<ServicePace> {
+pub(super) fn collect(gateway: &Gateway, all: bool) -> Vec<ServicePace> {
     let services = gateway.own_paces(all);
     services
         .iter()
         .flat_map(|(service, paces)| {
             [
-                encode(service, Stage::Prefill, &paces.readers),
-                encode(service, Stage::Decode, &paces.writers),
+                encode(service, Stage::Prefill, &paces.prefill),
+                encode(service, Stage::Decode, &paces.decode),
             ]
         })
         .collect()
 }
 
 /// Takes what a peer has learnt of services that the configuration in force knows.
-pub(super) fn take(gateway: &Gateway, told: &[ServicePace]) {
-    if told.is_empty() {
+pub(super) fn apply(gateway: &Gateway, received: &[ServicePace]) {
+    if received.is_empty() {
         return;
     }
     let Some(version) = gateway.configuration() else {
         return;
     };
-    for told in told {
+    for received in received {
         let mut services = version.services().iter();
-        let service = services.find(|service| short(&service.name) == told.service);
+        let service = services.find(|service| short_id(&service.name) == received.service);
         if let Some(service) = service {
-            let stage = if told.prefill {
+            let stage = if received.prefill {
                 Stage::Prefill
             } else {
                 Stage::Decode
             };
-            gateway.adopt_pace(&Arc::clone(&service.name), stage, &decode(told));
+            gateway.adopt_pace(&Arc::clone(&service.name), stage, &decode(received));
         }
     }
 }
 
 fn encode(service: &str, stage: Stage, pace: &Pace) -> ServicePace {
     ServicePace {
-        service: short(service),
+        service: short_id(service),
         prefill: stage == Stage::Prefill,
         start_us: narrow(pace.start_us),
         read_us: narrow(pace.read_us),
@@ -60,17 +60,17 @@
     }
 }
 
-fn decode(told: &ServicePace) -> Pace {
+fn decode(received: &ServicePace) -> Pace {
     Pace {
-        start_us: told.start_us.into(),
-        read_us: told.read_us.into(),
-        step_us: told.step_us.into(),
+        start_us: received.start_us.into(),
+        read_us: received.read_us.into(),
+        step_us: received.step_us.into(),
         // one wrong sample of it would reach all gateways at once
         slowed_us: None,
         samples: Samples {
-            start: told.start_samples,
-            read: told.read_samples,
-            step: told.step_samples,
+            start: received.start_samples,
+            read: received.read_samples,
+            step: received.step_samples,
         },
     }
 }
--- a/components/gateway/src/peer/receive.rs
+++ b/components/gateway/src/peer/receive.rs
@@ -8,7 +8,8 @@
 use wire::{Digest, Placed, ServiceDemand, StageTold};
 
 use super::{
-    Advertised, FORGOTTEN, MOST_ADVERTISED, Peer, ago, load, paces, reach::HEARTBEAT, suspects,
+    Advertisement, MAX_ADVERTISEMENTS, PEER_TTL, Peer, decode_load, fan_out::HEARTBEAT_INTERVAL,
+    instant_before, paces, suspects,
 };
 use crate::{
     endpoint::{Load, Stage, Target},
@@ -17,31 +18,31 @@
 
 /// How long an engine is left alone after the steward's last word that it is changing: a few
 /// heartbeats.
-const HEED: Duration = Duration::from_millis(600);
+const CHANGING_TTL: Duration = Duration::from_millis(600);
 /// The largest datagram that is taken.
-const DATAGRAM: usize = 64 << 10;
+const MAX_DATAGRAM_BYTES: usize = 64 << 10;
 /// Takes digests in as long as the process lives.
-pub async fn keep(gateway: &Gateway, socket: &UdpSocket) {
-    let mut buffer = vec![0; DATAGRAM];
-    let mut tidied = Instant::now();
+pub async fn run(gateway: &Gateway, socket: &UdpSocket) {
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
+    let mut swept = Instant::now();
     loop {
-        let received = clock::timeout(HEARTBEAT, socket.recv_from(&mut buffer)).await;
+        let received = clock::timeout(HEARTBEAT_INTERVAL, socket.recv_from(&mut buffer)).await;
         match received {
             Ok(Ok((length, _))) => match Digest::decode(&buffer[..length]) {
-                Ok(digest) => take(gateway, &digest),
+                Ok(digest) => apply(gateway, &digest),
                 Err(error) => log::warn!(error:%; "a digest can't be read"),
             },
             Ok(Err(error)) => log::debug!(error:%; "no digest was received"),
             Err(_) => {}
         }
-        if tidied.elapsed() >= HEARTBEAT {
-            tidied = Instant::now();
-            drop_silent(gateway);
+        if swept.elapsed() >= HEARTBEAT_INTERVAL {
+            swept = Instant::now();
+            drop_unreachable(gateway);
         }
     }
 }
 
-fn take(gateway: &Gateway, digest: &Digest) {
+fn apply(gateway: &Gateway, digest: &Digest) {
     let Ok(address) = digest.address.parse::<SocketAddr>() else {
         log::warn!(peer = digest.name; "a digest names no address");
         return;
@@ -57,70 +58,75 @@
     };
     let peer = &mut known[at];
     let restarted = peer.incarnation != digest.incarnation;
-    let newer = restarted || peer.number < digest.number;
+    let newer = restarted || peer.digest_number < digest.number;
     if !newer {
         return;
     }
-    if !peer.is_live(now) {
+    if !peer.is_alive(now) {
         log::info!(peer = digest.name, data_centre = digest.data_centre; "a peer is heard");
     }
     if restarted {
-        peer.begun = now;
+        peer.incarnation_since = now;
     }
     peer.incarnation = digest.incarnation;
-    peer.number = digest.number;
-    peer.heard = Some(now);
-    peer.beat = Duration::from_millis(u64::from(digest.beat_ms)).max(HEARTBEAT);
+    peer.digest_number = digest.number;
+    peer.last_received = Some(now);
+    peer.heartbeat_interval =
+        Duration::from_millis(u64::from(digest.beat_ms)).max(HEARTBEAT_INTERVAL);
     peer.data_centre = Arc::from(digest.data_centre.as_str());
-    let loads = digest.loads.iter().map(load).collect();
+    let loads = digest.loads.iter().map(decode_load).collect();
     let before = std::mem::replace(&mut peer.loads, loads);
     let after = peer.loads.clone();
-    peer.steward = digest.steward;
-    peer.store_answers = digest.store_answers;
-    peer.reads = digest.reads;
-    peer.changed = [digest.endpoints_changed, digest.configuration_changed];
-    peer.ceded = digest.ceded;
-    peer.ordered = ago(now, digest.last_order_ms);
-    peer.answered_since = ago(now, digest.answered_ms);
-    let grown = grown(&mut peer.demands, &digest.demands, !restarted);
+    peer.is_steward = digest.steward;
+    peer.store_available = digest.store_answers;
+    peer.reads_lists = digest.reads;
+    peer.revisions = [digest.endpoints_changed, digest.configuration_changed];
+    peer.ceded_epoch = digest.ceded;
+    peer.last_order = instant_before(now, digest.last_order_ms);
+    peer.store_available_since = instant_before(now, digest.answered_ms);
+    let demand_growth = demand_growth(&mut peer.demands, &digest.demands, !restarted);
     drop(known);
-    for (service, asked) in grown {
+    for (service, asked) in demand_growth {
         gateway.peers.add_demand(service, asked);
     }
-    recount(gateway, &before, &after);
-    note_progress(gateway, &before, &after);
-    remember(gateway, &digest.placed);
-    take_changes(gateway, digest);
-    paces::take(gateway, &digest.paces);
-    suspects::take(gateway, &digest.suspects, &digest.name);
-    heed(gateway, &digest.changing, &digest.stages);
+    update_peer_loads(gateway, &before, &after);
+    record_progress(gateway, &before, &after);
+    record_placements(gateway, &digest.placed);
+    queue_changes(gateway, digest);
+    paces::apply(gateway, &digest.paces);
+    suspects::apply(gateway, &digest.suspects, &digest.name);
+    apply_stage_changes(gateway, &digest.changing, &digest.stages);
 }
 
 /// Keeps the changes of the endpoints that a peer tells for the loop that follows their list.
-fn take_changes(gateway: &Gateway, digest: &Digest) {
+fn queue_changes(gateway: &Gateway, digest: &Digest) {
     if digest.changes.is_empty() {
         return;
     }
-    let changes: Vec<Advertised> = digest
+    let changes: Vec<Advertisement> = digest
         .changes
         .iter()
-        .filter_map(Advertised::decode)
+        .filter_map(Advertisement::decode)
         .collect();
     if changes.len() < digest.changes.len() {
         log::warn!(peer = digest.name; "changes of the endpoints can't be read");
     }
-    let mut advertised = gateway.peers.advertised.lock();
-    if advertised.len() < MOST_ADVERTISED {
-        advertised.extend(changes);
+    let mut advertisements = gateway.peers.advertisements.lock();
+    if advertisements.len() < MAX_ADVERTISEMENTS {
+        advertisements.extend(changes);
     }
-    drop(advertised);
-    gateway.peers.more_advertised.notify_one();
+    drop(advertisements);
+    gateway.peers.advertisement_received.notify_one();
 }
 
 /// What was asked since the digest before; a peer that is new counts from now on.
-fn grown(known: &mut Vec<(u32, Asked)>, told: &[ServiceDemand], same: bool) -> Vec<(u32, Asked)> {
+fn demand_growth(
+    known: &mut Vec<(u32, Asked)>,
+    received: &[ServiceDemand],
+    same_incarnation: bool,
+) -> Vec<(u32, Asked)> {
     let before = std::mem::take(known);
-    *known = told
+    *known = received
         .iter()
         .map(|demand| {
             let asked = Asked {
@@ -131,7 +137,7 @@
         })
         .collect();
     known.sort_unstable_by_key(|(service, _)| *service);
-    if !same {
+    if !same_incarnation {
         return Vec::new();
     }
     known
@@ -146,98 +152,102 @@
 
 /// Does as a steward says, also one that has just lost its lease and sees a change through: sends
 /// nothing new to engines that are changing, and takes the stages that they told.
-pub fn heed(gateway: &Gateway, changing: &[u32], stages: &[StageTold]) {
-    let until = Instant::now() + HEED;
-    for told in stages {
-        if let Some(target) = gateway.registry.find(told.endpoint) {
-            target.take_stage(if told.prefill {
+pub fn apply_stage_changes(gateway: &Gateway, changing: &[u32], stages: &[StageTold]) {
+    let until = Instant::now() + CHANGING_TTL;
+    for changed in stages {
+        if let Some(target) = gateway.registry.find(changed.endpoint) {
+            target.set_stage(if changed.prefill {
                 Stage::Prefill
             } else {
                 Stage::Decode
             });
         }
     }
-    let told = |short: u32| stages.iter().any(|told| told.endpoint == short);
-    for short in changing.iter().filter(|short| !told(**short)) {
-        if let Some(target) = gateway.registry.find(*short) {
-            target.leave_alone(until);
+    let has_stage = |short_id: u32| stages.iter().any(|changed| changed.endpoint == short_id);
+    for short_id in changing.iter().filter(|short_id| !has_stage(**short_id)) {
+        if let Some(target) = gateway.registry.find(*short_id) {
+            target.mark_changing(until);
         }
     }
 }
 
 /// Counts a peer's loads anew; both lists are sorted by endpoint.
-fn recount(gateway: &Gateway, before: &[(u32, Load)], after: &[(u32, Load)]) {
-    let find = |loads: &[(u32, Load)], short: u32| {
-        let at = loads.binary_search_by_key(&short, |(short, _)| *short);
+fn update_peer_loads(gateway: &Gateway, before: &[(u32, Load)], after: &[(u32, Load)]) {
+    let find = |loads: &[(u32, Load)], short_id: u32| {
+        let at = loads.binary_search_by_key(&short_id, |(short_id, _)| *short_id);
         at.map(|at| loads[at].1).unwrap_or_default()
     };
-    let count = |short: u32| {
-        let (old, new) = (find(before, short), find(after, short));
+    let count = |short_id: u32| {
+        let (old, new) = (find(before, short_id), find(after, short_id));
         if old != new
-            && let Some(target) = gateway.registry.find(short)
+            && let Some(target) = gateway.registry.find(short_id)
         {
-            let more = new.reading.saturating_sub(old.reading);
+            let added = new.prefill_work.saturating_sub(old.prefill_work);
             let service = target.with(|state| Arc::clone(&state.profile.service));
             let paces = gateway.paces(&service);
             target.with(|state| {
-                if more > 0 {
-                    let common = paces.of(state.profile.stage);
-                    state.sends(Instant::now(), common, more);
+                if added > 0 {
+                    let default_pace = paces.for_stage(state.profile.stage);
+                    state.record_prefill(Instant::now(), default_pace, added);
                 }
-                state.peers = replaced(state.peers, old, new);
+                state.peer_load = replace_part(state.peer_load, old, new);
             });
         }
     };
-    for (short, _) in after {
-        count(*short);
+    for (short_id, _) in after {
+        count(*short_id);
     }
-    for (short, _) in before {
+    for (short_id, _) in before {
         if after
-            .binary_search_by_key(short, |(short, _)| *short)
+            .binary_search_by_key(short_id, |(short_id, _)| *short_id)
             .is_err()
         {
-            count(*short);
+            count(*short_id);
         }
     }
 }
 
 /// Notes which engines have got on with what a peer has under way there: some of it has ended. Both lists are
 /// sorted by endpoint.
-fn note_progress(gateway: &Gateway, before: &[(u32, Load)], after: &[(u32, Load)]) {
-    for (short, old) in before {
-        let at = after.binary_search_by_key(short, |(short, _)| *short);
+fn record_progress(gateway: &Gateway, before: &[(u32, Load)], after: &[(u32, Load)]) {
+    for (short_id, old) in before {
+        let at = after.binary_search_by_key(short_id, |(short_id, _)| *short_id);
         let new = at.map(|at| after[at].1).unwrap_or_default();
-        let ended = new.prompts < old.prompts || new.writing < old.writing;
-        if let Some(target) = gateway.registry.find(*short).filter(|_| ended) {
-            target.progressed();
+        let ended = new.prompts < old.prompts || new.decoding < old.decoding;
+        if let Some(target) = gateway.registry.find(*short_id).filter(|_| ended) {
+            target.record_progress();
         }
     }
 }
 
 /// A sum in which one part is replaced. An endpoint that was listed after a peer told of it starts
 /// at nothing, so a part may be missing in the sum.
-fn replaced(sum: Load, old: Load, new: Load) -> Load {
+fn replace_part(sum: Load, old: Load, new: Load) -> Load {
     Load {
-        reading: sum.reading.saturating_sub(old.reading) + new.reading,
-        late: sum.late.saturating_sub(old.late) + new.late,
+        prefill_work: sum.prefill_work.saturating_sub(old.prefill_work) + new.prefill_work,
+        low_priority_work: sum.low_priority_work.saturating_sub(old.low_priority_work)
+            + new.low_priority_work,
         prompts: sum.prompts.saturating_sub(old.prompts) + new.prompts,
-        late_prompts: sum.late_prompts.saturating_sub(old.late_prompts) + new.late_prompts,
-        writing: sum.writing.saturating_sub(old.writing) + new.writing,
-        long: sum.long.saturating_sub(old.long) + new.long,
+        low_priority_prompts: sum
+            .low_priority_prompts
+            .saturating_sub(old.low_priority_prompts)
+            + new.low_priority_prompts,
+        decoding: sum.decoding.saturating_sub(old.decoding) + new.decoding,
+        long_answers: sum.long_answers.saturating_sub(old.long_answers) + new.long_answers,
         suspects: sum.suspects.saturating_sub(old.suspects) + new.suspects,
     }
 }
 
 /// Notes which engines likely hold what peers placed there.
-fn remember(gateway: &Gateway, placed: &[Placed]) {
+fn record_placements(gateway: &Gateway, placed: &[Placed]) {
     for placed in placed {
         if let Some(target) = gateway.registry.find(placed.endpoint) {
-            used(gateway, &target, placed);
+            record_placement(gateway, &target, placed);
         }
     }
 }
 
-fn used(gateway: &Gateway, target: &Target, placed: &Placed) {
+fn record_placement(gateway: &Gateway, target: &Target, placed: &Placed) {
     let parts: Vec<policy::prompt::Part> = placed
         .parts
         .iter()
@@ -248,28 +258,28 @@
         })
         .collect();
     let service = target.with(|state| Arc::clone(&state.profile.service));
-    let common = gateway.common(&service);
+    let defaults = gateway.common(&service);
     target.with(|state| {
         // an engine that writes has mostly fetched it
         let fetched = state.profile.stage == Some(Stage::Decode);
-        state.uses(Instant::now(), &common, &parts, fetched);
+        state.record_prompt(Instant::now(), &defaults, &parts, fetched);
     });
 }
 
 /// Counts no longer what peers had under way that are not heard any more.
-fn drop_silent(gateway: &Gateway) {
+fn drop_unreachable(gateway: &Gateway) {
     let now = Instant::now();
-    let mut silent = Vec::new();
+    let mut unreachable = Vec::new();
     let mut known = gateway.peers.known.lock();
     for peer in known.iter_mut() {
-        if !peer.is_live(now) && !peer.loads.is_empty() {
-            silent.push(std::mem::take(&mut peer.loads));
+        if !peer.is_alive(now) && !peer.loads.is_empty() {
+            unreachable.push(std::mem::take(&mut peer.loads));
         }
     }
-    known.retain(|peer| now - peer.heard.unwrap_or(peer.since) < FORGOTTEN);
+    known.retain(|peer| now - peer.last_received.unwrap_or(peer.first_known) < PEER_TTL);
     drop(known);
-    for loads in silent {
+    for loads in unreachable {
         log::info!(loads = loads.len(); "a peer is no longer heard");
-        recount(gateway, &loads, &[]);
+        update_peer_loads(gateway, &loads, &[]);
     }
 }
--- a/components/gateway/src/peer/send.rs
+++ b/components/gateway/src/peer/send.rs
@@ -8,9 +8,10 @@
 use wire::{Digest, EndpointChanges, Placed, Suspect};
 
 use super::{
-    PLACED, endpoint_load, own, paces,
-    reach::{HEARTBEAT, PACE, Reach},
-    receive::heed,
+    MAX_PENDING_PLACEMENTS, encode_load,
+    fan_out::{HEARTBEAT_INTERVAL, MIN_DIGEST_INTERVAL, PeerGroup},
+    own_digest, paces,
+    receive::apply_stage_changes,
     suspects,
 };
 use crate::{
@@ -20,39 +21,44 @@
 };
 
 /// Placements in one digest; a datagram then stays below the usual size of a packet or two.
-const PLACED_AT_ONCE: usize = 24;
+const MAX_PLACEMENTS_PER_DIGEST: usize = 24;
 
 /// Requests that endpoints ended under in one digest, for the same reason.
-const SUSPECTS_AT_ONCE: usize = 24;
+const MAX_SUSPECTS_PER_DIGEST: usize = 24;
 
 /// Between two digests of a stream that tell how fast engines are: it takes several prompts to learn more.
-const PACES_EVERY: Duration = Duration::from_millis(50);
+const PACES_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Sends digests as long as the process lives.
-pub async fn keep(gateway: &Gateway, socket: &UdpSocket) {
+pub async fn run(gateway: &Gateway, socket: &UdpSocket) {
     let mut number = 0;
-    let mut streams = [Reach::Near, Reach::Far, Reach::Others].map(Stream::new);
+    let mut streams = [
+        PeerGroup::LocalNeighbours,
+        PeerGroup::RemoteNeighbours,
+        PeerGroup::Others,
+    ]
+    .map(Stream::new);
     loop {
-        clock::sleep(PACE).await;
-        let news = News::gather(gateway);
-        heed(gateway, &news.changing, &[]);
+        clock::sleep(MIN_DIGEST_INTERVAL).await;
+        let update = Update::collect(gateway);
+        apply_stage_changes(gateway, &update.changing, &[]);
         for stream in &mut streams {
-            stream.add(&news);
-            if !stream.is_due(&news) {
+            stream.enqueue(&update);
+            if !stream.is_due(&update) {
                 continue;
             }
             let own = &gateway.settings.gateway;
-            let circle = gateway.peers.circle(
-                stream.reach,
+            let recipients = gateway.peers.recipients(
+                stream.group,
                 own.peers,
                 &own.data_centre,
-                is_missed(gateway, &news),
+                is_critical(gateway, &update),
             );
-            stream.pace = circle.pace;
-            stream.beat = circle.beat;
+            stream.min_interval = recipients.min_interval;
+            stream.max_interval = recipients.max_interval;
             number += 1;
-            let bytes = stream.digest(gateway, &news, number).encode_to_vec();
-            for address in circle.peers {
+            let bytes = stream.next_digest(gateway, &update, number).encode_to_vec();
+            for address in recipients.peers {
                 if let Err(error) = socket.send_to(&bytes, address).await {
                     log::debug!(peer:% = address, error:%; "a digest was not sent");
                 }
@@ -62,33 +68,33 @@
 }
 
 /// Whether others depend on this process and must notice its end soon.
-fn is_missed(gateway: &Gateway, news: &News) -> bool {
+fn is_critical(gateway: &Gateway, update: &Update) -> bool {
     // while the store answers nobody all would read
-    (news.reads && gateway.store_answers()) || steward::is_near(gateway)
+    (update.reads_lists && gateway.store_answers()) || steward::is_near(gateway)
 }
 
 /// What there is to tell at one moment.
 #[derive(Debug)]
-struct News {
+struct Update {
     loads: Vec<(u32, Load)>,
     placed: Vec<Placed>,
     changing: Vec<u32>,
     changes: Vec<EndpointChanges>,
     revisions: [u64; 2],
     /// Whether this process reads the operators' lists itself.
-    reads: bool,
+    reads_lists: bool,
     suspects: Vec<Suspect>,
 }
 
-impl News {
-    fn gather(gateway: &Gateway) -> Self {
+impl Update {
+    fn collect(gateway: &Gateway) -> Self {
         Self {
             loads: gateway.registry.busy().loads(),
-            placed: std::mem::take(&mut *gateway.peers.placed.lock()),
+            placed: std::mem::take(&mut *gateway.peers.pending_placements.lock()),
             changing: gateway.steward.changing(),
-            changes: std::mem::take(&mut *gateway.peers.news.lock()),
+            changes: std::mem::take(&mut *gateway.peers.pending_changes.lock()),
             revisions: [List::Endpoints, List::Configuration].map(|list| gateway.changed.get(list)),
-            reads: gateway.reads_lists(),
+            reads_lists: gateway.reads_lists(),
             suspects: gateway
                 .suspects_to_tell()
                 .iter()
@@ -101,13 +107,13 @@
 /// Digests to some of the peers.
 #[derive(Debug)]
 struct Stream {
-    reach: Reach,
+    group: PeerGroup,
     /// When the last one was sent.
-    sent: Instant,
+    last_sent: Instant,
     /// The shortest time until the next one.
-    pace: Duration,
+    min_interval: Duration,
     /// The longest time until the next one.
-    beat: Duration,
+    max_interval: Duration,
     /// What the last one told.
     loads: Vec<(u32, Load)>,
     changing: Vec<u32>,
@@ -117,74 +123,75 @@
     changes: Vec<EndpointChanges>,
     suspects: Vec<Suspect>,
     /// When one last told how fast engines are.
-    told_paces: Instant,
+    paces_sent: Instant,
 }
 
 impl Stream {
-    fn new(reach: Reach) -> Self {
+    fn new(group: PeerGroup) -> Self {
         Self {
-            reach,
-            sent: Instant::now(),
-            pace: PACE,
-            beat: HEARTBEAT,
+            group,
+            last_sent: Instant::now(),
+            min_interval: MIN_DIGEST_INTERVAL,
+            max_interval: HEARTBEAT_INTERVAL,
             loads: Vec::new(),
             changing: Vec::new(),
             revisions: [0; 2],
             placed: Vec::new(),
             changes: Vec::new(),
             suspects: Vec::new(),
-            told_paces: Instant::now(),
+            paces_sent: Instant::now(),
         }
     }
 
     /// Keeps what must be told once. Placements are hints, of use to those that are told of loads in time.
-    fn add(&mut self, news: &News) {
-        if self.reach != Reach::Others {
-            let room = PLACED.saturating_sub(self.placed.len());
-            self.placed.extend(news.placed.iter().take(room).cloned());
+    fn enqueue(&mut self, update: &Update) {
+        if self.group != PeerGroup::Others {
+            let remaining = MAX_PENDING_PLACEMENTS.saturating_sub(self.placed.len());
+            self.placed
+                .extend(update.placed.iter().take(remaining).cloned());
         }
-        self.changes.extend_from_slice(&news.changes);
-        self.suspects.extend_from_slice(&news.suspects);
+        self.changes.extend_from_slice(&update.changes);
+        self.suspects.extend_from_slice(&update.suspects);
     }
 
     /// Whether a digest is to be sent now.
-    fn is_due(&self, news: &News) -> bool {
-        let since = self.sent.elapsed();
+    fn is_due(&self, update: &Update) -> bool {
+        let since = self.last_sent.elapsed();
         // what a follower knows its readers have told
         let urgent = !self.changes.is_empty()
             || !self.suspects.is_empty()
-            || news.changing != self.changing
-            || (news.reads && news.revisions != self.revisions);
-        let changed = news.loads != self.loads || !self.placed.is_empty();
-        urgent || (changed && since >= self.pace) || since >= self.beat
+            || update.changing != self.changing
+            || (update.reads_lists && update.revisions != self.revisions);
+        let changed = update.loads != self.loads || !self.placed.is_empty();
+        urgent || (changed && since >= self.min_interval) || since >= self.max_interval
     }
 
     /// The digest that tells the news.
-    fn digest(&mut self, gateway: &Gateway, news: &News, number: u64) -> Digest {
-        self.sent = Instant::now();
-        self.loads.clone_from(&news.loads);
-        self.changing.clone_from(&news.changing);
-        self.revisions = news.revisions;
-        let count = self.placed.len().min(PLACED_AT_ONCE);
-        let suspects = self.suspects.len().min(SUSPECTS_AT_ONCE);
-        let paces = if self.told_paces.elapsed() < PACES_EVERY {
+    fn next_digest(&mut self, gateway: &Gateway, update: &Update, number: u64) -> Digest {
+        self.last_sent = Instant::now();
+        self.loads.clone_from(&update.loads);
+        self.changing.clone_from(&update.changing);
+        self.revisions = update.revisions;
+        let count = self.placed.len().min(MAX_PLACEMENTS_PER_DIGEST);
+        let suspects = self.suspects.len().min(MAX_SUSPECTS_PER_DIGEST);
+        let paces = if self.paces_sent.elapsed() < PACES_INTERVAL {
             Vec::new()
         } else {
-            self.told_paces = self.sent;
-            paces::own(gateway, gateway.peers.has_newcomer())
+            self.paces_sent = self.last_sent;
+            paces::collect(gateway, gateway.peers.has_new_peer())
         };
         Digest {
             paces,
-            loads: news
+            loads: update
                 .loads
                 .iter()
-                .map(|(at, load)| endpoint_load(*at, *load))
+                .map(|(at, load)| encode_load(*at, *load))
                 .collect(),
             placed: self.placed.drain(..count).collect(),
-            beat_ms: u32::try_from(self.beat.as_millis()).unwrap_or(u32::MAX),
+            beat_ms: u32::try_from(self.max_interval.as_millis()).unwrap_or(u32::MAX),
             changes: std::mem::take(&mut self.changes),
             suspects: self.suspects.drain(..suspects).collect(),
-            ..own(gateway, number)
+            ..own_digest(gateway, number)
         }
     }
 }
--- a/components/gateway/src/peer/suspects.rs
+++ b/components/gateway/src/peer/suspects.rs
@@ -9,7 +9,7 @@
 };
 
 /// Microseconds in a millisecond.
-const MILLI: Moment = 1_000;
+const MICROS_PER_MILLI: Moment = 1_000;
 
 /// The message for a request.
 pub(super) fn encode(content: Content, record: &Record, now: Moment) -> Suspect {
@@ -25,7 +25,7 @@
 }
 
 /// Takes what a peer tells.
-pub(super) fn take(gateway: &Gateway, received: &[Suspect], peer: &str) {
+pub(super) fn apply(gateway: &Gateway, received: &[Suspect], peer: &str) {
     for suspect in received {
         let record = decode(suspect, gateway.moment());
         gateway.add_suspect(suspect.content.into(), &record, Source::Peer(peer));
@@ -33,7 +33,7 @@
 }
 
 fn decode(received: &Suspect, now: Moment) -> Record {
-    let ago = |age_ms: u32| now - Moment::from(age_ms) * MILLI;
+    let ago = |age_ms: u32| now - Moment::from(age_ms) * MICROS_PER_MILLI;
     let mut ends: Vec<End> = received
         .ends
         .iter()
@@ -51,5 +51,7 @@
 
 /// How long ago something was, in milliseconds; at least one, as zero stands for never.
 fn age_ms(at: Moment, now: Moment) -> u32 {
-    u32::try_from((now - at) / MILLI).unwrap_or(u32::MAX).max(1)
+    u32::try_from((now - at) / MICROS_PER_MILLI)
+        .unwrap_or(u32::MAX)
+        .max(1)
 }
--- a/components/gateway/src/process/backoff.rs
+++ b/components/gateway/src/process/backoff.rs
@@ -49,7 +49,10 @@
     /// The pause before the next try.
     pub fn pause(&mut self, gateway: &Gateway) -> Pause {
         let own = &gateway.settings.gateway;
-        let longest = if gateway.peers.look_before(own.peers, &own.data_centre) {
+        let longest = if gateway
+            .peers
+            .has_preceding_store_probers(own.peers, &own.data_centre)
+        {
             LONGEST_BESIDE_OTHERS
         } else {
             LONGEST_PAUSE
@@ -60,7 +63,7 @@
         self.next = (self.next * 2).min(LONGEST_BESIDE_OTHERS);
         Pause {
             until: Instant::now() + pause,
-            answered: gateway.peers.store_answers(),
+            answered: gateway.peers.is_store_available(),
         }
     }
 }
@@ -77,7 +80,7 @@
     /// The time until the next look at whether it is over; none if it is.
     pub fn rest(&self, gateway: &Gateway) -> Option<Duration> {
         let left = self.until.saturating_duration_since(Instant::now());
-        let found = !self.answered && gateway.peers.store_answers();
+        let found = !self.answered && gateway.peers.is_store_available();
         (!left.is_zero() && !found).then(|| left.min(LOOK))
     }
 }
--- a/components/gateway/src/process/configuration.rs
+++ b/components/gateway/src/process/configuration.rs
@@ -92,7 +92,7 @@
         if self.failed.is_power_of_two() {
             log::warn!(
                 table = "configuration", failure:%, failed = self.failed, took_ms = millis(took),
-                since_ms = millis(since.elapsed()), told = gateway.peers.changed(List::Configuration),
+                since_ms = millis(since.elapsed()), told = gateway.peers.latest_revision(List::Configuration),
                 known = gateway.changed.get(List::Configuration); "the store did not answer"
             );
         }
--- a/components/gateway/src/process/endpoints.rs
+++ b/components/gateway/src/process/endpoints.rs
@@ -13,7 +13,7 @@
 use crate::{
     edge::{Change, Failure, From, Update},
     endpoint::Target,
-    peer::Advertised,
+    peer::Advertisement,
 };
 
 /// Follows the list as long as the process lives.
@@ -98,7 +98,7 @@
     async fn receive(&mut self) {
         let gateway = Arc::clone(&self.gateway);
         tokio::select! {
-            advertised = gateway.peers.advertised() => {
+            advertised = gateway.peers.receive_advertisements() => {
                 for advertised in advertised {
                     self.take_advertised(advertised);
                 }
@@ -108,15 +108,17 @@
     }
 
     /// Takes changes that a peer has read, if they follow on what is known and aren't known yet.
-    fn take_advertised(&mut self, advertised: Advertised) {
+    fn take_advertised(&mut self, advertised: Advertisement) {
         match self.from {
             From::After { revision, .. }
-                if advertised.after <= revision && revision < advertised.to =>
+                if advertised.after_revision <= revision && revision < advertised.to_revision =>
             {
                 self.apply(advertised.changes, false, advertised.after_outage);
-                self.gateway.changed.note(Listed::Endpoints, advertised.to);
+                self.gateway
+                    .changed
+                    .note(Listed::Endpoints, advertised.to_revision);
                 // peers' news does not show that the store answers this process again
-                self.from = next(advertised.to, !self.lost);
+                self.from = next(advertised.to_revision, !self.lost);
             }
             // what is missing in between is read at the store
             From::Start | From::After { .. } => {}
@@ -166,10 +168,10 @@
             (false, _) if update.changes.is_empty() => {}
             (false, _) => {
                 changed.note(Listed::Endpoints, update.changed);
-                self.gateway.peers.advertise(&Advertised {
+                self.gateway.peers.advertise(&Advertisement {
                     // what went before a whole read has left no change behind
-                    after: before.max(self.whole_at),
-                    to: update.changed,
+                    after_revision: before.max(self.whole_at),
+                    to_revision: update.changed,
                     after_outage,
                     changes: update.changes.clone(),
                 });
--- a/components/gateway/src/process/ends.rs
+++ b/components/gateway/src/process/ends.rs
@@ -13,13 +13,13 @@
 impl Gateway {
     /// Finds out whether an endpoint that broke a request's connection has ended, and notes what was under way there.
     pub async fn look_for_end(&self, target: &Arc<Target>, request: &str) {
-        let contents = target.take_if_ended(Instant::now()).await;
+        let contents = target.take_requests_if_terminated(Instant::now()).await;
         self.note_end(target, &contents, "it refuses connections", request);
     }
 
     /// Notes what was under way at an endpoint that is no longer listed, though it had not said that it leaves.
     pub fn note_lapsed(&self, target: &Arc<Target>) {
-        let contents = target.with(|state| state.runs.take_broken(Instant::now()));
+        let contents = target.with(|state| state.requests.take_broken(Instant::now()));
         self.note_end(target, &contents, "it is no longer listed", "");
     }
 
@@ -34,7 +34,7 @@
             under_way = contents.len(), contents = names(contents);
             "an endpoint ended with requests under way"
         );
-        self.suspect_all(target.short, contents);
+        self.suspect_all(target.short_id, contents);
     }
 }
 
--- a/components/gateway/src/process/follow.rs
+++ b/components/gateway/src/process/follow.rs
@@ -68,7 +68,7 @@
 }
 
 fn too_few(readers: &[Reader]) -> bool {
-    readers.len() < READERS || !readers.iter().any(|reader| reader.near)
+    readers.len() < READERS || !readers.iter().any(|reader| reader.is_local)
 }
 
 /// The processes before this one that read the lists, and those in other data centres.
@@ -134,7 +134,7 @@
             self.heard = readers;
             return Turn::CatchUp;
         }
-        if gateway.peers.changed(self.list) <= revision {
+        if gateway.peers.latest_revision(self.list) <= revision {
             self.behind = None;
             return Turn::Rest;
         }
--- a/components/gateway/src/process/lapse.rs
+++ b/components/gateway/src/process/lapse.rs
@@ -48,7 +48,7 @@
         let now = Instant::now();
         let steady = [
             gateway.store_steady_since(),
-            gateway.peers.store_steady_since(),
+            gateway.peers.store_available_since(),
         ];
         let steady = steady.into_iter().flatten().min();
         let (gone, rest) = std::mem::take(&mut self.0)
--- a/components/gateway/src/process/ledger.rs
+++ b/components/gateway/src/process/ledger.rs
@@ -11,7 +11,7 @@
 
 use super::Gateway;
 use crate::{
-    endpoint::{Common, Paces, Stage, Target},
+    endpoint::{Paces, ServiceDefaults, Stage, Target},
     request::Line,
 };
 
@@ -164,7 +164,7 @@
     /// only cut off go on sending.
     fn repeat_share(&self) -> Share {
         let bounds = self.bounds.read();
-        let sharers = self.peers.sharers(self.started.elapsed());
+        let sharers = self.peers.budget_sharers(self.started.elapsed());
         let sharers = sharers.map(|peers| peers + 1);
         let slack = sharers.map_or(0.0, |sharers| bounds.retry_slack / policy::real(sharers));
         Share {
@@ -239,12 +239,12 @@
     }
 
     /// What is known of all engines of a service alike.
-    pub fn common(&self, service: &Arc<str>) -> Common {
+    pub fn common(&self, service: &Arc<str>) -> ServiceDefaults {
         let version = self.configuration();
         let engines = version
             .as_ref()
             .and_then(|version| version.service(service)?.engines.as_ref());
-        Common {
+        ServiceDefaults {
             paces: self.paces(service),
             memory_tokens: engines.map_or(0, |engines| engines.memory_tokens),
         }
@@ -257,7 +257,7 @@
             (Arc::clone(&state.profile.service), stage)
         });
         let common = self.with_ledger(&service, |ledger| {
-            let pace = ledger.paces.of_mut(stage);
+            let pace = ledger.paces.for_stage_mut(stage);
             learn(pace);
             *pace
         });
@@ -272,8 +272,8 @@
     pub fn own_paces(&self, all: bool) -> Vec<(Arc<str>, Paces)> {
         let ledgers = self.ledgers.0.lock();
         let told = ledgers.iter().filter(|(_, ledger)| {
-            let Paces { readers, writers } = &ledger.paces;
-            readers.is_new() || writers.is_new() || (all && ledger.paces != Paces::default())
+            let Paces { prefill, decode } = &ledger.paces;
+            prefill.is_new() || decode.is_new() || (all && ledger.paces != Paces::default())
         });
         told.map(|(service, ledger)| (Arc::clone(service), ledger.paces))
             .collect()
@@ -282,11 +282,13 @@
     /// Takes what a peer has learnt of the engines of a service in one stage. A process that starts would place its
     /// first prompts by a guess: 44,958 tokens were expected to be read in 0.3 s, and took 1.9 s.
     pub fn adopt_pace(&self, service: &Arc<str>, stage: Stage, told: &Pace) {
-        let adopted = self.with_ledger(service, |ledger| ledger.paces.of_mut(stage).adopt(told));
+        let adopted = self.with_ledger(service, |ledger| {
+            ledger.paces.for_stage_mut(stage).adopt(told)
+        });
         if !adopted {
             return;
         }
-        for target in self.registry.fleet(service).used() {
+        for target in self.registry.fleet(service).subset() {
             target.with(|state| match &mut state.pace {
                 Some(pace) if state.profile.stage == Some(stage) => {
                     pace.adopt(told);
--- a/components/gateway/src/process/mod.rs
+++ b/components/gateway/src/process/mod.rs
@@ -283,7 +283,7 @@
     }));
     tasks.spawn(configuration::keep(Arc::clone(&gateway)));
     tasks.spawn(endpoints::keep(Arc::clone(&gateway)));
-    tasks.spawn(peer::keep(Arc::clone(&gateway), peers));
+    tasks.spawn(peer::run(Arc::clone(&gateway), peers));
     tasks.spawn(status::serve(Arc::clone(&gateway), ready, status::ready));
     tasks.spawn(status::serve(
         Arc::clone(&gateway),
--- a/components/gateway/src/process/reload.rs
+++ b/components/gateway/src/process/reload.rs
@@ -10,7 +10,7 @@
     let old = &gateway.settings;
     gateway.metrics.reloads.inc();
     *gateway.bounds.write() = new.bounds.clone();
-    gateway.peers.learn_seeds(new);
+    gateway.peers.add_seeds(new);
     let kept = [
         ("gateway", identity(old) != identity(new)),
         ("store", old.store != new.store),
--- a/components/gateway/src/process/status.rs
+++ b/components/gateway/src/process/status.rs
@@ -61,10 +61,13 @@
     set(&metrics.configuration, version);
     let list = List::Configuration;
     set(&metrics.configuration_read, gateway.changed.get(list));
-    set(&metrics.configuration_told, gateway.peers.changed(list));
+    set(
+        &metrics.configuration_told,
+        gateway.peers.latest_revision(list),
+    );
     set(&metrics.connections, count(*gateway.connections.borrow()));
     set(&metrics.under_way, count(*gateway.under_way.borrow()));
-    set(&metrics.peers, gateway.peers.count());
+    set(&metrics.peers, gateway.peers.count_alive());
     set(&metrics.endpoints, count(gateway.registry.all().len()));
     let suspects = gateway.all_suspects();
     set(&metrics.suspects, count(suspects.len()));
--- a/components/gateway/src/process/suspects.rs
+++ b/components/gateway/src/process/suspects.rs
@@ -177,7 +177,7 @@
     fn keep_withheld(&self, content: Content, source: Source) {
         let keeps = match source {
             Source::Own => true,
-            Source::Peer(_) => self.peers.place(self.settings.gateway.peers) < KEEPERS,
+            Source::Peer(_) => self.peers.address_rank(self.settings.gateway.peers) < KEEPERS,
             Source::Store => false,
         };
         if keeps {
--- a/components/gateway/src/process/withheld.rs
+++ b/components/gateway/src/process/withheld.rs
@@ -72,7 +72,7 @@
 /// Reads all rows, and takes what they say. Gives their requests; none if the store did not answer. A store that fails
 /// other calls is not asked: in an outage all gateways would.
 async fn read(gateway: &Gateway) -> Option<Vec<Content>> {
-    if !gateway.peers.are_registered() || !gateway.store_answers() {
+    if !gateway.peers.is_membership_known() || !gateway.store_answers() {
         return None;
     }
     let read = Read {
--- a/components/gateway/src/request/attempt.rs
+++ b/components/gateway/src/request/attempt.rs
@@ -14,7 +14,7 @@
 use super::{attempts::Phase, job::Job, timeout::Timeout};
 use crate::{
     edge::{Call, Directive},
-    endpoint::{Link, NotOpened, Run, Target, Verdict},
+    endpoint::{ConnectError, Connection, RequestGuard, Target, Verdict},
 };
 
 /// What an endpoint answered.
@@ -24,11 +24,11 @@
     /// The body, still coming.
     pub body: Incoming,
     /// The connection that it comes on.
-    pub link: Link,
+    pub link: Connection,
     /// Who answers.
     pub target: Arc<Target>,
     /// The request under way there.
-    pub run: Run,
+    pub run: RequestGuard,
 }
 
 impl Answer {
@@ -41,7 +41,7 @@
         match self.head.status {
             status if status.is_success() => Ok(self),
             status => {
-                self.run.answered();
+                self.run.finish();
                 Err(Cause::Failed(status.as_u16()))
             }
         }
@@ -53,7 +53,7 @@
 pub enum Cause {
     /// No connection was made.
     #[display("no connection: {_0}")]
-    NotOpened(NotOpened),
+    NotOpened(ConnectError),
     /// The connection had closed before anything was sent.
     #[display("the connection had closed")]
     NotSent,
@@ -125,12 +125,12 @@
     /// What it tells of the endpoint, if it tells anything.
     pub fn verdict(self) -> Option<Verdict> {
         match self {
-            Self::NotOpened(NotOpened::Silent | NotOpened::Refused) | Self::TimeOver => {
+            Self::NotOpened(ConnectError::Silent | ConnectError::Refused) | Self::TimeOver => {
                 Some(Verdict::Silent)
             }
             Self::NotRun(_) => Some(Verdict::Refused),
             Self::Broken | Self::Foreign | Self::Failed(_) => Some(Verdict::Failed),
-            Self::NotOpened(NotOpened::Full)
+            Self::NotOpened(ConnectError::Full)
             | Self::NotSent
             | Self::NoWriter
             | Self::NoBudget
@@ -153,7 +153,7 @@
 
 /// Waits until nothing more can come from an incarnation of an endpoint.
 pub async fn ended(target: &Target) {
-    target.ended().await;
+    target.terminated().await;
     clock::sleep(GRACE).await;
 }
 
@@ -178,12 +178,12 @@
         Phase::Run
     };
     if !job.arrivals.begin(job, phase) {
-        target.give_back(link);
+        target.return_connection(link);
         return Err(Cause::NoBudget);
     }
     let request = request(job, directive);
     let suspect = job.gateway.is_suspect(job.content);
-    let run = Run::new(target, job.content, suspect);
+    let run = RequestGuard::new(target, job.content, suspect);
     let runs = phase == Phase::Run;
     job.open.passed_on(&target.id.0, runs);
     let sending = link.sender().try_send_request(request);
@@ -198,27 +198,27 @@
             return Err(match error.take_message() {
                 // the connection had closed before a byte was written
                 Some(_) => {
-                    run.answered();
+                    run.finish();
                     not_run(job, runs);
                     Cause::NotSent
                 }
                 None if error.error().is_parse() => Cause::Foreign,
                 None => {
-                    run.broke();
+                    run.connection_broke();
                     job.gateway.look_for_end(target, &job.ask.id).await;
                     Cause::Broken
                 }
             });
         }
     };
-    target.progressed();
+    target.record_progress();
     let (head, body) = response.into_parts();
     let reply = job.gateway.edges.dialect.reply(&job.ask.id, &head);
-    target.keeps(reply.keeps);
+    target.set_idle_timeout(reply.keeps);
     match () {
         () if !reply.ours => Err(Cause::Foreign),
         () if reply.not_run => {
-            run.answered();
+            run.finish();
             not_run(job, runs);
             give_back_after(target, link, body);
             Err(Cause::NotRun(head.status.as_u16()))
@@ -255,14 +255,14 @@
 const REFUSAL: u64 = 4 << 10;
 
 /// Reads the short rest of an answer and gives its connection back.
-fn give_back_after(target: &Arc<Target>, link: Link, body: Incoming) {
+fn give_back_after(target: &Arc<Target>, link: Connection, body: Incoming) {
     if body.size_hint().upper().is_none_or(|most| most > REFUSAL) {
         return;
     }
     let target = Arc::clone(target);
     tokio::spawn(async move {
         if body.collect().await.is_ok() {
-            target.give_back(link);
+            target.return_connection(link);
         }
     });
 }
@@ -299,6 +299,6 @@
         Some((status, body.await.ok()?.to_bytes()))
     };
     let answer = clock::timeout(timeout, exchange).await.ok()??;
-    target.give_back(link);
+    target.return_connection(link);
     Some(answer)
 }
--- a/components/gateway/src/request/attempts.rs
+++ b/components/gateway/src/request/attempts.rs
@@ -87,7 +87,7 @@
     /// Takes a failed attempt. Says what the caller is told, if no other may follow.
     pub fn fail(&mut self, job: &Job, failed: Failed) -> Result<(), Reason> {
         if let Some(verdict) = failed.cause.verdict() {
-            failed.target.note(verdict, &job.ask.id);
+            failed.target.record_verdict(verdict, &job.ask.id);
         }
         let labels = [&*job.service.name, failed.cause.label()];
         job.gateway
--- a/components/gateway/src/request/generate/mod.rs
+++ b/components/gateway/src/request/generate/mod.rs
@@ -20,7 +20,7 @@
     refusal::Reason,
     timeout::Timeout,
 };
-use crate::endpoint::{Target, Writing};
+use crate::endpoint::{DecodeGuard, Target};
 use timing::Timing;
 use view::View;
 
@@ -114,7 +114,7 @@
     job: &Job,
     after: Option<u64>,
     from: &Arc<Target>,
-) -> Result<(Answer, Writing), Cause> {
+) -> Result<(Answer, DecodeGuard), Cause> {
     let view = View::new(job, std::slice::from_ref(from));
     let choice = view.choose(job).ok_or(Cause::TimeOver)?;
     let engine = match choice.plan {
@@ -126,7 +126,7 @@
         .map_err(|failed| failed.cause)
         .and_then(|(answer, writing)| Ok((answer.continuing()?, writing)));
     if let Err(Some(verdict)) = resumed.as_ref().map_err(|cause| cause.verdict()) {
-        view.targets[engine].note(verdict, &job.ask.id);
+        view.targets[engine].record_verdict(verdict, &job.ask.id);
     }
     resumed
 }
--- a/components/gateway/src/request/generate/read.rs
+++ b/components/gateway/src/request/generate/read.rs
@@ -13,7 +13,7 @@
 };
 use crate::{
     edge::{Directive, Handle, Urgency},
-    endpoint::{Reading, Target},
+    endpoint::{PrefillGuard, Target},
     process::Gateway,
     request::{
         attempt::{self, Cause},
@@ -29,7 +29,7 @@
 /// A prompt being read, with what was ahead of it.
 pub struct Counted {
     /// Counts it as long as this lives.
-    pub guard: Reading,
+    pub guard: PrefillGuard,
     /// Work that was ahead of it.
     pub ahead: u64,
 }
@@ -43,18 +43,18 @@
     let paces = job.gateway.paces(&job.service.name);
     let now = Instant::now();
     let ahead = target.with(|state| {
-        let common = paces.of(state.profile.stage);
-        let load = state.load();
-        let left = state.left(now, common);
-        let ahead = policy::place::ahead(left, load.late, load.late_prompts);
+        let common = paces.for_stage(state.profile.stage);
+        let load = state.total_load();
+        let left = state.remaining_prefill(now, common);
+        let ahead = policy::place::ahead(left, load.low_priority_work, load.low_priority_prompts);
         if !late {
-            state.sends(now, common, work);
+            state.record_prefill(now, common, work);
         }
         ahead
     });
     use_parts(job, target, false);
     Counted {
-        guard: Reading::new(target, work, late),
+        guard: PrefillGuard::new(target, work, late),
         ahead,
     }
 }
@@ -63,8 +63,10 @@
 pub fn use_parts(job: &Job, target: &Arc<Target>, fetched: bool) {
     if let Some(prompt) = &job.ask.prompt {
         let common = job.gateway.common(&job.service.name);
-        target.with(|state| state.uses(Instant::now(), &common, &prompt.parts, fetched));
-        job.gateway.peers.placed(target.short, &prompt.parts);
+        target.with(|state| state.record_prompt(Instant::now(), &common, &prompt.parts, fetched));
+        job.gateway
+            .peers
+            .record_placement(target.short_id, &prompt.parts);
     }
 }
 
@@ -170,18 +172,18 @@
     let body = match body {
         Ok(body) if status.is_success() => body,
         Ok(_) => {
-            answer.run.answered();
+            answer.run.finish();
             job.arrivals.read_failed();
             return Err(failed(Cause::Failed(status.as_u16())));
         }
         Err(_) => {
             job.arrivals.read_failed();
-            answer.run.broke();
+            answer.run.connection_broke();
             job.gateway.look_for_end(target, &job.ask.id).await;
             return Err(failed(Cause::Broken));
         }
     };
-    answer.run.answered();
+    answer.run.finish();
     job.arrivals.accepted(job);
     wait.end();
     let address = target.with(|state| state.profile.address);
@@ -190,7 +192,7 @@
     if !late {
         learn(job, target, counted.ahead + counted.guard.work(), begun);
     }
-    target.give_back(answer.link);
+    target.return_connection(answer.link);
     log::info!(
         request = job.ask.id, endpoint = &*target.id.0, late, ahead = counted.ahead,
         work = counted.guard.work(), took_us = policy::micros(begun.elapsed());
--- a/components/gateway/src/request/generate/relocate.rs
+++ b/components/gateway/src/request/generate/relocate.rs
@@ -11,7 +11,7 @@
 use super::view::{View, ask, is_long};
 use crate::{
     edge::{Directive, Handle},
-    endpoint::{Target, Writing},
+    endpoint::{DecodeGuard, Target},
     request::{
         attempt::{self, Answer, Cause},
         job::Job,
@@ -94,9 +94,9 @@
     job: &Job,
     stopped: &Stopped,
     after: Option<u64>,
-) -> Result<(Answer, Writing), Cause> {
+) -> Result<(Answer, DecodeGuard), Cause> {
     let target = &stopped.target;
-    let writing = Writing::new(target, is_long(job));
+    let writing = DecodeGuard::new(target, is_long(job));
     let directive = Directive {
         time_left: job.time_left(),
         expect: Some(target.id.clone()),
--- a/components/gateway/src/request/generate/run.rs
+++ b/components/gateway/src/request/generate/run.rs
@@ -11,7 +11,7 @@
 };
 use crate::{
     edge::Directive,
-    endpoint::{Target, Verdict, Writing},
+    endpoint::{DecodeGuard, Target, Verdict},
     request::{
         attempt::{self, Answer, Cause},
         attempts::{Attempts, Failed, Phase},
@@ -21,7 +21,7 @@
 };
 
 /// An answer that has begun, and the slot that it takes; or the attempt that failed.
-pub type Attempted = Result<(Answer, Writing), Failed>;
+pub type Attempted = Result<(Answer, DecodeGuard), Failed>;
 
 /// An attempt that failed at an endpoint.
 pub fn failed(target: &Arc<Target>, cause: Cause, phase: Phase) -> Failed {
@@ -50,7 +50,7 @@
         fetch_from: view.fetch_from(at),
         ..Directive::default()
     };
-    let writing = Writing::new(target, is_long(job));
+    let writing = DecodeGuard::new(target, is_long(job));
     let sent = attempt::send(job, target, &directive, timeout).await;
     let answer = sent.map_err(|cause| failed(target, cause, Phase::Run))?;
     read::learn(job, target, ahead + reading.guard.work(), begun);
@@ -92,7 +92,7 @@
         return Err(failed(prefill, Cause::NoWriter, Phase::Read));
     };
     let decode = &view.targets[at];
-    let writing = Writing::new(decode, is_long(job));
+    let writing = DecodeGuard::new(decode, is_long(job));
     let directive = Directive {
         time_left: job.time_left(),
         expect: Some(decode.id.clone()),
@@ -106,13 +106,13 @@
         Ok(answer) => {
             let took = policy::micros(begun.elapsed());
             job.gateway.learn_pace(decode, |pace| pace.began(took));
-            prefill.note(Verdict::Fine, &job.ask.id);
+            prefill.record_verdict(Verdict::Fine, &job.ask.id);
             handle.taken();
             Ok((answer, writing))
         }
         // the writer can't tell why, but most often it is the reader that has lost the handle
         Err(Cause::NotRun(_)) => {
-            prefill.note(Verdict::Failed, &job.ask.id);
+            prefill.record_verdict(Verdict::Failed, &job.ask.id);
             Err(failed(decode, Cause::NoHandle, Phase::Run))
         }
         Err(cause) => Err(failed(decode, cause, Phase::Run)),
--- a/components/gateway/src/request/generate/view.rs
+++ b/components/gateway/src/request/generate/view.rs
@@ -9,7 +9,7 @@
 };
 
 use crate::{
-    endpoint::{Seen, Stage, Target},
+    endpoint::{Snapshot, Stage, Target},
     process::Asked,
     request::job::Job,
 };
@@ -47,19 +47,22 @@
             .as_ref()
             .map_or(&[][..], |prompt| &prompt.parts);
         let near = &job.gateway.settings.gateway.data_centre;
-        let cut_off = job.gateway.peers.cut_off();
+        let cut_off = job.gateway.peers.unreachable_data_centres();
         let common = job.gateway.common(&job.service.name);
-        let mut found: Vec<(Arc<Target>, Seen)> = fleet
-            .used()
+        let mut found: Vec<(Arc<Target>, Snapshot)> = fleet
+            .subset()
             .iter()
             .filter(|target| !tried.iter().any(|other| other.id == target.id))
-            .filter_map(|target| Some((Arc::clone(target), target.seen(now, parts, &common)?)))
+            .filter_map(|target| Some((Arc::clone(target), target.snapshot(now, parts, &common)?)))
             .filter(|(_, seen)| !cut_off.contains(&seen.profile.data_centre))
             .collect();
         if job.gateway.is_suspect(job.content) {
             keep_apart(&mut found);
         }
-        let fetchable: Vec<u64> = found.iter().map(|(_, seen)| seen.fetchable).collect();
+        let fetchable: Vec<u64> = found
+            .iter()
+            .map(|(_, seen)| seen.fetchable_tokens)
+            .collect();
         let (targets, engines) = found
             .into_iter()
             .map(|(target, seen)| {
@@ -186,7 +189,7 @@
 
 /// Keeps of each stage the engines with the fewest suspects. Of two requests that end endpoints, or seem to, each must
 /// be seen for itself: one that another one took down with it would otherwise go down with it again.
-fn keep_apart(found: &mut Vec<(Arc<Target>, Seen)>) {
+fn keep_apart(found: &mut Vec<(Arc<Target>, Snapshot)>) {
     for stage in [Some(Stage::Prefill), Some(Stage::Decode)] {
         let of_stage = found.iter().filter(|(_, seen)| seen.profile.stage == stage);
         let least = of_stage.map(|(_, seen)| seen.load.suspects).min();
@@ -207,23 +210,23 @@
 /// The place of an endpoint in this process's own order.
 fn order(job: &Job, target: &Target) -> u64 {
     let seed = job.gateway.incarnation;
-    xxhash_rust::xxh3::xxh3_64_with_seed(&target.short.to_le_bytes(), seed)
+    xxhash_rust::xxh3::xxh3_64_with_seed(&target.short_id.to_le_bytes(), seed)
 }
 
-fn engine(seen: &Seen, near: &str, order: u64) -> place::Engine {
+fn engine(seen: &Snapshot, near: &str, order: u64) -> place::Engine {
     let stage = seen.profile.stage.unwrap_or(Stage::Decode);
     place::Engine {
         stage: match stage {
             Stage::Prefill => place::Stage::Prefill,
             Stage::Decode => place::Stage::Decode,
         },
-        reading: seen.load.reading,
-        late: seen.load.late,
-        late_prompts: seen.load.late_prompts,
-        writing: seen.load.writing,
-        long: seen.load.long,
+        reading: seen.load.prefill_work,
+        late: seen.load.low_priority_work,
+        late_prompts: seen.load.low_priority_prompts,
+        writing: seen.load.decoding,
+        long: seen.load.long_answers,
         slots: seen.profile.slots,
-        held: seen.held,
+        held: seen.cached_tokens,
         fetch: place::Fetch::default(),
         pace: seen.pace,
         distance: if *seen.profile.data_centre == *near {
@@ -231,7 +234,7 @@
         } else {
             FAR
         },
-        failures: seen.failures,
+        failures: seen.failure_ratio,
         order,
     }
 }
--- a/components/gateway/src/request/job.rs
+++ b/components/gateway/src/request/job.rs
@@ -144,7 +144,7 @@
 
     /// Connections that this process may hold to one endpoint of its service.
     pub fn most_links(&self) -> usize {
-        let sharers = usize::try_from(self.gateway.peers.count()).unwrap_or(0) + 1;
+        let sharers = usize::try_from(self.gateway.peers.count_alive()).unwrap_or(0) + 1;
         (self.service.connections / sharers).max(LEAST_LINKS)
     }
 }
--- a/components/gateway/src/request/pass.rs
+++ b/components/gateway/src/request/pass.rs
@@ -23,7 +23,7 @@
     job::Job,
 };
 use crate::{
-    endpoint::{Id, Link, Run, Target, Verdict, Writing},
+    endpoint::{Connection, DecodeGuard, Id, RequestGuard, Target, Verdict},
     version::Kind,
 };
 
@@ -81,18 +81,18 @@
 /// Where the answer comes from just now.
 struct Source {
     body: Incoming,
-    link: Link,
+    link: Connection,
     target: Arc<Target>,
     last: Option<Instant>,
     /// The time that the prompts under way there would still take when the last event came, in microseconds.
     left: Option<policy::Micros>,
-    _writing: Writing,
+    _writing: DecodeGuard,
     /// The request under way there; none once its connection broke.
-    run: Option<Run>,
+    run: Option<RequestGuard>,
 }
 
 impl Source {
-    fn new(answer: Answer, writing: Writing) -> Self {
+    fn new(answer: Answer, writing: DecodeGuard) -> Self {
         Self {
             body: answer.body,
             link: answer.link,
@@ -106,7 +106,7 @@
 }
 
 /// Hands an answer on, after so many attempts.
-pub fn hand_on(job: Job, answer: Answer, writing: Writing, attempts: u32) -> Response<Body> {
+pub fn hand_on(job: Job, answer: Answer, writing: DecodeGuard, attempts: u32) -> Response<Body> {
     let mut response = Response::new(());
     *response.status_mut() = answer.head.status;
     *response.headers_mut() = call::headers::end_to_end(&answer.head.headers);
@@ -162,7 +162,7 @@
                     }
                     return Err(self.fail(Broken::Endpoint));
                 }
-                () = source.target.left(), if moves => {
+                () = source.target.migration_needed(), if moves => {
                     self.leave().await;
                     continue;
                 }
@@ -207,7 +207,7 @@
     async fn broke(&mut self) {
         if let Some(source) = &mut self.source {
             if let Some(run) = source.run.take() {
-                run.broke();
+                run.connection_broke();
             }
             let gateway = &self.job.gateway;
             gateway.look_for_end(&source.target, &self.job.ask.id).await;
@@ -225,9 +225,11 @@
         let gap = source.last.replace(now).map(|last| now - last);
         let gateway = &self.job.gateway;
         let common = gateway.common(&self.job.service.name);
-        let left = source.target.with(|state| state.time_to_read(now, &common));
+        let left = source
+            .target
+            .with(|state| state.remaining_prefill_time(now, &common));
         let before = std::mem::replace(&mut source.left, left);
-        source.target.progressed();
+        source.target.record_progress();
         self.longest = self.longest.max(gap.unwrap_or_default());
         let engines = self.job.service.engines.as_ref();
         if let (Some(gap), Some(engines)) = (gap, engines) {
@@ -244,13 +246,15 @@
         self.log_end("answered");
         if let Some(source) = self.source.take() {
             if let Some(run) = source.run {
-                run.answered();
+                run.finish();
             }
             if self.status.is_success() {
                 self.job.gateway.note_served(self.job.content);
             }
-            source.target.note(Verdict::Fine, &self.job.ask.id);
-            source.target.give_back(source.link);
+            source
+                .target
+                .record_verdict(Verdict::Fine, &self.job.ask.id);
+            source.target.return_connection(source.link);
         }
         rest
     }
@@ -262,7 +266,7 @@
         };
         self.log_end(outcome);
         if let Some(source) = self.source.take() {
-            source.target.note(verdict, &self.job.ask.id);
+            source.target.record_verdict(verdict, &self.job.ask.id);
         }
         broken
     }
@@ -330,7 +334,9 @@
         let Some(broken) = self.source.take() else {
             return false;
         };
-        broken.target.note(Verdict::Failed, &self.job.ask.id);
+        broken
+            .target
+            .record_verdict(Verdict::Failed, &self.job.ask.id);
         let from = Arc::clone(&broken.target);
         drop(broken);
         if self.attempts >= self.job.route.attempts {
--- a/components/gateway/src/request/plain.rs
+++ b/components/gateway/src/request/plain.rs
@@ -15,7 +15,7 @@
 };
 use crate::{
     edge::Directive,
-    endpoint::{Common, Target, Verdict, Writing},
+    endpoint::{DecodeGuard, ServiceDefaults, Target, Verdict},
 };
 
 /// What an endpoint in another data centre counts against a near one, in slots' worth of load.
@@ -45,7 +45,7 @@
         let Some(target) = choose(&job, attempts.tried()) else {
             break attempts.give_up();
         };
-        let writing = Writing::new(&target, false);
+        let writing = DecodeGuard::new(&target, false);
         let outcome = attempt(&job, &target, &attempts).await;
         match outcome {
             Ok(answer) if another_may_do_better(&job, &answer, &attempts) => {
@@ -54,7 +54,7 @@
             }
             Ok(answer) => {
                 if let Some((failure, _)) = failure {
-                    failure.run.answered();
+                    failure.run.finish();
                 }
                 return Ok(pass::hand_on(job, answer, writing, attempts.runs() + 1));
             }
@@ -73,7 +73,7 @@
         }
     };
     let (answer, attempts) = failure.ok_or(reason)?;
-    let writing = Writing::new(&answer.target, false);
+    let writing = DecodeGuard::new(&answer.target, false);
     Ok(pass::hand_on(job, answer, writing, attempts))
 }
 
@@ -82,27 +82,27 @@
     let now = Instant::now();
     let fleet = job.gateway.registry.fleet(&job.service.name);
     let near = &job.gateway.settings.gateway.data_centre;
-    let cut_off = job.gateway.peers.cut_off();
+    let cut_off = job.gateway.peers.unreachable_data_centres();
     let suspect = job.gateway.is_suspect(job.content);
     let mut best: Option<(f64, &Arc<Target>)> = None;
-    for target in fleet.used() {
+    for target in fleet.subset() {
         if tried.iter().any(|other| other.id == target.id) {
             continue;
         }
-        let Some(seen) = target.seen(now, &[], &Common::default()) else {
+        let Some(seen) = target.snapshot(now, &[], &ServiceDefaults::default()) else {
             continue;
         };
         if cut_off.contains(&seen.profile.data_centre) {
             continue;
         }
-        let load = policy::real(seen.load.writing) / policy::real(seen.profile.slots.max(1));
+        let load = policy::real(seen.load.decoding) / policy::real(seen.profile.slots.max(1));
         let remote = if *seen.profile.data_centre == **near {
             0.0
         } else {
             REMOTE
         };
         let suspects = policy::real(if suspect { seen.load.suspects } else { 0 });
-        let cost = load + remote + seen.failures * FAILURES + suspects * SUSPECTS;
+        let cost = load + remote + seen.failure_ratio * FAILURES + suspects * SUSPECTS;
         if best.is_none_or(|(least, _)| cost < least) {
             best = Some((cost, target));
         }
@@ -140,7 +140,7 @@
     if !status.is_server_error() {
         return false;
     }
-    answer.target.note(Verdict::Failed, &job.ask.id);
+    answer.target.record_verdict(Verdict::Failed, &job.ask.id);
     let may = attempts.may_repeat_after_next(job)
         && Instant::now() < job.objective
         && is_another_there(job, attempts, &answer.target)
--- a/components/gateway/src/steward/change.rs
+++ b/components/gateway/src/steward/change.rs
@@ -51,7 +51,7 @@
 pub async fn carry_out(gateway: Arc<Gateway>, wish: Wish, epoch: u64) {
     let begun = Instant::now();
     let target = &wish.target;
-    let _changing = Changing::new(&gateway, target.short);
+    let _changing = Changing::new(&gateway, target.short_id);
     run_out(target).await;
     let ordered = order(&gateway, &wish, epoch).await;
     let done = ordered && arrive(&gateway, &wish).await;
@@ -67,8 +67,8 @@
     let begun = Instant::now();
     clock::sleep(HEARD).await;
     while begun.elapsed() < RUN_OUT {
-        let load = target.with(|state| state.own.with(state.peers));
-        if load.writing == 0 && load.prompts == 0 {
+        let load = target.with(|state| state.own_load.plus(state.peer_load));
+        if load.decoding == 0 && load.prompts == 0 {
             return;
         }
         clock::sleep(HEARD).await;
@@ -142,8 +142,8 @@
             return false;
         }
         if report.is_some_and(|report| report.stage == wish.stage && !report.busy) {
-            wish.target.take_stage(wish.stage);
-            gateway.steward.announce(wish.target.short, wish.stage);
+            wish.target.set_stage(wish.stage);
+            gateway.steward.announce(wish.target.short_id, wish.stage);
             return true;
         }
         clock::sleep(LOOK).await;
--- a/components/gateway/src/steward/lease.rs
+++ b/components/gateway/src/steward/lease.rs
@@ -76,7 +76,7 @@
         let due = self
             .visited
             .is_none_or(|visited| now - visited >= term / RENEWALS);
-        let ceded = gateway.peers.ceded();
+        let ceded = gateway.peers.ceded_epoch();
         match self.held {
             _ if !due && (self.held.is_some() || ceded <= self.taken) => {}
             Some(_) if *gateway.phase.borrow() != Phase::Serving => self.release(gateway).await,
@@ -125,7 +125,7 @@
                 gateway.note_store(false);
                 log::warn!(error:%; "the steward's lease was not renewed");
                 // one that the store still answers takes over sooner than the lease lapses
-                if gateway.peers.store_answers() {
+                if gateway.peers.is_store_available() {
                     self.lose(gateway, "the store answers peers and not this process");
                 }
             }
@@ -187,7 +187,7 @@
         let given_up = epoch > 0 && ceded >= epoch;
         if lapsed || given_up {
             let version = row.map_or(0, |row| row.version);
-            let pause = match gateway.peers.last_order() {
+            let pause = match gateway.peers.time_since_last_order() {
                 // the former holder has said when it ordered last
                 Some(ago) if given_up => gateway.settings.bounds.lease_ms.saturating_sub(ago),
                 _ => pause(gateway, lease.as_ref(), term),
@@ -252,7 +252,7 @@
 /// heard and don't hold it. They look all the time, as a term is counted from the last renewal seen.
 fn may_stand(gateway: &Gateway) -> bool {
     *gateway.phase.borrow() == Phase::Serving
-        && gateway.peers.rank(gateway.settings.gateway.peers) < CANDIDATES
+        && gateway.peers.store_rank(gateway.settings.gateway.peers) < CANDIDATES
 }
 
 fn until(sent: Instant, term: Duration) -> Instant {
--- a/components/gateway/src/steward/mod.rs
+++ b/components/gateway/src/steward/mod.rs
@@ -116,7 +116,8 @@
 
 /// Whether this process is the steward, or one of those that come next.
 pub fn is_near(gateway: &Gateway) -> bool {
-    gateway.steward.holds() || gateway.peers.place(gateway.settings.gateway.peers) < SUCCESSORS
+    gateway.steward.holds()
+        || gateway.peers.address_rank(gateway.settings.gateway.peers) < SUCCESSORS
 }
 
 /// Takes, keeps and uses the lease as long as the process lives.
--- a/components/gateway/src/steward/plan.rs
+++ b/components/gateway/src/steward/plan.rs
@@ -103,8 +103,8 @@
             let readers = || engines.iter().filter(|e| e.stage == Stage::Prefill);
             let busy = readers().filter(|engine| engine.reading > 0);
             let sample = Sample {
-                reading: policy::real(new.reading) * paces.readers.read_us,
-                writing: policy::real(new.writing) * paces.writers.step_us,
+                reading: policy::real(new.reading) * paces.prefill.read_us,
+                writing: policy::real(new.writing) * paces.decode.step_us,
                 taken: policy::real(taken),
                 busy: number(busy.count()),
                 readers: number(readers().count()),
@@ -131,7 +131,7 @@
         reading: whole(members.iter().filter(|member| !member.writes).count()),
         slots: engines.iter().map(|engine| engine.slots).max()?,
     };
-    let is_changing = |engine: &Engine| changing.contains(&engine.target.short);
+    let is_changing = |engine: &Engine| changing.contains(&engine.target.short_id);
     let away = whole(engines.iter().filter(|e| is_changing(e)).count());
     let weights = Weights::default();
     if away >= stage::most_changing(fleet.engines) || stage::is_idle(&service.demand, &weights) {
@@ -171,7 +171,7 @@
             Member {
                 data_centre: &engine.data_centre,
                 // one that is changing will be the other kind
-                writes: writes != changing.contains(&engine.target.short),
+                writes: writes != changing.contains(&engine.target.short_id),
             }
         })
         .collect()
@@ -184,7 +184,7 @@
     free: &[(usize, &'a Engine)],
     members: &[Member],
 ) -> Option<&'a Engine> {
-    let cut_off = gateway.peers.cut_off();
+    let cut_off = gateway.peers.unreachable_data_centres();
     let alone = free.iter().filter(|(at, engine)| {
         let lacks = !stage::serves_alone(members, members[*at].data_centre);
         lacks && engine.stage == Stage::Prefill && !cut_off.contains(&engine.data_centre)
@@ -229,17 +229,18 @@
         .filter_map(|target| {
             target.with(|state| {
                 let stage = state.profile.stage?;
-                let stays =
-                    state.listed && state.profile.state == State::Ready && state.health.sound();
-                let load = state.own.with(state.peers);
+                let stays = state.listed
+                    && state.profile.state == State::Ready
+                    && state.health.is_healthy();
+                let load = state.own_load.plus(state.peer_load);
                 stays.then(|| Engine {
                     target: Arc::clone(target),
                     stage,
                     data_centre: Arc::clone(&state.profile.data_centre),
-                    reading: load.reading,
+                    reading: load.prefill_work,
                     prompts: load.prompts,
-                    writing: load.writing,
-                    long: load.long,
+                    writing: load.decoding,
+                    long: load.long_answers,
                     slots: state.profile.slots,
                 })
             })
--- a/components/gateway/tests/busy.rs
+++ b/components/gateway/tests/busy.rs
@@ -4,7 +4,7 @@
 
 use gateway::{
     edge::Change,
-    endpoint::{Id, Load, Profile, Reading, Registry, State, Writing},
+    endpoint::{DecodeGuard, Id, Load, PrefillGuard, Profile, Registry, State},
 };
 
 fn profile(name: &str) -> Profile {
@@ -32,7 +32,7 @@
 
 fn writing(count: u64) -> Load {
     Load {
-        writing: count,
+        decoding: count,
         ..Load::default()
     }
 }
@@ -40,19 +40,19 @@
 #[test]
 fn loads_are_those_of_the_work_under_way() {
     let registry = registry(&["e1", "e2", "e3"]);
-    let short = |name: &str| profile(name).short();
+    let short = |name: &str| profile(name).short_id();
     let target = |name: &str| registry.find(short(name)).expect("listed");
     assert_eq!(registry.busy().loads(), []);
 
-    let first = Writing::new(&target("e1"), false);
-    let second = Writing::new(&target("e1"), false);
-    let other = Reading::new(&target("e3"), 50, false);
+    let first = DecodeGuard::new(&target("e1"), false);
+    let second = DecodeGuard::new(&target("e1"), false);
+    let other = PrefillGuard::new(&target("e3"), 50, false);
     let mut expected = vec![
         (short("e1"), writing(2)),
         (
             short("e3"),
             Load {
-                reading: 50,
+                prefill_work: 50,
                 prompts: 1,
                 ..Load::default()
             },
@@ -65,11 +65,11 @@
     assert_eq!(registry.busy().loads(), [(short("e1"), writing(1))]);
     drop(second);
     // it begins again before anybody has looked
-    let third = Writing::new(&target("e1"), false);
+    let third = DecodeGuard::new(&target("e1"), false);
     assert_eq!(registry.busy().loads(), [(short("e1"), writing(1))]);
     drop(third);
     assert_eq!(registry.busy().loads(), []);
-    let fourth = Writing::new(&target("e1"), false);
+    let fourth = DecodeGuard::new(&target("e1"), false);
     assert_eq!(registry.busy().loads(), [(short("e1"), writing(1))]);
     drop(fourth);
 }
@@ -77,9 +77,9 @@
 #[test]
 fn an_endpoint_that_has_left_still_counts_while_it_answers() {
     let registry = registry(&["e1"]);
-    let short = profile("e1").short();
+    let short = profile("e1").short_id();
     let target = registry.find(short).expect("listed");
-    let answer = Writing::new(&target, false);
+    let answer = DecodeGuard::new(&target, false);
     registry.apply(&[Change::Gone(target.id.clone())], false);
     assert_eq!(registry.busy().loads(), [(short, writing(1))]);
     drop(answer);
--- a/components/gateway/tests/registry.rs
+++ b/components/gateway/tests/registry.rs
@@ -4,7 +4,7 @@
 
 use gateway::{
     edge::Change,
-    endpoint::{Id, Load, Profile, Registry, Stage, State, Target, Writing, short},
+    endpoint::{DecodeGuard, Id, Load, Profile, Registry, Stage, State, Target, short_id},
 };
 
 /// Data centres over which the endpoints are spread.
@@ -33,7 +33,7 @@
 fn used(registry: &Registry) -> Vec<Id> {
     let fleet = registry.fleet("engines");
     fleet
-        .used()
+        .subset()
         .iter()
         .map(|target| target.id.clone())
         .collect()
@@ -50,9 +50,9 @@
     let registry = registry("g1", 3_000);
     let fleet = registry.fleet("engines");
     assert_eq!(fleet.targets().len(), 3_000);
-    assert_eq!(fleet.used().len(), 96);
+    assert_eq!(fleet.subset().len(), 96);
     let near = fleet
-        .used()
+        .subset()
         .iter()
         .filter(|target| target.with(|state| &*state.profile.data_centre == "a"));
     assert_eq!(near.count(), 64);
@@ -90,11 +90,11 @@
 fn endpoints_are_found_by_their_short_numbers() {
     let registry = registry("g1", 200);
     for target in registry.all().iter() {
-        let found = registry.find(target.short).expect("an endpoint");
+        let found = registry.find(target.short_id).expect("an endpoint");
         assert_eq!(found.id, target.id);
     }
     registry.apply(&[Change::Gone(Id(Arc::from("e0007")))], false);
-    assert!(registry.find(short("e0007")).is_none());
+    assert!(registry.find(short_id("e0007")).is_none());
 }
 
 /// The only endpoint, started then.
@@ -127,21 +127,24 @@
         state.memory = policy::memory::Memory::new(1_000);
         state.memory.used(&parts, 0);
         state.pace = Some(policy::learn::Pace::of_writer());
-        state.peers.writing = 5;
+        state.peer_load.decoding = 5;
     });
-    let _under_way = Writing::new(&former, false);
+    let _under_way = DecodeGuard::new(&former, false);
     registry.apply(&[started(Some(2_000))], false);
     let next = only(&registry);
     assert!(!Arc::ptr_eq(&former, &next));
     // what was under way there is over
-    former.ended().await;
+    former.terminated().await;
     next.with(|state| {
-        assert_eq!((state.own, state.peers), (Load::default(), Load::default()));
+        assert_eq!(
+            (state.own_load, state.peer_load),
+            (Load::default(), Load::default())
+        );
         assert_eq!((state.pace, state.memory.held(&parts)), (None, 0));
     });
     // peers that have not heard of it yet tell of the former one
-    assert_ne!(former.short, next.short);
-    assert!(registry.find(former.short).is_none());
+    assert_ne!(former.short_id, next.short_id);
+    assert!(registry.find(former.short_id).is_none());
 }
 
 #[test]
