--- a/components/gateway/src/connection/end.rs
+++ b/components/gateway/src/connection/close.rs
@@ -7,7 +7,7 @@
 
 /// Why a connection ended.
 #[derive(Clone, Debug, Display)]
-pub enum Reason {
+pub enum CloseReason {
     /// All that was asked for had been answered, or the caller had sent nothing.
     #[display("it was idle")]
     Idle,
@@ -25,9 +25,9 @@
     Process,
 }
 
-impl From<hyper::Result<()>> for Reason {
-    fn from(ended: hyper::Result<()>) -> Self {
-        match ended {
+impl From<hyper::Result<()>> for CloseReason {
+    fn from(result: hyper::Result<()>) -> Self {
+        match result {
             Ok(()) => Self::Idle,
             Err(error) if error.is_incomplete_message() => Self::Caller,
             Err(error) => Self::Failed(error.to_string()),
@@ -35,7 +35,7 @@
     }
 }
 
-impl Reason {
+impl CloseReason {
     /// A word for it, as a label of a metric.
     fn label(&self) -> &'static str {
         match self {
@@ -50,31 +50,31 @@
 
 /// Logs a request that is under way when its connection ends. Dropped before the connection, as the request goes
 /// with it.
-pub struct End<'a> {
+pub struct CloseLogger<'a> {
     gateway: &'a Gateway,
     exchange: &'a Exchange,
     /// Why the connection ended: with the process, unless something else is known.
-    pub reason: Reason,
+    pub reason: CloseReason,
 }
 
-impl<'a> End<'a> {
+impl<'a> CloseLogger<'a> {
     /// For a connection that has begun.
     pub fn new(gateway: &'a Gateway, exchange: &'a Exchange) -> Self {
         Self {
             gateway,
             exchange,
-            reason: Reason::Process,
+            reason: CloseReason::Process,
         }
     }
 }
 
-impl Drop for End<'_> {
+impl Drop for CloseLogger<'_> {
     fn drop(&mut self) {
         let Some(request) = self.exchange.under_way() else {
             return;
         };
         let reason = if std::thread::panicking() {
-            &Reason::Panicked
+            &CloseReason::Panicked
         } else {
             &self.reason
         };
--- a/components/gateway/src/connection/idle.rs
+++ b/components/gateway/src/connection/idle.rs
@@ -9,18 +9,18 @@
 ///
 /// The limits are those of the configuration in force when the time would be over, so that a limit that is raised reaches
 /// connections that are open already.
-pub async fn over(gateway: &Gateway, exchange: &Exchange) {
+pub async fn wait_for_timeout(gateway: &Gateway, exchange: &Exchange) {
     loop {
         let now = Instant::now();
-        let end = match exchange.wait() {
+        let timeout_at = match exchange.wait() {
             Wait::Idle(since) => since + gateway.idle_limit(since),
-            Wait::Head(since) => since + gateway.limits().head_time,
+            Wait::Head(since) => since + gateway.limits().header_timeout,
             // it is idle later than now at the earliest
             Wait::Request => now + gateway.idle_limit(now),
         };
-        if end <= now {
+        if timeout_at <= now {
             return;
         }
-        clock::sleep_until(end).await;
+        clock::sleep_until(timeout_at).await;
     }
 }
--- a/components/gateway/src/edge/mod.rs
+++ b/components/gateway/src/edge/mod.rs
@@ -21,16 +21,16 @@
 pub enum Failure {
     /// No connection was made: the call had no effect.
     #[display("the store was not reached")]
-    Unreached,
+    Unreachable,
     /// The store said that it did nothing.
     #[display("the store refused the call")]
     Refused,
     /// No answer came: the call may have had an effect, or may have one later.
     #[display("the store's answer was lost")]
-    Lost,
+    ResponseLost,
     /// An answer began and did not come whole: the call had its effect.
     #[display("of the store's answer only {bytes} bytes came")]
-    Partial {
+    Truncated {
         /// What came of its body, in bytes.
         bytes: usize,
     },
@@ -45,12 +45,12 @@
     },
     /// The answer could not be read.
     #[display("the store's answer could not be read")]
-    Garbled,
+    Malformed,
 }
 
 /// From where a table is read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum From {
+pub enum Cursor {
     /// All that there is now.
     Start,
     /// What changed after a revision; the store waits this long for a change.
@@ -62,10 +62,10 @@
     },
 }
 
-impl From {
+impl Cursor {
     /// The same without a wait at the store.
     #[must_use]
-    pub fn at_once(self) -> Self {
+    pub fn without_wait(self) -> Self {
         match self {
             Self::Start => Self::Start,
             Self::After { revision, .. } => Self::After {
@@ -82,7 +82,7 @@
     /// The revision up to which this tells everything; never goes back.
     pub revision: u64,
     /// The revision of the newest of the changes; zero if there are none.
-    pub changed: u64,
+    pub last_change: u64,
     /// What is there, or what changed, in the order of the changes.
     pub changes: Vec<T>,
 }
@@ -101,18 +101,18 @@
 /// The operators' lists: endpoints and the configuration.
 pub trait Directory: Send + Sync {
     /// Reads the endpoints.
-    fn endpoints(&self, from: From) -> BoxFuture<'_, Result<Update<Change>, Failure>>;
+    fn endpoints(&self, from: Cursor) -> BoxFuture<'_, Result<Update<Change>, Failure>>;
 
     /// Reads the configuration; the last of the changes is the one that counts.
     fn configuration(
         &self,
-        from: From,
+        from: Cursor,
     ) -> BoxFuture<'_, Result<Update<Arc<Configuration>>, Failure>>;
 }
 
 /// What a caller's head says beyond HTTP.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Ask {
+pub struct Metadata {
     /// The caller's name for this request; empty if there is none.
     pub id: String,
     /// How long the caller will wait, counted from when it sent the request.
@@ -125,7 +125,7 @@
 
 /// A prompt's KV cache that an engine keeps for another engine to fetch, once.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Handle {
+pub struct KvHandle {
     /// The engine that keeps it.
     pub address: SocketAddr,
     /// Its name there.
@@ -136,9 +136,9 @@
 
 /// An answer that was stopped to go on elsewhere.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Relocated {
+pub struct Migration {
     /// Its memory.
-    pub handle: Handle,
+    pub handle: KvHandle,
     /// Whether the other engine has the copy; otherwise it can only go on where it stopped.
     pub copied: bool,
 }
@@ -147,24 +147,24 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Directive {
     /// How long the endpoint may work on it.
-    pub time_left: Duration,
+    pub timeout: Duration,
     /// The endpoint that is meant; any other one refuses.
-    pub expect: Option<Id>,
+    pub expected_endpoint: Option<Id>,
     /// Only read the prompt and keep its KV cache.
-    pub read_only: bool,
+    pub prefill_only: bool,
     /// Where the KV cache of the prompt is to be fetched.
-    pub handle: Option<Handle>,
+    pub handle: Option<KvHandle>,
     /// Another engine that holds parts of the prompt which this one may lack.
     pub fetch_from: Option<SocketAddr>,
     /// The urgency on the endpoint; none leaves it to the endpoint.
-    pub urgency: Option<Urgency>,
+    pub priority: Option<Priority>,
     /// Go on after this event.
     pub resume_after: Option<u64>,
 }
 
 /// How urgent an attempt is to an engine, which admits the more urgent ones first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Urgency {
+pub enum Priority {
     /// Before all others.
     High,
     /// As most.
@@ -177,61 +177,66 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reply {
     /// Whether the answer belongs to the request that was sent.
-    pub ours: bool,
+    pub matches_request: bool,
     /// Whether the endpoint says that it did not run the request.
     pub not_run: bool,
     /// Whether the endpoint signed it as its own.
     pub signed: bool,
     /// How long the endpoint keeps an idle connection, if it says so.
-    pub keeps: Option<Duration>,
+    pub keep_alive: Option<Duration>,
 }
 
 /// How callers and endpoints put into HTTP what HTTP has no words for.
 pub trait Dialect: Send + Sync {
     /// Reads a caller's head.
-    fn ask(&self, head: &request::Parts) -> Ask;
+    fn parse_request(&self, head: &request::Parts) -> Metadata;
 
     /// The headers of a caller that go on to an endpoint: those of the message, without what only
     /// the system may set.
-    fn pass_on(&self, headers: &HeaderMap) -> HeaderMap;
+    fn forwarded_headers(&self, headers: &HeaderMap) -> HeaderMap;
 
     /// Adds what an attempt tells its endpoint.
-    fn direct(&self, directive: &Directive, headers: &mut HeaderMap);
+    fn apply_directive(&self, directive: &Directive, headers: &mut HeaderMap);
 
     /// Reads the head of an endpoint's answer to the request with this id.
-    fn reply(&self, id: &str, head: &response::Parts) -> Reply;
+    fn parse_reply(&self, id: &str, head: &response::Parts) -> Reply;
 
     /// Reads the answer to an attempt that only reads the prompt.
-    fn handle(&self, engine: SocketAddr, body: &[u8]) -> Option<Handle>;
+    fn parse_handle(&self, engine: SocketAddr, body: &[u8]) -> Option<KvHandle>;
 
     /// The call that gives a handle back which nobody will fetch.
-    fn release(&self, handle: &Handle) -> Call;
+    fn release_call(&self, handle: &KvHandle) -> Call;
 
     /// The call, to the engine that writes an answer, which stops it there and copies its memory to
     /// another engine.
-    fn relocation(&self, id: &str, to: SocketAddr) -> Call;
+    fn migration_call(&self, id: &str, to: SocketAddr) -> Call;
 
     /// Reads the answer to a relocation: the handle under which the answer goes on, where it stopped
     /// or at the other engine; none if it has not stopped.
-    fn relocated(&self, from: SocketAddr, status: StatusCode, body: &[u8]) -> Option<Relocated>;
+    fn parse_migration(
+        &self,
+        from: SocketAddr,
+        status: StatusCode,
+        body: &[u8],
+    ) -> Option<Migration>;
 
     /// The call that orders a stage.
-    fn order(&self, order: &Order) -> Call;
+    fn order_call(&self, order: &Order) -> Call;
 
     /// Reads the answer to an order.
-    fn ordered(&self, status: StatusCode) -> Ordered;
+    fn parse_order_reply(&self, status: StatusCode) -> OrderOutcome;
 
     /// The call that asks an engine how it is.
-    fn inquiry(&self) -> Call;
+    fn report_call(&self) -> Call;
 
     /// Reads an engine's answer to an inquiry.
-    fn report(&self, body: &[u8]) -> Option<Report>;
+    fn parse_report(&self, body: &[u8]) -> Option<Report>;
 
     /// The call that asks an engine which parts of prompts it holds.
-    fn listing(&self) -> Call;
+    fn kv_list_call(&self) -> Call;
 
     /// Reads an engine's answer to a listing: the parts in no order, under the keys that callers' prompts have.
-    fn held(&self, body: &[u8]) -> Option<Vec<prompt::Part>>;
+    fn parse_kv_list(&self, body: &[u8]) -> Option<Vec<prompt::Part>>;
 }
 
 /// What an engine says of itself, some hundred milliseconds late.
@@ -240,9 +245,9 @@
     /// Its stage.
     pub stage: Stage,
     /// Whether an order is in progress.
-    pub busy: bool,
+    pub order_in_progress: bool,
     /// How many orders it has accepted since it started.
-    pub orders: u64,
+    pub accepted_orders: u64,
     /// When it was started, see [`Profile::started`].
     pub started: Option<u64>,
 }
@@ -270,15 +275,15 @@
     /// Who gives the order.
     pub holder: String,
     /// The holder's fencing token.
-    pub token: u64,
+    pub fencing_token: u64,
     /// How many orders the engine has accepted so far; with another count it refuses.
-    pub after: u64,
+    pub accepted_orders: u64,
 }
 
 /// What an engine said to an order.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 #[display(rename_all = "kebab-case")]
-pub enum Ordered {
+pub enum OrderOutcome {
     /// It is being carried out.
     Accepted,
     /// It holds already.
--- a/components/gateway/src/endpoint/runs.rs
+++ b/components/gateway/src/endpoint/runs.rs
@@ -6,7 +6,7 @@
 use clock::Instant;
 
 use super::Target;
-use crate::request::Content;
+use crate::request::Fingerprint;
 
 /// How long a request that was given up on may still be what ends its endpoint: an engine notices late that nobody
 /// waits any more.
@@ -28,7 +28,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Unanswered {
-    content: Content,
+    content: Fingerprint,
     left: Left,
     at: Instant,
 }
@@ -46,7 +46,7 @@
 /// Requests under way at an endpoint, and those that lately got no answer.
 #[derive(Debug, Default)]
 pub struct Runs {
-    under_way: Vec<(u64, Content)>,
+    under_way: Vec<(u64, Fingerprint)>,
     /// The oldest first.
     unanswered: VecDeque<Unanswered>,
     /// Requests so far.
@@ -54,13 +54,13 @@
 }
 
 impl Runs {
-    fn begin(&mut self, content: Content) -> u64 {
+    fn begin(&mut self, content: Fingerprint) -> u64 {
         self.count += 1;
         self.under_way.push((self.count, content));
         self.count
     }
 
-    fn end(&mut self, number: u64) -> Option<Content> {
+    fn end(&mut self, number: u64) -> Option<Fingerprint> {
         let at = self.under_way.iter().position(|(run, _)| *run == number)?;
         Some(self.under_way.swap_remove(at).1)
     }
@@ -78,22 +78,22 @@
     }
 
     /// Takes what was under way when the endpoint ended just now, sorted.
-    pub fn take(&mut self, now: Instant) -> Vec<Content> {
+    pub fn take(&mut self, now: Instant) -> Vec<Fingerprint> {
         let unanswered = self.unanswered.drain(..).filter(|run| !run.is_old(now));
         let under_way = self.under_way.drain(..).map(|(_, content)| content);
         sorted(unanswered.map(|run| run.content).chain(under_way))
     }
 
     /// Takes what the endpoint broke off lately, sorted.
-    pub fn take_broken(&mut self, now: Instant) -> Vec<Content> {
+    pub fn take_broken(&mut self, now: Instant) -> Vec<Fingerprint> {
         let broken = |run: &Unanswered| run.left == Left::Broken && !run.is_old(now);
         let unanswered = self.unanswered.drain(..).filter(broken);
         sorted(unanswered.map(|run| run.content))
     }
 }
 
-fn sorted(contents: impl Iterator<Item = Content>) -> Vec<Content> {
-    let mut contents: Vec<Content> = contents.collect();
+fn sorted(contents: impl Iterator<Item = Fingerprint>) -> Vec<Fingerprint> {
+    let mut contents: Vec<Fingerprint> = contents.collect();
     contents.sort_unstable();
     contents.dedup();
     contents
@@ -110,7 +110,7 @@
 impl Run {
     /// Notes a request that is about to be sent to an endpoint, and whether other endpoints have ended under it.
     #[must_use]
-    pub fn new(target: &Arc<Target>, content: Content, suspect: bool) -> Self {
+    pub fn new(target: &Arc<Target>, content: Fingerprint, suspect: bool) -> Self {
         target.begin(|own| own.suspects += u64::from(suspect));
         Self {
             target: Arc::clone(target),
--- a/components/gateway/src/endpoint/target.rs
+++ b/components/gateway/src/endpoint/target.rs
@@ -17,7 +17,7 @@
     Busy, Health, Id, Link, Load, NotOpened, Profile, Runs, Stage, State, Verdict,
     link::{self, Idle},
 };
-use crate::request::Content;
+use crate::request::Fingerprint;
 
 /// How long it is taken to be known whether an endpoint still listens: its connections break within some milliseconds
 /// of each other when it ends.
@@ -403,7 +403,7 @@
     /// Takes what was under way there lately if it no longer listens; nothing if it does, if it is leaving anyway, or
     /// if that has been found out since `broke`. An endpoint that resets connections still takes new ones, one that
     /// has ended refuses them.
-    pub async fn take_if_ended(&self, broke: Instant) -> Vec<Content> {
+    pub async fn take_if_ended(&self, broke: Instant) -> Vec<Fingerprint> {
         let _checking = self.checking.lock().await;
         let (address, due) = self.with(|state| {
             let stays = state.listed && state.profile.state == State::Ready;
--- a/components/gateway/src/peer/suspects.rs
+++ b/components/gateway/src/peer/suspects.rs
@@ -5,14 +5,14 @@
 
 use crate::{
     process::{Gateway, Source},
-    request::Content,
+    request::Fingerprint,
 };
 
 /// Microseconds in a millisecond.
 const MILLI: Moment = 1_000;
 
 /// The message for a request.
-pub(super) fn encode(content: Content, record: &Record, now: Moment) -> Suspect {
+pub(super) fn encode(content: Fingerprint, record: &Record, now: Moment) -> Suspect {
     let ends = record.ends.iter().map(|end| EndpointEnd {
         endpoint: end.endpoint,
         ago_ms: age_ms(end.at, now),
--- a/components/gateway/src/process/backoff.rs
+++ b/components/gateway/src/process/backoff.rs
@@ -5,7 +5,7 @@
 use clock::Instant;
 
 use super::Gateway;
-use crate::edge::From;
+use crate::edge::Cursor;
 
 /// How long the store may wait for a change before it answers that there is none.
 ///
@@ -15,10 +15,10 @@
 const WAIT: Duration = Duration::from_millis(2_200);
 
 /// How a list is read next.
-pub fn next(revision: u64, answered: bool) -> From {
+pub fn next(revision: u64, answered: bool) -> Cursor {
     // a store that failed is asked for a plain answer until it gives one
     let wait = if answered { WAIT } else { Duration::ZERO };
-    From::After { revision, wait }
+    Cursor::After { revision, wait }
 }
 
 /// A pause between two tries of a call that failed; each is twice the one before it.
--- a/components/gateway/src/process/configuration.rs
+++ b/components/gateway/src/process/configuration.rs
@@ -11,20 +11,20 @@
     next,
 };
 use crate::{
-    edge::{Failure, From, Update},
+    edge::{Cursor, Failure, Update},
     version::Configuration,
 };
 
 /// Follows the configuration as long as the process lives.
 pub async fn keep(gateway: Arc<Gateway>) {
-    let mut from = From::Start;
+    let mut from = Cursor::Start;
     let mut backoff = Backoff::default();
     let mut tries = Tries::default();
     let mut wait = Wait::new(List::Configuration);
     loop {
         match wait.look(&gateway, from) {
             Turn::Read => {}
-            Turn::CatchUp => from = from.at_once(),
+            Turn::CatchUp => from = from.without_wait(),
             Turn::Rest => {
                 clock::sleep(Wait::pause()).await;
                 continue;
@@ -42,11 +42,11 @@
             }
             Err(Failure::HistoryGone) => {
                 log::warn!(table = "configuration"; "the store no longer has the history; reading everything");
-                from = From::Start;
+                from = Cursor::Start;
             }
             Err(failure) => {
                 tries.fail(&gateway, failure, begun.elapsed());
-                if let From::After { revision, .. } = from {
+                if let Cursor::After { revision, .. } = from {
                     from = next(revision, false);
                 }
                 let pause = backoff.pause(&gateway);
@@ -73,7 +73,9 @@
             took_ms = millis(took); "read a configuration"
         );
     }
-    gateway.changed.note(List::Configuration, update.changed);
+    gateway
+        .changed
+        .note(List::Configuration, update.last_change);
 }
 
 /// Calls that failed since the store last answered.
--- a/components/gateway/src/process/endpoints.rs
+++ b/components/gateway/src/process/endpoints.rs
@@ -11,7 +11,7 @@
     next,
 };
 use crate::{
-    edge::{Change, Failure, From, Update},
+    edge::{Change, Cursor, Failure, Update},
     endpoint::Target,
     peer::Advertised,
 };
@@ -20,7 +20,7 @@
 pub async fn keep(gateway: Arc<Gateway>) {
     let mut list = List {
         gateway,
-        from: From::Start,
+        from: Cursor::Start,
         whole_at: 0,
         known: 0,
         lost: false,
@@ -31,7 +31,7 @@
     loop {
         match wait.look(&list.gateway, list.from) {
             Turn::Read => {}
-            Turn::CatchUp => list.from = list.from.at_once(),
+            Turn::CatchUp => list.from = list.from.without_wait(),
             Turn::Rest => {
                 list.follow(Wait::pause()).await;
                 continue;
@@ -47,7 +47,7 @@
             }
             Err(Failure::HistoryGone) => {
                 log::warn!(table = "endpoints"; "the store no longer has the history; reading everything");
-                list.from = From::Start;
+                list.from = Cursor::Start;
             }
             Err(failure) => {
                 list.lose(failure);
@@ -62,7 +62,7 @@
 
 struct List {
     gateway: Arc<Gateway>,
-    from: From,
+    from: Cursor,
     /// The revision of the last read of the whole list.
     whole_at: u64,
     /// The last change that was known when the read under way began.
@@ -110,7 +110,7 @@
     /// Takes changes that a peer has read, if they follow on what is known and aren't known yet.
     fn take_advertised(&mut self, advertised: Advertised) {
         match self.from {
-            From::After { revision, .. }
+            Cursor::After { revision, .. }
                 if advertised.after <= revision && revision < advertised.to =>
             {
                 self.apply(advertised.changes, false, advertised.after_outage);
@@ -119,7 +119,7 @@
                 self.from = next(advertised.to, !self.lost);
             }
             // what is missing in between is read at the store
-            From::Start | From::After { .. } => {}
+            Cursor::Start | Cursor::After { .. } => {}
         }
     }
 
@@ -129,7 +129,7 @@
         }
         self.lost = true;
         self.gateway.note_store(false);
-        if let From::After { revision, .. } = self.from {
+        if let Cursor::After { revision, .. } = self.from {
             self.from = next(revision, false);
         }
     }
@@ -137,10 +137,10 @@
     fn take(&mut self, update: Update<Change>) {
         match self.from {
             // peers have advertised of later changes meanwhile
-            From::After { revision, .. } if update.revision < revision => return,
-            From::Start | From::After { .. } => {}
+            Cursor::After { revision, .. } if update.revision < revision => return,
+            Cursor::Start | Cursor::After { .. } => {}
         }
-        let whole = self.from == From::Start;
+        let whole = self.from == Cursor::Start;
         let returned = std::mem::take(&mut self.lost);
         self.gateway.note_store(true);
         if returned {
@@ -160,16 +160,16 @@
         }
         match (whole, before) {
             // peers that start have read it themselves
-            (true, 0) => changed.note(Listed::Endpoints, update.changed),
+            (true, 0) => changed.note(Listed::Endpoints, update.last_change),
             // what went meanwhile has left no change behind
             (true, _) => changed.note(Listed::Endpoints, update.revision),
             (false, _) if update.changes.is_empty() => {}
             (false, _) => {
-                changed.note(Listed::Endpoints, update.changed);
+                changed.note(Listed::Endpoints, update.last_change);
                 self.gateway.peers.advertise(&Advertised {
                     // what went before a whole read has left no change behind
                     after: before.max(self.whole_at),
-                    to: update.changed,
+                    to: update.last_change,
                     after_outage,
                     changes: update.changes.clone(),
                 });
--- a/components/gateway/src/process/ends.rs
+++ b/components/gateway/src/process/ends.rs
@@ -5,7 +5,7 @@
 use clock::Instant;
 
 use super::Gateway;
-use crate::{endpoint::Target, request::Content};
+use crate::{endpoint::Target, request::Fingerprint};
 
 /// The most requests that a line of the log names: as many as an engine of the first deployments runs at once.
 const MOST_NAMED: usize = 48;
@@ -23,7 +23,7 @@
         self.note_end(target, &contents, "it is no longer listed", "");
     }
 
-    fn note_end(&self, target: &Target, contents: &[Content], evidence: &str, request: &str) {
+    fn note_end(&self, target: &Target, contents: &[Fingerprint], evidence: &str, request: &str) {
         if contents.is_empty() {
             return;
         }
@@ -38,7 +38,7 @@
     }
 }
 
-fn names(contents: &[Content]) -> String {
+fn names(contents: &[Fingerprint]) -> String {
     let named = contents.iter().take(MOST_NAMED);
     let named: Vec<String> = named.map(ToString::to_string).collect();
     named.join(" ")
--- a/components/gateway/src/process/follow.rs
+++ b/components/gateway/src/process/follow.rs
@@ -12,7 +12,7 @@
 use clock::Instant;
 
 use super::Gateway;
-use crate::{edge::From, peer::Reader};
+use crate::{edge::Cursor, peer::Reader};
 
 /// Gateways that read the lists, at least: one may fail without anything becoming older. One of them is in
 /// the own data centre, so that it knows of changes also when it is cut off.
@@ -118,10 +118,10 @@
     }
 
     /// Looks at what was told; `from` is how far the list was read.
-    pub fn look(&mut self, gateway: &Gateway, from: From) -> Turn {
+    pub fn look(&mut self, gateway: &Gateway, from: Cursor) -> Turn {
         let revision = match from {
-            From::Start => return Turn::Read,
-            From::After { revision, .. } => revision,
+            Cursor::Start => return Turn::Read,
+            Cursor::After { revision, .. } => revision,
         };
         let readers = readers(gateway);
         if too_few(&readers) {
--- a/components/gateway/src/process/ledger.rs
+++ b/components/gateway/src/process/ledger.rs
@@ -12,7 +12,7 @@
 use super::Gateway;
 use crate::{
     endpoint::{Common, Paces, Stage, Target},
-    request::Line,
+    request::Queue,
 };
 
 /// Nanoseconds in a microsecond.
@@ -64,7 +64,7 @@
     /// microseconds.
     bearable: f64,
     /// Requests that wait for room.
-    line: Arc<Line>,
+    line: Arc<Queue>,
 }
 
 impl Ledger {
@@ -229,7 +229,7 @@
     }
 
     /// The requests of a service that wait for room.
-    pub fn line(&self, service: &Arc<str>) -> Arc<Line> {
+    pub fn line(&self, service: &Arc<str>) -> Arc<Queue> {
         self.with_ledger(service, |ledger| Arc::clone(&ledger.line))
     }
 
@@ -246,7 +246,7 @@
             .and_then(|version| version.service(service)?.engines.as_ref());
         Common {
             paces: self.paces(service),
-            memory_tokens: engines.map_or(0, |engines| engines.memory_tokens),
+            memory_tokens: engines.map_or(0, |engines| engines.kv_capacity_tokens),
         }
     }
 
--- a/components/gateway/src/process/mod.rs
+++ b/components/gateway/src/process/mod.rs
@@ -98,7 +98,7 @@
     /// When a planned stop ends, if one has begun.
     stop: RwLock<Option<Stop>>,
     configuration: RwLock<Option<Arc<Configuration>>>,
-    idle_limits: idle::Limits,
+    idle_limits: idle::History,
     /// Whether the endpoints were read once.
     endpoints_read: watch::Sender<bool>,
     /// Since when the store has answered each call of this process; none if it failed the last one.
@@ -134,7 +134,7 @@
             .is_none_or(|current| current.version < version.version);
         if newer {
             self.idle_limits
-                .adopt(Instant::now(), version.limits.idle_time);
+                .record(Instant::now(), version.limits.idle_timeout);
             *current = Some(version);
         }
         newer
@@ -146,7 +146,7 @@
         let unknown = self.bounds.read().configuration_ms;
         let since = since.checked_sub(unknown).unwrap_or(since);
         let longest = self.idle_limits.longest_since(since);
-        longest.unwrap_or_else(|| Limits::default().idle_time)
+        longest.unwrap_or_else(|| Limits::default().idle_timeout)
     }
 
     /// Whether the store answered this process's last call.
@@ -312,7 +312,7 @@
         under_way: watch::Sender::new(0),
         stop: RwLock::default(),
         configuration: RwLock::default(),
-        idle_limits: idle::Limits::default(),
+        idle_limits: idle::History::default(),
         endpoints_read: watch::Sender::new(false),
         answered_since: Mutex::default(),
         changed: Changed::default(),
--- a/components/gateway/src/process/suspects.rs
+++ b/components/gateway/src/process/suspects.rs
@@ -13,7 +13,7 @@
 use tokio::sync::Notify;
 
 use super::Gateway;
-use crate::request::Content;
+use crate::request::Fingerprint;
 
 /// Peers are told again of a request this often: a datagram may be lost, and a peer may start or have been cut off.
 const AGAIN: Duration = Duration::from_secs(1);
@@ -48,7 +48,7 @@
     any: AtomicBool,
     news: Mutex<News>,
     /// Requests that are withheld and that this process puts into the store, until it has.
-    withheld: Mutex<Vec<Content>>,
+    withheld: Mutex<Vec<Fingerprint>>,
     /// Notified when there is one more.
     withheld_more: Notify,
     /// Whether the requests that the store keeps have been read.
@@ -67,7 +67,7 @@
     }
 
     /// Waits for a withheld request that this process puts into the store.
-    pub async fn newly_withheld(&self) -> Content {
+    pub async fn newly_withheld(&self) -> Fingerprint {
         loop {
             let more = self.withheld_more.notified();
             if let Some(content) = self.withheld.lock().pop() {
@@ -81,42 +81,42 @@
 #[derive(Debug, Default)]
 struct News {
     /// What peers have not been told yet.
-    records: Vec<(Content, Record)>,
+    records: Vec<(Fingerprint, Record)>,
     /// When they were last told again.
     told: Option<Instant>,
 }
 
 impl Gateway {
     /// Whether an endpoint ended under a request since it was last served.
-    pub fn is_suspect(&self, content: Content) -> bool {
+    pub fn is_suspect(&self, content: Fingerprint) -> bool {
         self.suspect(content)
             .is_some_and(|record| !record.ends.is_empty())
     }
 
     /// For how much longer a request gets to no endpoint; none if it may.
-    pub fn withheld(&self, content: Content) -> Option<Duration> {
+    pub fn withheld(&self, content: Fingerprint) -> Option<Duration> {
         let left = self.suspect(content)?.withheld(self.moment())?;
         u64::try_from(left).ok().map(Duration::from_micros)
     }
 
     /// What is known of a request that endpoints ended under.
-    pub fn suspect(&self, content: Content) -> Option<Record> {
+    pub fn suspect(&self, content: Fingerprint) -> Option<Record> {
         let any = self.suspects.any.load(Ordering::Relaxed);
         any.then(|| self.suspects.known.lock().get(content.into()).cloned())
             .flatten()
     }
 
     /// All requests that endpoints ended under.
-    pub fn all_suspects(&self) -> Vec<(Content, Record)> {
+    pub fn all_suspects(&self) -> Vec<(Fingerprint, Record)> {
         let known = self.suspects.known.lock();
         let records = known.records().iter();
         records
-            .map(|(content, record)| (Content::from(*content), record.clone()))
+            .map(|(content, record)| (Fingerprint::from(*content), record.clone()))
             .collect()
     }
 
     /// Suspects all requests that were under way at an endpoint that ended.
-    pub fn suspect_all(&self, endpoint: u32, contents: &[Content]) {
+    pub fn suspect_all(&self, endpoint: u32, contents: &[Fingerprint]) {
         let at = self.moment();
         for content in contents {
             let record = Record {
@@ -128,7 +128,7 @@
     }
 
     /// Notes that a request was served.
-    pub fn note_served(&self, content: Content) {
+    pub fn note_served(&self, content: Fingerprint) {
         if self.is_suspect(content) {
             let record = Record {
                 ends: Vec::new(),
@@ -139,7 +139,7 @@
     }
 
     /// Takes what this process saw itself.
-    fn learn_suspect(&self, content: Content, record: &Record) {
+    fn learn_suspect(&self, content: Fingerprint, record: &Record) {
         if self.add_suspect(content, record, Source::Own) {
             let known = self.suspect(content).unwrap_or_default();
             self.suspects.news.lock().records.push((content, known));
@@ -147,7 +147,7 @@
     }
 
     /// Takes what is known of a request, and says whether it is news.
-    pub fn add_suspect(&self, content: Content, record: &Record, source: Source) -> bool {
+    pub fn add_suspect(&self, content: Fingerprint, record: &Record, source: Source) -> bool {
         let now = self.moment();
         let before = self.withheld(content).is_some();
         let news = {
@@ -174,7 +174,7 @@
 
     /// Has a request that is withheld from now on put into the store, if that falls to this process: it saw the last
     /// endpoint end, or is one of those that do so where several saw one each.
-    fn keep_withheld(&self, content: Content, source: Source) {
+    fn keep_withheld(&self, content: Fingerprint, source: Source) {
         let keeps = match source {
             Source::Own => true,
             Source::Peer(_) => self.peers.place(self.settings.gateway.peers) < KEEPERS,
@@ -195,7 +195,7 @@
     }
 
     /// What peers are to be told now.
-    pub fn suspects_to_tell(&self) -> Vec<(Content, Record)> {
+    pub fn suspects_to_tell(&self) -> Vec<(Fingerprint, Record)> {
         let mut news = self.suspects.news.lock();
         let mut records = std::mem::take(&mut news.records);
         if news.told.is_none_or(|told| told.elapsed() >= AGAIN) {
@@ -205,7 +205,7 @@
         records
     }
 
-    fn suspects_to_repeat(&self) -> Vec<(Content, Record)> {
+    fn suspects_to_repeat(&self) -> Vec<(Fingerprint, Record)> {
         if !self.suspects.any.load(Ordering::Relaxed) {
             return Vec::new();
         }
--- a/components/gateway/src/process/withheld.rs
+++ b/components/gateway/src/process/withheld.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::{Gateway, Source};
-use crate::request::Content;
+use crate::request::Fingerprint;
 
 /// Rows of withheld requests begin so.
 const PREFIX: &str = "withheld/";
@@ -71,7 +71,7 @@
 
 /// Reads all rows, and takes what they say. Gives their requests; none if the store did not answer. A store that fails
 /// other calls is not asked: in an outage all gateways would.
-async fn read(gateway: &Gateway) -> Option<Vec<Content>> {
+async fn read(gateway: &Gateway) -> Option<Vec<Fingerprint>> {
     if !gateway.peers.are_registered() || !gateway.store_answers() {
         return None;
     }
@@ -107,7 +107,7 @@
 }
 
 /// Writes a request's row, as soon as the store answers.
-async fn write(gateway: &Gateway, content: Content) {
+async fn write(gateway: &Gateway, content: Fingerprint) {
     while let Some(record) = gateway.suspect(content) {
         if !gateway.store_answers() {
             clock::sleep(AGAIN).await;
@@ -129,7 +129,7 @@
 }
 
 /// Removes rows; those that stay are removed by a process that starts later.
-async fn remove(gateway: &Gateway, contents: &[Content]) {
+async fn remove(gateway: &Gateway, contents: &[Fingerprint]) {
     for content in contents {
         let transaction = Transaction::default().remove(&key(*content));
         let outcome = gateway.edges.table.commit(transaction).await;
@@ -176,11 +176,11 @@
     })
 }
 
-fn key(content: Content) -> String {
+fn key(content: Fingerprint) -> String {
     format!("{PREFIX}{content}")
 }
 
-fn content(key: &str) -> Option<Content> {
+fn content(key: &str) -> Option<Fingerprint> {
     let number = key.strip_prefix(PREFIX)?;
-    u64::from_str_radix(number, 16).ok().map(Content::from)
+    u64::from_str_radix(number, 16).ok().map(Fingerprint::from)
 }
--- a/components/gateway/src/request/attempt.rs
+++ b/components/gateway/src/request/attempt.rs
@@ -37,12 +37,12 @@
     /// # Errors
     ///
     /// [`Cause::Failed`] if the endpoint failed it: its words must not follow the other one's events.
-    pub fn continuing(self) -> Result<Self, Cause> {
+    pub fn into_continuation(self) -> Result<Self, Cause> {
         match self.head.status {
             status if status.is_success() => Ok(self),
             status => {
                 self.run.answered();
-                Err(Cause::Failed(status.as_u16()))
+                Err(Cause::ErrorStatus(status.as_u16()))
             }
         }
     }
@@ -59,34 +59,34 @@
     NotSent,
     /// A prompt was read, but no engine has room to write the answer.
     #[display("no engine has room to write the answer")]
-    NoWriter,
+    NoDecodeCapacity,
     /// The budget of repeats is used up.
     #[display("the budget of repeats is used up")]
-    NoBudget,
+    RetryBudgetExhausted,
     /// Too many endpoints have ended under the request.
     #[display("endpoints have ended under the request")]
     Withheld,
     /// An engine could not fetch the KV cache of the prompt from the engine that had read it.
     #[display("the prompt's KV cache could not be fetched")]
-    NoHandle,
+    KvFetchFailed,
     /// A late prompt was still giving way to others when the time was over.
     #[display("other prompts went first until the time was over")]
-    GaveWay,
+    Starved,
     /// The endpoint said that it did not run it.
     #[display("the endpoint did not run it, status {_0}")]
     NotRun(u16),
     /// The connection broke before the answer's head came.
     #[display("the connection broke")]
-    Broken,
+    ConnectionBroken,
     /// The answer belongs to another request, or is none at all.
     #[display("the answer belongs to another request")]
-    Foreign,
+    ForeignResponse,
     /// The time was over.
     #[display("the time was over")]
-    TimeOver,
+    TimedOut,
     /// The endpoint failed the request with this status.
     #[display("the endpoint failed it, status {_0}")]
-    Failed(u16),
+    ErrorStatus(u16),
 }
 
 impl Cause {
@@ -96,10 +96,10 @@
             self,
             Self::NotOpened(_)
                 | Self::NotSent
-                | Self::NoWriter
-                | Self::NoBudget
+                | Self::NoDecodeCapacity
+                | Self::RetryBudgetExhausted
                 | Self::Withheld
-                | Self::NoHandle
+                | Self::KvFetchFailed
                 | Self::NotRun(_)
         )
     }
@@ -109,52 +109,54 @@
         match self {
             Self::NotOpened(_) => "not-opened",
             Self::NotSent => "not-sent",
-            Self::NoWriter => "no-writer",
-            Self::NoBudget => "no-budget",
+            Self::NoDecodeCapacity => "no-writer",
+            Self::RetryBudgetExhausted => "no-budget",
             Self::Withheld => "withheld",
-            Self::NoHandle => "no-handle",
-            Self::GaveWay => "gave-way",
+            Self::KvFetchFailed => "no-handle",
+            Self::Starved => "gave-way",
             Self::NotRun(_) => "not-run",
-            Self::Broken => "broken",
-            Self::Foreign => "foreign",
-            Self::TimeOver => "time-over",
-            Self::Failed(_) => "failed",
+            Self::ConnectionBroken => "broken",
+            Self::ForeignResponse => "foreign",
+            Self::TimedOut => "time-over",
+            Self::ErrorStatus(_) => "failed",
         }
     }
 
     /// What it tells of the endpoint, if it tells anything.
     pub fn verdict(self) -> Option<Verdict> {
         match self {
-            Self::NotOpened(NotOpened::Silent | NotOpened::Refused) | Self::TimeOver => {
+            Self::NotOpened(NotOpened::Silent | NotOpened::Refused) | Self::TimedOut => {
                 Some(Verdict::Silent)
             }
             Self::NotRun(_) => Some(Verdict::Refused),
-            Self::Broken | Self::Foreign | Self::Failed(_) => Some(Verdict::Failed),
+            Self::ConnectionBroken | Self::ForeignResponse | Self::ErrorStatus(_) => {
+                Some(Verdict::Failed)
+            }
             Self::NotOpened(NotOpened::Full)
             | Self::NotSent
-            | Self::NoWriter
-            | Self::NoBudget
+            | Self::NoDecodeCapacity
+            | Self::RetryBudgetExhausted
             | Self::Withheld
-            | Self::NoHandle
-            | Self::GaveWay => None,
+            | Self::KvFetchFailed
+            | Self::Starved => None,
         }
     }
 }
 
 /// A request that may not run twice goes only on a connection that was used this lately: one that was
 /// idle for longer may have been dropped by its endpoint, and then nobody knows whether it ran.
-const FRESH: Duration = Duration::from_millis(900);
+const MAX_IDLE_ONCE: Duration = Duration::from_millis(900);
 /// Others may take any idle connection.
-const ANY: Duration = Duration::from_secs(3600);
+const MAX_IDLE_RETRYABLE: Duration = Duration::from_secs(3600);
 
 /// What an endpoint that has started again had sent before may still come within this time: several times the way
 /// between two data centres.
-pub const GRACE: Duration = Duration::from_millis(50);
+pub const LATE_DATA_GRACE: Duration = Duration::from_millis(50);
 
 /// Waits until nothing more can come from an incarnation of an endpoint.
-pub async fn ended(target: &Target) {
+pub async fn wait_for_termination(target: &Target) {
     target.ended().await;
-    clock::sleep(GRACE).await;
+    clock::sleep(LATE_DATA_GRACE).await;
 }
 
 /// Sends a request to an endpoint and waits for the head of the answer.
@@ -164,33 +166,37 @@
     directive: &Directive,
     timeout: Timeout<'_>,
 ) -> Result<Answer, Cause> {
-    if job.gateway.withheld(job.content).is_some() {
+    if job.gateway.withheld(job.fingerprint).is_some() {
         return Err(Cause::Withheld);
     }
-    let fresh = if job.route.kind.repeats() { ANY } else { FRESH };
+    let max_idle = if job.route.kind.is_retryable() {
+        MAX_IDLE_RETRYABLE
+    } else {
+        MAX_IDLE_ONCE
+    };
     let mut link = target
-        .connect(fresh, job.most_links())
+        .connect(max_idle, job.max_connections())
         .await
         .map_err(Cause::NotOpened)?;
-    let phase = if directive.read_only {
+    let phase = if directive.prefill_only {
         Phase::Read
     } else {
         Phase::Run
     };
-    if !job.arrivals.begin(job, phase) {
+    if !job.arrivals.record(job, phase) {
         target.give_back(link);
-        return Err(Cause::NoBudget);
+        return Err(Cause::RetryBudgetExhausted);
     }
-    let request = request(job, directive);
-    let suspect = job.gateway.is_suspect(job.content);
-    let run = Run::new(target, job.content, suspect);
+    let request = build_request(job, directive);
+    let suspect = job.gateway.is_suspect(job.fingerprint);
+    let run = Run::new(target, job.fingerprint, suspect);
     let runs = phase == Phase::Run;
     job.open.passed_on(&target.id.0, runs);
     let sending = link.sender().try_send_request(request);
     let answered = tokio::select! {
         answered = sending => answered,
-        () = timeout.over(job, target) => return Err(Cause::TimeOver),
-        () = ended(target) => return Err(Cause::Broken),
+        () = timeout.wait(job, target) => return Err(Cause::TimedOut),
+        () = wait_for_termination(target) => return Err(Cause::ConnectionBroken),
     };
     let response = match answered {
         Ok(response) => response,
@@ -199,28 +205,32 @@
                 // the connection had closed before a byte was written
                 Some(_) => {
                     run.answered();
-                    not_run(job, runs);
+                    note_not_run(job, runs);
                     Cause::NotSent
                 }
-                None if error.error().is_parse() => Cause::Foreign,
+                None if error.error().is_parse() => Cause::ForeignResponse,
                 None => {
                     run.broke();
-                    job.gateway.look_for_end(target, &job.ask.id).await;
-                    Cause::Broken
+                    job.gateway.look_for_end(target, &job.metadata.id).await;
+                    Cause::ConnectionBroken
                 }
             });
         }
     };
     target.progressed();
     let (head, body) = response.into_parts();
-    let reply = job.gateway.edges.dialect.reply(&job.ask.id, &head);
-    target.keeps(reply.keeps);
+    let reply = job
+        .gateway
+        .edges
+        .dialect
+        .parse_reply(&job.metadata.id, &head);
+    target.keeps(reply.keep_alive);
     match () {
-        () if !reply.ours => Err(Cause::Foreign),
+        () if !reply.matches_request => Err(Cause::ForeignResponse),
         () if reply.not_run => {
             run.answered();
-            not_run(job, runs);
-            give_back_after(target, link, body);
+            note_not_run(job, runs);
+            drain_and_give_back(target, link, body);
             Err(Cause::NotRun(head.status.as_u16()))
         }
         () => Ok(Answer {
@@ -234,29 +244,36 @@
 }
 
 /// Notes that an attempt did not run the request, if it was meant to.
-fn not_run(job: &Job, runs: bool) {
+fn note_not_run(job: &Job, runs: bool) {
     if runs {
         job.open.not_run();
     }
 }
 
 /// Puts the request together as the endpoint gets it.
-fn request(job: &Job, directive: &Directive) -> Request<Full<Bytes>> {
+fn build_request(job: &Job, directive: &Directive) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(job.body.clone()));
     *request.method_mut() = job.method.clone();
     *request.uri_mut() = job.uri.clone();
     let mut headers = job.headers.clone();
-    job.gateway.edges.dialect.direct(directive, &mut headers);
+    job.gateway
+        .edges
+        .dialect
+        .apply_directive(directive, &mut headers);
     *request.headers_mut() = headers;
     request
 }
 
 /// The most of a refusal's body that is read for its connection to be used again.
-const REFUSAL: u64 = 4 << 10;
+const MAX_DRAINED_BYTES: u64 = 4 << 10;
 
 /// Reads the short rest of an answer and gives its connection back.
-fn give_back_after(target: &Arc<Target>, link: Link, body: Incoming) {
-    if body.size_hint().upper().is_none_or(|most| most > REFUSAL) {
+fn drain_and_give_back(target: &Arc<Target>, link: Link, body: Incoming) {
+    if body
+        .size_hint()
+        .upper()
+        .is_none_or(|bytes| bytes > MAX_DRAINED_BYTES)
+    {
         return;
     }
     let target = Arc::clone(target);
@@ -268,26 +285,29 @@
 }
 
 /// The longest wait for the answer to a call of the gateway's own.
-const CALL: Duration = Duration::from_secs(1);
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 /// The most of an answer to such a call that is read, in bytes: some 40 for each of the parts that an engine lists, of
 /// which as many are remembered as [`policy::memory`] keeps.
-const CALL_BYTES: usize = 256 << 10;
+const MAX_CALL_RESPONSE_BYTES: usize = 256 << 10;
 /// Connections that calls of the gateway's own may hold to an endpoint.
-const CALL_LINKS: usize = 64;
+const MAX_CALL_CONNECTIONS: usize = 64;
 
 /// Makes a call of the gateway's own to an endpoint and gives the whole answer; none if there was
 /// none.
 pub async fn call(target: &Arc<Target>, call: Call) -> Option<(StatusCode, Bytes)> {
-    call_within(CALL, target, call).await
+    call_with_timeout(CALL_TIMEOUT, target, call).await
 }
 
 /// The same for a call that may take so long.
-pub async fn call_within(
+pub async fn call_with_timeout(
     timeout: Duration,
     target: &Arc<Target>,
     call: Call,
 ) -> Option<(StatusCode, Bytes)> {
-    let mut link = target.connect(ANY, CALL_LINKS).await.ok()?;
+    let mut link = target
+        .connect(MAX_IDLE_RETRYABLE, MAX_CALL_CONNECTIONS)
+        .await
+        .ok()?;
     let mut request = Request::new(Full::new(call.body));
     *request.method_mut() = call.method;
     *request.uri_mut() = call.path.parse().ok()?;
@@ -295,7 +315,7 @@
     let exchange = async {
         let response = link.sender().send_request(request).await.ok()?;
         let status = response.status();
-        let body = Limited::new(response.into_body(), CALL_BYTES).collect();
+        let body = Limited::new(response.into_body(), MAX_CALL_RESPONSE_BYTES).collect();
         Some((status, body.await.ok()?.to_bytes()))
     };
     let answer = clock::timeout(timeout, exchange).await.ok()??;
--- a/components/gateway/src/request/attempts.rs
+++ b/components/gateway/src/request/attempts.rs
@@ -8,7 +8,7 @@
 use super::{
     attempt::Cause,
     job::Job,
-    refusal::{Reason, SOON},
+    refusal::{DEFAULT_RETRY_AFTER, Reason},
 };
 use crate::{endpoint::Target, process::Repeat};
 
@@ -23,7 +23,7 @@
 
 /// An attempt that failed.
 #[derive(Debug)]
-pub struct Failed {
+pub struct FailedAttempt {
     /// Where.
     pub target: Arc<Target>,
     /// Why.
@@ -32,7 +32,7 @@
     pub phase: Phase,
 }
 
-impl Failed {
+impl FailedAttempt {
     /// Whether the request certainly did not run in it.
     pub fn not_run(&self) -> bool {
         self.phase == Phase::Read || self.cause.not_run()
@@ -63,7 +63,7 @@
     }
 
     /// Whether nothing has failed yet.
-    pub fn is_fresh(&self) -> bool {
+    pub fn none_failed(&self) -> bool {
         self.failures == 0
     }
 
@@ -73,21 +73,21 @@
     }
 
     /// Whether one more attempt may run after the next one, if that is lost.
-    pub fn may_repeat_after_next(&self, job: &Job) -> bool {
-        job.route.kind.repeats() && self.runs + 1 < job.route.attempts
+    pub fn may_retry_after_next(&self, job: &Job) -> bool {
+        job.route.kind.is_retryable() && self.runs + 1 < job.route.max_attempts
     }
 
     /// Takes an endpoint's own failure of the request, for which another endpoint is tried.
-    pub fn ran(&mut self, target: Arc<Target>) {
+    pub fn record_endpoint_failure(&mut self, target: Arc<Target>) {
         self.runs += 1;
         self.failures += 1;
         self.tried.push(target);
     }
 
     /// Takes a failed attempt. Says what the caller is told, if no other may follow.
-    pub fn fail(&mut self, job: &Job, failed: Failed) -> Result<(), Reason> {
+    pub fn record_failure(&mut self, job: &Job, failed: FailedAttempt) -> Result<(), Reason> {
         if let Some(verdict) = failed.cause.verdict() {
-            failed.target.note(verdict, &job.ask.id);
+            failed.target.note(verdict, &job.metadata.id);
         }
         let labels = [&*job.service.name, failed.cause.label()];
         job.gateway
@@ -98,52 +98,52 @@
         self.failures += 1;
         let not_run = failed.not_run();
         self.runs += u32::from(!not_run);
-        let repeats = not_run || job.route.kind.repeats();
+        let repeats = not_run || job.route.kind.is_retryable();
         let left = !job.time_left().is_zero();
-        let attempts = self.runs < job.route.attempts;
-        let budget = failed.cause != Cause::NoBudget;
-        let withheld = job.gateway.withheld(job.content);
+        let attempts = self.runs < job.route.max_attempts;
+        let budget = failed.cause != Cause::RetryBudgetExhausted;
+        let withheld = job.gateway.withheld(job.fingerprint);
         log::info!(
-            request = job.ask.id, endpoint = &*failed.target.id.0, cause:% = failed.cause,
+            request = job.metadata.id, endpoint = &*failed.target.id.0, cause:% = failed.cause,
             phase:? = failed.phase, runs = self.runs, not_run, repeats, left;
             "an attempt failed"
         );
         // an engine that could not fetch a handle can still read the prompt itself
-        if failed.cause != Cause::NoHandle {
+        if failed.cause != Cause::KvFetchFailed {
             self.tried.push(failed.target);
         }
         match withheld {
             None if repeats && left && attempts && budget => Ok(()),
             Some(lapses) if self.runs == 0 => Err(Reason::Withheld(lapses)),
-            None | Some(_) => Err(self.reason(left)),
+            None | Some(_) => Err(self.refusal(left)),
         }
     }
 
     /// What is true when nothing more is tried.
-    pub fn give_up(&self) -> Reason {
-        if self.is_fresh() {
-            Reason::NoEndpoint(SOON)
+    pub fn exhausted_refusal(&self) -> Reason {
+        if self.none_failed() {
+            Reason::NoEndpoint(DEFAULT_RETRY_AFTER)
         } else {
-            self.reason(true)
+            self.refusal(true)
         }
     }
 
     /// What is true when the process stops before another attempt would end: that nothing has run only if nothing may
     /// have.
-    pub fn stop(&self) -> Reason {
+    pub fn stopping_refusal(&self) -> Reason {
         if self.runs == 0 {
             Reason::Stopping
         } else {
-            self.reason(true)
+            self.refusal(true)
         }
     }
 
-    fn reason(&self, left: bool) -> Reason {
+    fn refusal(&self, left: bool) -> Reason {
         match (self.runs, left) {
-            (0, true) => Reason::NotTaken(SOON),
-            (0, false) => Reason::TooLate,
+            (0, true) => Reason::AllRefused(DEFAULT_RETRY_AFTER),
+            (0, false) => Reason::Expired,
             (_, true) => Reason::AnswerLost,
-            (_, false) => Reason::DeadlinePassed,
+            (_, false) => Reason::DeadlineExceeded,
         }
     }
 }
@@ -155,50 +155,50 @@
 /// are repeats. Whether a read is free is known only when it has been accepted, so one that may become a
 /// repeat is taken from the budget first and given back then.
 #[derive(Debug, Default)]
-pub struct Arrivals(Mutex<Counts>);
+pub struct Arrivals(Mutex<Counters>);
 
 #[derive(Debug, Default)]
-struct Counts {
+struct Counters {
     /// Arrivals that count.
     counted: u32,
     /// Whether the free read has been accepted.
-    read: bool,
+    free_prefill_used: bool,
     /// A read under way that is free if it is accepted.
-    pending: Option<Pending>,
+    pending: Option<PendingPrefill>,
     /// Repeats taken from the budget for arrivals to come.
     reserved: Vec<Repeat>,
 }
 
 #[derive(Debug)]
-struct Pending {
+struct PendingPrefill {
     /// What was taken from the budget in case it is not.
     repeat: Option<Repeat>,
 }
 
 impl Arrivals {
     /// Counts an arrival that is about to be. Says whether the budget allows it.
-    pub fn begin(&self, job: &Job, phase: Phase) -> bool {
-        let mut counts = self.0.lock();
-        let repeat = match counts.counted {
+    pub fn record(&self, job: &Job, phase: Phase) -> bool {
+        let mut counters = self.0.lock();
+        let repeat = match counters.counted {
             0 => None,
-            _ => match counts.reserved.pop().or_else(|| take(job)) {
+            _ => match counters.reserved.pop().or_else(|| spend_retry(job)) {
                 None => return false,
                 repeat => repeat,
             },
         };
-        if phase == Phase::Read && !counts.read {
-            counts.pending = Some(Pending { repeat });
+        if phase == Phase::Read && !counters.free_prefill_used {
+            counters.pending = Some(PendingPrefill { repeat });
         } else {
-            counts.counted += 1;
+            counters.counted += 1;
         }
         true
     }
 
     /// Takes so many repeats from the budget before they are needed. Says whether it has them all; it takes none
     /// otherwise.
-    pub fn reserve(&self, job: &Job, repeats: usize) -> bool {
-        let taken: Vec<Repeat> = (0..repeats).map_while(|_| take(job)).collect();
-        let enough = taken.len() == repeats;
+    pub fn reserve(&self, job: &Job, count: usize) -> bool {
+        let taken: Vec<Repeat> = (0..count).map_while(|_| spend_retry(job)).collect();
+        let enough = taken.len() == count;
         self.0.lock().reserved.extend(taken);
         if !enough {
             self.release(job);
@@ -215,35 +215,36 @@
     /// Gives back the repeats that were reserved and not needed.
     pub fn release(&self, job: &Job) {
         for repeat in self.0.lock().reserved.drain(..) {
-            give_back(job, &repeat);
+            return_retry(job, &repeat);
         }
     }
 
     /// Takes that an engine accepted to read the prompt.
-    pub fn accepted(&self, job: &Job) {
-        let mut counts = self.0.lock();
-        let Some(pending) = counts.pending.take() else {
+    pub fn prefill_accepted(&self, job: &Job) {
+        let mut counters = self.0.lock();
+        let Some(pending) = counters.pending.take() else {
             return;
         };
-        counts.read = true;
+        counters.free_prefill_used = true;
         if let Some(repeat) = pending.repeat {
-            give_back(job, &repeat);
+            return_retry(job, &repeat);
         }
     }
 
     /// Takes that a read failed, or was never sent.
-    pub fn read_failed(&self) {
-        let mut counts = self.0.lock();
-        let pending = counts.pending.take();
-        counts.counted += u32::from(pending.is_some());
+    pub fn prefill_failed(&self) {
+        let mut counters = self.0.lock();
+        let pending = counters.pending.take();
+        counters.counted += u32::from(pending.is_some());
     }
 }
 
-fn take(job: &Job) -> Option<Repeat> {
-    job.gateway.spend_repeat(&job.service.name, &job.ask.id)
+fn spend_retry(job: &Job) -> Option<Repeat> {
+    job.gateway
+        .spend_repeat(&job.service.name, &job.metadata.id)
 }
 
-fn give_back(job: &Job, repeat: &Repeat) {
+fn return_retry(job: &Job, repeat: &Repeat) {
     let gateway = &job.gateway;
-    gateway.give_back_repeat(&job.service.name, &job.ask.id, repeat);
+    gateway.give_back_repeat(&job.service.name, &job.metadata.id, repeat);
 }
--- a/components/gateway/src/request/content.rs
+++ b/components/gateway/src/request/fingerprint.rs
@@ -8,9 +8,9 @@
 /// that a caller gives it is left out, as each try has another one.
 #[derive(Clone, Copy, Debug, Display, From, Into, PartialEq, Eq, PartialOrd, Ord)]
 #[display("{_0:016x}")]
-pub struct Content(u64);
+pub struct Fingerprint(u64);
 
-impl Content {
+impl Fingerprint {
     /// The number of a request.
     #[must_use]
     pub fn of(method: &Method, host: &str, uri: &Uri, body: &[u8]) -> Self {
--- a/components/gateway/src/request/generate/relocate.rs
+++ b/components/gateway/src/request/generate/migrate.rs
@@ -8,9 +8,9 @@
 use clock::Instant;
 use policy::place::{self, Weights};
 
-use super::view::{View, ask, is_long};
+use super::snapshot::{Snapshot, is_long_answer, placement_request};
 use crate::{
-    edge::{Directive, Handle},
+    edge::{Directive, KvHandle},
     endpoint::{Target, Writing},
     request::{
         attempt::{self, Answer, Cause},
@@ -22,28 +22,28 @@
 /// How long after an answer was asked to leave its engine it may go back there: an engine that leaves takes
 /// nothing new two seconds after it has said so (`drain_ms` of the first deployments), and it takes some
 /// time until that is known here.
-const BACK: Duration = Duration::from_secs(1);
+const RETURN_WINDOW: Duration = Duration::from_secs(1);
 
 /// An answer that has stopped, and where it goes on.
-pub struct Stopped {
+pub struct StoppedAnswer {
     /// The engine at which it goes on.
     target: Arc<Target>,
     /// Its memory.
-    handle: Handle,
+    handle: KvHandle,
     /// The engine at which it stopped, which keeps its memory until it is fetched.
-    from: Arc<Target>,
+    source: Arc<Target>,
     /// When it was asked to leave.
-    since: Instant,
+    asked_at: Instant,
 }
 
-impl Stopped {
+impl StoppedAnswer {
     /// The same, going on where it stopped: for when the other engine turns it away. None if it was that
     /// engine which did, or if it is too late.
     #[must_use]
-    pub fn back(self) -> Option<Self> {
-        let may = self.target.id != self.from.id && self.since.elapsed() < BACK;
+    pub fn back_to_source(self) -> Option<Self> {
+        let may = self.target.id != self.source.id && self.asked_at.elapsed() < RETURN_WINDOW;
         may.then(|| Self {
-            target: Arc::clone(&self.from),
+            target: Arc::clone(&self.source),
             ..self
         })
     }
@@ -51,59 +51,59 @@
 
 /// Has an answer stopped where it is written, and its memory copied to another engine. None if it goes on
 /// where it is.
-pub async fn stop(job: &Job, from: &Arc<Target>) -> Option<Stopped> {
-    let since = Instant::now();
-    let view = View::new(job, std::slice::from_ref(from));
+pub async fn stop_and_copy(job: &Job, from: &Arc<Target>) -> Option<StoppedAnswer> {
+    let asked_at = Instant::now();
+    let snapshot = Snapshot::new(job, std::slice::from_ref(from));
     let weights = Weights::default();
-    let at = place::choose_writer(&view.engines, &ask(job), &weights)?;
-    let to = &view.targets[at];
+    let at = place::choose_writer(&snapshot.engines, &placement_request(job), &weights)?;
+    let to = &snapshot.targets[at];
     let address = |target: &Target| target.with(|state| state.profile.address);
     let dialect = &job.gateway.edges.dialect;
-    let call = dialect.relocation(&job.ask.id, address(to));
+    let call = dialect.migration_call(&job.metadata.id, address(to));
     // the answer stops when the call comes, and how long its memory takes to copy depends on its size and the links: who
     // gives up on the call loses the answer
-    let answer = attempt::call_within(job.time_left(), from, call).await;
-    let moved = answer
+    let answer = attempt::call_with_timeout(job.time_left(), from, call).await;
+    let migration = answer
         .as_ref()
-        .and_then(|(status, body)| dialect.relocated(address(from), *status, body));
+        .and_then(|(status, body)| dialect.parse_migration(address(from), *status, body));
     log::info!(
-        request = job.ask.id, from = &*from.id.0, to = &*to.id.0,
-        status = answer.map(|(status, _)| status.as_u16()), stopped = moved.is_some(),
-        copied = moved.as_ref().is_some_and(|moved| moved.copied);
+        request = job.metadata.id, from = &*from.id.0, to = &*to.id.0,
+        status = answer.map(|(status, _)| status.as_u16()), stopped = migration.is_some(),
+        copied = migration.as_ref().is_some_and(|migration| migration.copied);
         "an answer leaves its engine"
     );
-    let outcome = match &moved {
+    let outcome = match &migration {
         None => "stayed",
-        Some(moved) if moved.copied => "copied",
+        Some(migration) if migration.copied => "copied",
         Some(_) => "stopped",
     };
     let metrics = &job.gateway.metrics;
     metrics.moves.with_label_values(&[outcome]).inc();
-    let moved = moved?;
-    let target = if moved.copied { to } else { from };
-    Some(Stopped {
+    let migration = migration?;
+    let target = if migration.copied { to } else { from };
+    Some(StoppedAnswer {
         target: Arc::clone(target),
-        handle: moved.handle,
-        from: Arc::clone(from),
-        since,
+        handle: migration.handle,
+        source: Arc::clone(from),
+        asked_at,
     })
 }
 
 /// Sends a stopped answer's request where it goes on, after the last event that was handed over.
-pub async fn go_on(
+pub async fn resume(
     job: &Job,
-    stopped: &Stopped,
+    stopped: &StoppedAnswer,
     after: Option<u64>,
 ) -> Result<(Answer, Writing), Cause> {
     let target = &stopped.target;
-    let writing = Writing::new(target, is_long(job));
+    let writing = Writing::new(target, is_long_answer(job));
     let directive = Directive {
-        time_left: job.time_left(),
-        expect: Some(target.id.clone()),
+        timeout: job.time_left(),
+        expected_endpoint: Some(target.id.clone()),
         handle: Some(stopped.handle.clone()),
         resume_after: after,
         ..Directive::default()
     };
-    let answer = attempt::send(job, target, &directive, Timeout::until(job.deadline)).await?;
-    Ok((answer.continuing()?, writing))
+    let answer = attempt::send(job, target, &directive, Timeout::at(job.deadline)).await?;
+    Ok((answer.into_continuation()?, writing))
 }
--- a/components/gateway/src/request/generate/mod.rs
+++ b/components/gateway/src/request/generate/mod.rs
@@ -1,11 +1,11 @@
 //! Generations: placed on engines that read prompts and engines that write answers.
 
-mod line;
-mod read;
-pub mod relocate;
+pub mod migrate;
+mod prefill;
+mod queue;
 mod run;
+mod snapshot;
 mod timing;
-mod view;
 
 use std::sync::Arc;
 
@@ -16,97 +16,101 @@
     attempt::{Answer, Cause},
     attempts::Attempts,
     job::Job,
-    pass::{self, Body},
     refusal::Reason,
+    relay::{self, Body},
     timeout::Timeout,
 };
 use crate::endpoint::{Target, Writing};
+use snapshot::Snapshot;
 use timing::Timing;
-use view::View;
 
-pub use line::Line;
-pub use view::is_long;
+pub use queue::Queue;
+pub use snapshot::is_long_answer;
 
 /// Serves a generation.
 pub async fn serve(job: Job) -> Result<Response<Body>, Reason> {
     let mut attempts = Attempts::default();
     let mut may_split = true;
     loop {
-        let (view, choice) = place(&job, &attempts, may_split).await?;
-        if !timing::ends_before_stop(&job, &view, &choice) {
-            return Err(attempts.stop());
+        let (snapshot, choice) = place(&job, &attempts, may_split).await?;
+        if !timing::ends_before_stop(&job, &snapshot, &choice) {
+            return Err(attempts.stopping_refusal());
         }
-        let timing = if attempts.is_fresh() {
-            timing::decide(&job, &view, &choice)?
+        let timing = if attempts.none_failed() {
+            timing::decide(&job, &snapshot, &choice)?
         } else {
-            view.log_placement(&job, &choice, "placed again");
-            Timing::InTime
+            snapshot.log_placement(&job, &choice, "placed again");
+            Timing::OnTime
         };
         let outcome = match (timing, choice.plan) {
-            (Timing::Late(late), _) => {
-                let wanted = read::Wanted::Late(late.read);
-                run::split(&job, &view, late.engine, &attempts, wanted).await
+            (Timing::Deferred(deferred), _) => {
+                let mode = prefill::Mode::Deferred(deferred.read);
+                run::split(&job, &snapshot, deferred.engine, &attempts, mode).await
             }
-            (Timing::InTime, Plan::Whole { engine }) => {
+            (Timing::OnTime, Plan::Whole { engine }) => {
                 let timeout = timing::timeout(&job, &attempts, choice.first);
-                run::whole(&job, &view, engine, timeout, None).await
+                run::single_engine(&job, &snapshot, engine, timeout, None).await
             }
-            (Timing::InTime, Plan::Split { prefill, .. }) => {
-                let wanted = read::Wanted::InTime(choice.first);
-                run::split(&job, &view, prefill, &attempts, wanted).await
+            (Timing::OnTime, Plan::Split { prefill, .. }) => {
+                let mode = prefill::Mode::OnTime(choice.first);
+                run::split(&job, &snapshot, prefill, &attempts, mode).await
             }
         };
         match outcome {
             Ok((answer, writing)) => {
-                if attempts.is_fresh() && timing == Timing::InTime {
+                if attempts.none_failed() && timing == Timing::OnTime {
                     let took = policy::micros(job.arrived.elapsed());
                     job.gateway
                         .learn_margin(&job.service.name, choice.first, took);
                 }
-                return Ok(pass::hand_on(job, answer, writing, attempts.runs() + 1));
+                return Ok(relay::forward(job, answer, writing, attempts.runs() + 1));
             }
             Err(failed) => {
                 // a second read and a second fetch would be two more arrivals
-                may_split = failed.cause != Cause::NoHandle;
-                attempts.fail(&job, failed)?;
+                may_split = failed.cause != Cause::KvFetchFailed;
+                attempts.record_failure(&job, failed)?;
             }
         }
     }
 }
 
 /// Places a request, and waits for room if no engine has any just now.
-async fn place(job: &Job, attempts: &Attempts, may_split: bool) -> Result<(View, Choice), Reason> {
-    let look = || {
-        let mut view = View::new(job, attempts.tried());
+async fn place(
+    job: &Job,
+    attempts: &Attempts,
+    may_split: bool,
+) -> Result<(Snapshot, Choice), Reason> {
+    let try_place = || {
+        let mut snapshot = Snapshot::new(job, attempts.tried());
         if !may_split {
-            view.only_writers();
+            snapshot.retain_decode_engines();
         }
-        let choice = view.choose(job);
-        (view, choice)
+        let choice = snapshot.choose(job);
+        (snapshot, choice)
     };
-    let line = job.gateway.line(&job.service.name);
-    let (view, choice) = look();
-    if attempts.is_fresh() {
-        view::count(job, &view);
+    let queue = job.gateway.line(&job.service.name);
+    let (snapshot, choice) = try_place();
+    if attempts.none_failed() {
+        snapshot::count_demand(job, &snapshot);
     }
     // others who wait go first
-    if let Some(choice) = choice.filter(|_| line.len() == 0) {
-        return Ok((view, choice));
+    if let Some(choice) = choice.filter(|_| queue.len() == 0) {
+        return Ok((snapshot, choice));
     }
-    if !view.may_get_room(line.len()) {
-        return Err(attempts.give_up());
+    if !snapshot.may_get_slot(queue.len()) {
+        return Err(attempts.exhausted_refusal());
     }
     // what waits when the process ends gets no answer at all
-    if !job.ends_before_stop(line::longest_wait(job)) {
-        return Err(attempts.stop());
+    if !job.ends_before_stop(queue::max_wait(job)) {
+        return Err(attempts.stopping_refusal());
     }
-    let ticket = line.join(job);
-    while ticket.turn().await {
-        if let (view, Some(choice)) = look() {
-            return Ok((view, choice));
+    let ticket = queue.join(job);
+    while ticket.wait_turn().await {
+        if let (snapshot, Some(choice)) = try_place() {
+            return Ok((snapshot, choice));
         }
     }
-    Err(attempts.give_up())
+    Err(attempts.exhausted_refusal())
 }
 
 /// Goes on with a stream that broke, on another engine.
@@ -115,18 +119,19 @@
     after: Option<u64>,
     from: &Arc<Target>,
 ) -> Result<(Answer, Writing), Cause> {
-    let view = View::new(job, std::slice::from_ref(from));
-    let choice = view.choose(job).ok_or(Cause::TimeOver)?;
+    let snapshot = Snapshot::new(job, std::slice::from_ref(from));
+    let choice = snapshot.choose(job).ok_or(Cause::TimedOut)?;
     let engine = match choice.plan {
         Plan::Whole { engine } => engine,
         Plan::Split { decode, .. } => decode,
     };
-    let resumed = run::whole(job, &view, engine, Timeout::until(job.deadline), after).await;
+    let resumed =
+        run::single_engine(job, &snapshot, engine, Timeout::at(job.deadline), after).await;
     let resumed = resumed
         .map_err(|failed| failed.cause)
-        .and_then(|(answer, writing)| Ok((answer.continuing()?, writing)));
+        .and_then(|(answer, writing)| Ok((answer.into_continuation()?, writing)));
     if let Err(Some(verdict)) = resumed.as_ref().map_err(|cause| cause.verdict()) {
-        view.targets[engine].note(verdict, &job.ask.id);
+        snapshot.targets[engine].note(verdict, &job.metadata.id);
     }
     resumed
 }
--- a/components/gateway/src/request/generate/read.rs
+++ b/components/gateway/src/request/generate/prefill.rs
@@ -8,26 +8,26 @@
 
 use super::{
     run::failed,
+    snapshot::{Snapshot, placement_request},
     timing,
-    view::{View, ask},
 };
 use crate::{
-    edge::{Directive, Handle, Urgency},
+    edge::{Directive, KvHandle, Priority},
     endpoint::{Reading, Target},
     process::Gateway,
     request::{
         attempt::{self, Cause},
-        attempts::{Attempts, Failed, Phase},
+        attempts::{Attempts, FailedAttempt, Phase},
         job::Job,
-        timeout::{Early, Timeout},
+        timeout::{EarlyTimeout, Timeout},
     },
 };
 
 /// The most of an answer to a read prompt that is taken, in bytes.
-const HANDLE_BYTES: usize = 16 << 10;
+const MAX_HANDLE_RESPONSE_BYTES: usize = 16 << 10;
 
 /// A prompt being read, with what was ahead of it.
-pub struct Counted {
+pub struct InFlight {
     /// Counts it as long as this lives.
     pub guard: Reading,
     /// Work that was ahead of it.
@@ -35,11 +35,11 @@
 }
 
 /// Counts a prompt at an engine, and notes that the engine will hold its parts.
-pub fn begin(job: &Job, view: &View, at: usize, late: bool) -> Counted {
-    let target = &view.targets[at];
-    let engine = &view.engines[at];
+pub fn start(job: &Job, snapshot: &Snapshot, at: usize, deferred: bool) -> InFlight {
+    let target = &snapshot.targets[at];
+    let engine = &snapshot.engines[at];
     let held = engine.held + engine.fetch.tokens;
-    let work = policy::prompt::work(ask(job).prompt, held);
+    let work = policy::prompt::work(placement_request(job).prompt, held);
     let paces = job.gateway.paces(&job.service.name);
     let now = Instant::now();
     let ahead = target.with(|state| {
@@ -47,21 +47,21 @@
         let load = state.load();
         let left = state.left(now, common);
         let ahead = policy::place::ahead(left, load.late, load.late_prompts);
-        if !late {
+        if !deferred {
             state.sends(now, common, work);
         }
         ahead
     });
-    use_parts(job, target, false);
-    Counted {
-        guard: Reading::new(target, work, late),
+    note_parts(job, target, false);
+    InFlight {
+        guard: Reading::new(target, work, deferred),
         ahead,
     }
 }
 
 /// Notes that an engine will hold the parts of a prompt: soon if it is `fetched`, or else once it is read.
-pub fn use_parts(job: &Job, target: &Arc<Target>, fetched: bool) {
-    if let Some(prompt) = &job.ask.prompt {
+pub fn note_parts(job: &Job, target: &Arc<Target>, fetched: bool) {
+    if let Some(prompt) = &job.metadata.prompt {
         let common = job.gateway.common(&job.service.name);
         target.with(|state| state.uses(Instant::now(), &common, &prompt.parts, fetched));
         job.gateway.peers.placed(target.short, &prompt.parts);
@@ -70,37 +70,37 @@
 
 /// When a prompt is wanted, with the time in microseconds that is expected.
 #[derive(Clone, Copy, Debug)]
-pub enum Wanted {
+pub enum Mode {
     /// Its answer is to begin in time, after so long.
-    InTime(f64),
+    OnTime(f64),
     /// Its answer is late, and it gives way to others; it is read after so long.
-    Late(f64),
+    Deferred(f64),
 }
 
-impl Wanted {
+impl Mode {
     /// When its engine is suspected to be lost; a late prompt may wait.
-    fn early<'a>(self, job: &'a Job, attempts: &'a Attempts) -> Option<Early<'a>> {
+    fn early_timeout<'a>(self, job: &'a Job, attempts: &'a Attempts) -> Option<EarlyTimeout<'a>> {
         match self {
-            Self::InTime(first) => Some(timing::early(job, attempts, first)),
-            Self::Late(_) => None,
+            Self::OnTime(first) => Some(timing::early_timeout(job, attempts, first)),
+            Self::Deferred(_) => None,
         }
     }
 }
 
 /// A prompt that is waited for. What a late one shows of its line is learnt also if its caller leaves before it is
 /// read.
-struct Wait<'a> {
+struct DeferredWait<'a> {
     job: &'a Job,
     /// The time expected of a late prompt, until it is known how long it took.
     expected: Option<f64>,
     begun: Instant,
 }
 
-impl<'a> Wait<'a> {
-    fn new(job: &'a Job, wanted: Wanted) -> Self {
-        let expected = match wanted {
-            Wanted::InTime(_) => None,
-            Wanted::Late(read) => Some(read),
+impl<'a> DeferredWait<'a> {
+    fn new(job: &'a Job, mode: Mode) -> Self {
+        let expected = match mode {
+            Mode::OnTime(_) => None,
+            Mode::Deferred(read) => Some(read),
         };
         Self {
             job,
@@ -110,7 +110,7 @@
     }
 
     /// Takes that the prompt has been read.
-    fn end(&mut self) {
+    fn finish(&mut self) {
         self.learn(Stretch::learn);
     }
 
@@ -125,113 +125,119 @@
     }
 }
 
-impl Drop for Wait<'_> {
+impl Drop for DeferredWait<'_> {
     fn drop(&mut self) {
         self.learn(Stretch::give_up);
     }
 }
 
 /// Has a prompt read at an engine, which keeps its KV cache for another one.
-pub async fn keep(
+pub async fn run(
     job: &Job,
-    view: &View,
+    snapshot: &Snapshot,
     at: usize,
     attempts: &Attempts,
-    wanted: Wanted,
-) -> Result<Kept, Failed> {
-    let target = &view.targets[at];
-    let late = matches!(wanted, Wanted::Late(_));
+    mode: Mode,
+) -> Result<HeldHandle, FailedAttempt> {
+    let target = &snapshot.targets[at];
+    let deferred = matches!(mode, Mode::Deferred(_));
     let failed = |cause| failed(target, cause, Phase::Read);
-    let counted = begin(job, view, at, late);
+    let in_flight = start(job, snapshot, at, deferred);
     let begun = Instant::now();
     let directive = Directive {
-        time_left: job.time_left(),
-        expect: Some(target.id.clone()),
-        read_only: true,
-        fetch_from: view.fetch_from(at),
-        urgency: Some(if late { Urgency::Low } else { Urgency::Normal }),
+        timeout: job.time_left(),
+        expected_endpoint: Some(target.id.clone()),
+        prefill_only: true,
+        fetch_from: snapshot.fetch_from(at),
+        priority: Some(if deferred {
+            Priority::Low
+        } else {
+            Priority::Normal
+        }),
         ..Directive::default()
     };
-    let timeout = Timeout::or_earlier(job.deadline, wanted.early(job, attempts));
-    let mut wait = Wait::new(job, wanted);
+    let timeout = Timeout::with_early(job.deadline, mode.early_timeout(job, attempts));
+    let mut wait = DeferredWait::new(job, mode);
     let answer = match attempt::send(job, target, &directive, timeout).await {
         Ok(answer) => answer,
         Err(cause) => {
-            job.arrivals.read_failed();
+            job.arrivals.prefill_failed();
             return Err(failed(match cause {
-                Cause::TimeOver if late => Cause::GaveWay,
+                Cause::TimedOut if deferred => Cause::Starved,
                 cause => cause,
             }));
         }
     };
     let status = answer.head.status;
-    let body = Limited::new(answer.body, HANDLE_BYTES).collect().await;
+    let body = Limited::new(answer.body, MAX_HANDLE_RESPONSE_BYTES)
+        .collect()
+        .await;
     let body = body.map(Collected::to_bytes);
     let body = match body {
         Ok(body) if status.is_success() => body,
         Ok(_) => {
             answer.run.answered();
-            job.arrivals.read_failed();
-            return Err(failed(Cause::Failed(status.as_u16())));
+            job.arrivals.prefill_failed();
+            return Err(failed(Cause::ErrorStatus(status.as_u16())));
         }
         Err(_) => {
-            job.arrivals.read_failed();
+            job.arrivals.prefill_failed();
             answer.run.broke();
-            job.gateway.look_for_end(target, &job.ask.id).await;
-            return Err(failed(Cause::Broken));
+            job.gateway.look_for_end(target, &job.metadata.id).await;
+            return Err(failed(Cause::ConnectionBroken));
         }
     };
     answer.run.answered();
-    job.arrivals.accepted(job);
-    wait.end();
+    job.arrivals.prefill_accepted(job);
+    wait.finish();
     let address = target.with(|state| state.profile.address);
-    let handle = job.gateway.edges.dialect.handle(address, &body);
-    let handle = handle.ok_or_else(|| failed(Cause::Foreign))?;
-    if !late {
-        learn(job, target, counted.ahead + counted.guard.work(), begun);
+    let handle = job.gateway.edges.dialect.parse_handle(address, &body);
+    let handle = handle.ok_or_else(|| failed(Cause::ForeignResponse))?;
+    if !deferred {
+        learn_pace(job, target, in_flight.ahead + in_flight.guard.work(), begun);
     }
     target.give_back(answer.link);
     log::info!(
-        request = job.ask.id, endpoint = &*target.id.0, late, ahead = counted.ahead,
-        work = counted.guard.work(), took_us = policy::micros(begun.elapsed());
+        request = job.metadata.id, endpoint = &*target.id.0, late = deferred, ahead = in_flight.ahead,
+        work = in_flight.guard.work(), took_us = policy::micros(begun.elapsed());
         "a prompt was read"
     );
-    Ok(Kept {
+    Ok(HeldHandle {
         handle,
         target: Arc::clone(target),
         gateway: Arc::clone(&job.gateway),
-        taken: false,
+        fetched: false,
     })
 }
 
 /// Learns from a prompt that was read, with all the work there was since it was sent.
-pub fn learn(job: &Job, target: &Target, work: u64, begun: Instant) {
+pub fn learn_pace(job: &Job, target: &Target, work: u64, begun: Instant) {
     let took = policy::micros(begun.elapsed());
     job.gateway.learn_pace(target, |pace| pace.read(work, took));
 }
 
 /// A handle that is given back if nobody takes it.
-pub struct Kept {
+pub struct HeldHandle {
     /// The handle.
-    pub handle: Handle,
+    pub handle: KvHandle,
     target: Arc<Target>,
     gateway: Arc<Gateway>,
-    taken: bool,
+    fetched: bool,
 }
 
-impl Kept {
+impl HeldHandle {
     /// Notes that an engine has fetched it.
-    pub fn taken(mut self) {
-        self.taken = true;
+    pub fn mark_fetched(mut self) {
+        self.fetched = true;
     }
 }
 
-impl Drop for Kept {
+impl Drop for HeldHandle {
     fn drop(&mut self) {
-        if self.taken {
+        if self.fetched {
             return;
         }
-        let call = self.gateway.edges.dialect.release(&self.handle);
+        let call = self.gateway.edges.dialect.release_call(&self.handle);
         let target = Arc::clone(&self.target);
         // a handle that stays is only a cost, and the engine drops it in the end
         tokio::spawn(async move { attempt::call(&target, call).await });
--- a/components/gateway/src/request/generate/line.rs
+++ b/components/gateway/src/request/generate/queue.rs
@@ -15,61 +15,61 @@
 
 /// Between two looks for room: news of other gateways' answers is some ten milliseconds old
 /// (`docs/DESIGN.md#between-our-processes`).
-const LOOK: Duration = Duration::from_millis(10);
+const RECHECK_DELAY: Duration = Duration::from_millis(10);
 /// The part of the time left for which a request waits: what has waited longer would hardly be whole before its
 /// time is over, and its caller could have gone elsewhere meanwhile.
-const WAITS: u32 = 4;
+const WAIT_DIVISOR: u32 = 4;
 /// The same in objectives: a caller whose answer is several times late has likely left.
-const OBJECTIVES: u32 = 4;
+const MAX_WAIT_OBJECTIVES: u32 = 4;
 
 /// A place in line: by rank, then by the end of its time, then by number.
-type Place = (u32, Instant, u64);
+type Position = (u32, Instant, u64);
 
 /// The requests of a service that wait for room, the first to go first.
 #[derive(Debug, Default)]
-pub struct Line {
-    waiting: Mutex<Waiting>,
+pub struct Queue {
+    state: Mutex<State>,
     /// Told when the first one has left.
-    moved: Notify,
+    changed: Notify,
 }
 
 #[derive(Debug, Default)]
-struct Waiting {
-    places: Vec<Place>,
+struct State {
+    positions: Vec<Position>,
     /// Requests that have waited so far.
-    count: u64,
+    joined: u64,
 }
 
 /// A request in line; it leaves when this is dropped.
 #[derive(Debug)]
 pub struct Ticket<'a> {
-    line: &'a Line,
-    place: Place,
+    queue: &'a Queue,
+    position: Position,
     until: Instant,
 }
 
 /// How long a request waits at most.
-pub fn longest_wait(job: &Job) -> Duration {
-    (job.time_left() / WAITS).min(job.route.objective * OBJECTIVES)
+pub fn max_wait(job: &Job) -> Duration {
+    (job.time_left() / WAIT_DIVISOR).min(job.route.objective * MAX_WAIT_OBJECTIVES)
 }
 
-impl Line {
+impl Queue {
     /// How many wait.
     pub fn len(&self) -> usize {
-        self.waiting.lock().places.len()
+        self.state.lock().positions.len()
     }
 
     /// Joins a request.
     pub fn join(&self, job: &Job) -> Ticket<'_> {
-        let mut waiting = self.waiting.lock();
-        waiting.count += 1;
-        let place = (job.route.rank, job.deadline, waiting.count);
-        let at = waiting.places.partition_point(|other| *other < place);
-        waiting.places.insert(at, place);
+        let mut state = self.state.lock();
+        state.joined += 1;
+        let position = (job.route.priority, job.deadline, state.joined);
+        let at = state.positions.partition_point(|other| *other < position);
+        state.positions.insert(at, position);
         Ticket {
-            line: self,
-            place,
-            until: Instant::now() + longest_wait(job),
+            queue: self,
+            position,
+            until: Instant::now() + max_wait(job),
         }
     }
 }
@@ -77,11 +77,11 @@
 impl Ticket<'_> {
     /// Waits until it is this request's turn to look for room. Says whether it may; otherwise it has waited for
     /// too long.
-    pub async fn turn(&self) -> bool {
-        let look = Instant::now() + LOOK;
-        clock::sleep_until(look.min(self.until)).await;
+    pub async fn wait_turn(&self) -> bool {
+        let recheck_at = Instant::now() + RECHECK_DELAY;
+        clock::sleep_until(recheck_at.min(self.until)).await;
         loop {
-            let moved = self.line.moved.notified();
+            let changed = self.queue.changed.notified();
             if Instant::now() >= self.until {
                 return false;
             }
@@ -89,22 +89,22 @@
                 return true;
             }
             // the time may be over first
-            let _ = clock::timeout_at(self.until, moved).await;
+            let _ = clock::timeout_at(self.until, changed).await;
         }
     }
 
     fn is_first(&self) -> bool {
-        self.line.waiting.lock().places.first() == Some(&self.place)
+        self.queue.state.lock().positions.first() == Some(&self.position)
     }
 }
 
 impl Drop for Ticket<'_> {
     fn drop(&mut self) {
-        let mut waiting = self.line.waiting.lock();
-        if let Ok(at) = waiting.places.binary_search(&self.place) {
-            waiting.places.remove(at);
+        let mut state = self.queue.state.lock();
+        if let Ok(at) = state.positions.binary_search(&self.position) {
+            state.positions.remove(at);
         }
-        drop(waiting);
-        self.line.moved.notify_waiters();
+        drop(state);
+        self.queue.changed.notify_waiters();
     }
 }
--- a/components/gateway/src/request/generate/run.rs
+++ b/components/gateway/src/request/generate/run.rs
@@ -6,26 +6,27 @@
 use policy::place::{self, Weights};
 
 use super::{
-    read, timing,
-    view::{View, ask, is_long},
+    prefill,
+    snapshot::{Snapshot, is_long_answer, placement_request},
+    timing,
 };
 use crate::{
     edge::Directive,
     endpoint::{Target, Verdict, Writing},
     request::{
         attempt::{self, Answer, Cause},
-        attempts::{Attempts, Failed, Phase},
+        attempts::{Attempts, FailedAttempt, Phase},
         job::Job,
         timeout::Timeout,
     },
 };
 
 /// An answer that has begun, and the slot that it takes; or the attempt that failed.
-pub type Attempted = Result<(Answer, Writing), Failed>;
+pub type AttemptResult = Result<(Answer, Writing), FailedAttempt>;
 
 /// An attempt that failed at an endpoint.
-pub fn failed(target: &Arc<Target>, cause: Cause, phase: Phase) -> Failed {
-    Failed {
+pub fn failed(target: &Arc<Target>, cause: Cause, phase: Phase) -> FailedAttempt {
+    FailedAttempt {
         target: Arc::clone(target),
         cause,
         phase,
@@ -33,44 +34,48 @@
 }
 
 /// One engine reads and writes.
-pub async fn whole(
+pub async fn single_engine(
     job: &Job,
-    view: &View,
+    snapshot: &Snapshot,
     at: usize,
     timeout: Timeout<'_>,
     resume_after: Option<u64>,
-) -> Attempted {
-    let target = &view.targets[at];
-    let reading = read::begin(job, view, at, false);
-    let (ahead, begun) = (reading.ahead, Instant::now());
+) -> AttemptResult {
+    let target = &snapshot.targets[at];
+    let in_flight = prefill::start(job, snapshot, at, false);
+    let (ahead, begun) = (in_flight.ahead, Instant::now());
     let directive = Directive {
-        time_left: job.time_left(),
-        expect: Some(target.id.clone()),
+        timeout: job.time_left(),
+        expected_endpoint: Some(target.id.clone()),
         resume_after,
-        fetch_from: view.fetch_from(at),
+        fetch_from: snapshot.fetch_from(at),
         ..Directive::default()
     };
-    let writing = Writing::new(target, is_long(job));
+    let writing = Writing::new(target, is_long_answer(job));
     let sent = attempt::send(job, target, &directive, timeout).await;
     let answer = sent.map_err(|cause| failed(target, cause, Phase::Run))?;
-    read::learn(job, target, ahead + reading.guard.work(), begun);
+    prefill::learn_pace(job, target, ahead + in_flight.guard.work(), begun);
     Ok((answer, writing))
 }
 
 /// The engine that writes the answer to a prompt that has been read; waits for one with room.
-async fn writer(job: &Job, attempts: &Attempts) -> Option<(View, usize)> {
-    let look = || {
-        let view = View::new(job, attempts.tried());
-        let at = place::choose_writer(&view.engines, &ask(job), &Weights::default())?;
-        Some((view, at))
+async fn wait_for_decode_engine(job: &Job, attempts: &Attempts) -> Option<(Snapshot, usize)> {
+    let try_choose = || {
+        let snapshot = Snapshot::new(job, attempts.tried());
+        let at = place::choose_writer(
+            &snapshot.engines,
+            &placement_request(job),
+            &Weights::default(),
+        )?;
+        Some((snapshot, at))
     };
-    if let Some(found) = look() {
+    if let Some(found) = try_choose() {
         return Some(found);
     }
-    let line = job.gateway.line(&job.service.name);
-    let ticket = line.join(job);
-    while ticket.turn().await {
-        if let Some(found) = look() {
+    let queue = job.gateway.line(&job.service.name);
+    let ticket = queue.join(job);
+    while ticket.wait_turn().await {
+        if let Some(found) = try_choose() {
             return Some(found);
         }
     }
@@ -81,39 +86,39 @@
 /// as much has changed until then.
 pub async fn split(
     job: &Job,
-    view: &View,
+    snapshot: &Snapshot,
     prefill: usize,
     attempts: &Attempts,
-    wanted: read::Wanted,
-) -> Attempted {
-    let handle = read::keep(job, view, prefill, attempts, wanted).await?;
-    let prefill = &view.targets[prefill];
-    let Some((view, at)) = writer(job, attempts).await else {
-        return Err(failed(prefill, Cause::NoWriter, Phase::Read));
+    mode: prefill::Mode,
+) -> AttemptResult {
+    let handle = prefill::run(job, snapshot, prefill, attempts, mode).await?;
+    let prefill = &snapshot.targets[prefill];
+    let Some((snapshot, at)) = wait_for_decode_engine(job, attempts).await else {
+        return Err(failed(prefill, Cause::NoDecodeCapacity, Phase::Read));
     };
-    let decode = &view.targets[at];
-    let writing = Writing::new(decode, is_long(job));
+    let decode = &snapshot.targets[at];
+    let writing = Writing::new(decode, is_long_answer(job));
     let directive = Directive {
-        time_left: job.time_left(),
-        expect: Some(decode.id.clone()),
+        timeout: job.time_left(),
+        expected_endpoint: Some(decode.id.clone()),
         handle: Some(handle.handle.clone()),
         ..Directive::default()
     };
-    read::use_parts(job, decode, true);
+    prefill::note_parts(job, decode, true);
     let begun = Instant::now();
-    let timeout = timing::timeout(job, attempts, view.engines[at].pace.start_us);
+    let timeout = timing::timeout(job, attempts, snapshot.engines[at].pace.start_us);
     match attempt::send(job, decode, &directive, timeout).await {
         Ok(answer) => {
             let took = policy::micros(begun.elapsed());
             job.gateway.learn_pace(decode, |pace| pace.began(took));
-            prefill.note(Verdict::Fine, &job.ask.id);
-            handle.taken();
+            prefill.note(Verdict::Fine, &job.metadata.id);
+            handle.mark_fetched();
             Ok((answer, writing))
         }
         // the writer can't tell why, but most often it is the reader that has lost the handle
         Err(Cause::NotRun(_)) => {
-            prefill.note(Verdict::Failed, &job.ask.id);
-            Err(failed(decode, Cause::NoHandle, Phase::Run))
+            prefill.note(Verdict::Failed, &job.metadata.id);
+            Err(failed(decode, Cause::KvFetchFailed, Phase::Run))
         }
         Err(cause) => Err(failed(decode, cause, Phase::Run)),
     }
--- a/components/gateway/src/request/generate/view.rs
+++ b/components/gateway/src/request/generate/snapshot.rs
@@ -15,19 +15,19 @@
 };
 
 /// Time there and back to an engine in another data centre, until it is measured.
-const FAR: policy::Micros = 4_000;
+const REMOTE_RTT_US: policy::Micros = 4_000;
 /// Fewer tokens than this are read rather than fetched.
-const LEAST_FETCH: u64 = 512;
+const MIN_FETCH_TOKENS: u64 = 512;
 /// How much longer a fetch may take than the link needs: others are under way, and it may come from
 /// another data centre.
-const FETCH_SLACK: f64 = 3.0;
+const FETCH_TIME_FACTOR: f64 = 3.0;
 /// Microseconds in a second.
-const MICROS: f64 = 1e6;
+const MICROS_PER_SECOND: f64 = 1e6;
 /// Nanoseconds in a microsecond.
-const NANOS: f64 = 1e3;
+const NANOS_PER_MICRO: f64 = 1e3;
 
 /// The engines of a service as one decision sees them.
-pub struct View {
+pub struct Snapshot {
     /// The endpoints, by index.
     pub targets: Vec<Arc<Target>>,
     /// The same as placement sees them.
@@ -36,13 +36,13 @@
     source: Option<usize>,
 }
 
-impl View {
+impl Snapshot {
     /// The engines that take a request now, without those that failed it.
     pub fn new(job: &Job, tried: &[Arc<Target>]) -> Self {
         let now = Instant::now();
         let fleet = job.gateway.registry.fleet(&job.service.name);
         let parts = job
-            .ask
+            .metadata
             .prompt
             .as_ref()
             .map_or(&[][..], |prompt| &prompt.parts);
@@ -56,28 +56,28 @@
             .filter_map(|target| Some((Arc::clone(target), target.seen(now, parts, &common)?)))
             .filter(|(_, seen)| !cut_off.contains(&seen.profile.data_centre))
             .collect();
-        if job.gateway.is_suspect(job.content) {
-            keep_apart(&mut found);
+        if job.gateway.is_suspect(job.fingerprint) {
+            isolate_suspects(&mut found);
         }
         let fetchable: Vec<u64> = found.iter().map(|(_, seen)| seen.fetchable).collect();
         let (targets, engines) = found
             .into_iter()
             .map(|(target, seen)| {
-                let engine = engine(&seen, near, order(job, &target));
+                let engine = engine(&seen, near, tie_break_order(job, &target));
                 (target, engine)
             })
             .unzip();
-        let mut view = Self {
+        let mut snapshot = Self {
             targets,
             engines,
             source: None,
         };
-        view.add_fetches(job, &fetchable);
-        view
+        snapshot.add_fetches(job, &fetchable);
+        snapshot
     }
 
     /// Leaves engines that read alone.
-    pub fn only_writers(&mut self) {
+    pub fn retain_decode_engines(&mut self) {
         let stages = self.engines.iter().map(|engine| engine.stage);
         let keep: Vec<bool> = stages.map(|stage| stage == place::Stage::Decode).collect();
         let mut kept = keep.iter();
@@ -100,13 +100,13 @@
         let Some((at, held)) = most.max_by_key(|(_, held)| *held) else {
             return;
         };
-        let token_us = engines.move_token.as_secs_f64() * MICROS;
+        let token_us = engines.transfer_per_token.as_secs_f64() * MICROS_PER_SECOND;
         for engine in &mut self.engines {
             let tokens = held.saturating_sub(engine.held);
-            if tokens >= LEAST_FETCH {
+            if tokens >= MIN_FETCH_TOKENS {
                 engine.fetch = place::Fetch {
                     tokens,
-                    time: policy::real(tokens) * token_us * FETCH_SLACK,
+                    time: policy::real(tokens) * token_us * FETCH_TIME_FACTOR,
                 };
             }
         }
@@ -122,12 +122,12 @@
 
     /// Where the request is best placed.
     pub fn choose(&self, job: &Job) -> Option<Choice> {
-        place::choose(&self.engines, &ask(job), &Weights::default())
+        place::choose(&self.engines, &placement_request(job), &Weights::default())
     }
 
     /// Whether a request that finds no room, behind so many others, may get some before its time is over: the
     /// line is no longer than the slots that answers leave one after the other.
-    pub fn may_get_room(&self, waiting: usize) -> bool {
+    pub fn may_get_slot(&self, waiting: usize) -> bool {
         let writers = self.engines.iter();
         let writers = writers.filter(|engine| engine.stage == place::Stage::Decode);
         let slots: u64 = writers.map(|engine| engine.slots).sum();
@@ -136,18 +136,20 @@
 
     /// Whether the plan reads a prompt so short where it is answered that it makes no difference to anybody: then
     /// a request that is late goes there too.
-    pub fn reads_in_passing(&self, job: &Job, choice: &Choice) -> bool {
+    pub fn has_negligible_prefill(&self, job: &Job, choice: &Choice) -> bool {
         match choice.plan {
-            Plan::Whole { engine } => {
-                place::is_short(&self.engines[engine], &ask(job), &Weights::default())
-            }
+            Plan::Whole { engine } => place::is_short(
+                &self.engines[engine],
+                &placement_request(job),
+                &Weights::default(),
+            ),
             Plan::Split { .. } => false,
         }
     }
 
     /// The work for an engine that reads; none if the prompt is short.
-    fn to_read(&self, job: &Job) -> u64 {
-        let prompt = ask(job).prompt;
+    fn prefill_work(&self, job: &Job) -> u64 {
+        let prompt = placement_request(job).prompt;
         let readers = self
             .engines
             .iter()
@@ -168,15 +170,15 @@
         };
         let names = (&*self.targets[first].id.0, &*self.targets[last].id.0);
         let (reader, writer) = (&self.engines[first], &self.engines[last]);
-        let ask = ask(job);
+        let request = placement_request(job);
         log::info!(
-            request = job.ask.id, reads = names.0, writes = names.1,
+            request = job.metadata.id, reads = names.0, writes = names.1,
             expected_us = policy::count(choice.first),
-            margin_us = policy::count(job.gateway.margin(&job.service.name)), left_us = ask.within,
-            prompt = ask.prompt, held = reader.held, fetched = reader.fetch.tokens, output = ask.output,
-            content:% = job.content, parts = parts(job), reading = reader.reading, writing = writer.writing,
+            margin_us = policy::count(job.gateway.margin(&job.service.name)), left_us = request.within,
+            prompt = request.prompt, held = reader.held, fetched = reader.fetch.tokens, output = request.output,
+            content:% = job.fingerprint, parts = format_parts(job), reading = reader.reading, writing = writer.writing,
             long = writer.long, start_us = policy::count(writer.pace.start_us),
-            read_ns = policy::count(reader.pace.read_us * NANOS),
+            read_ns = policy::count(reader.pace.read_us * NANOS_PER_MICRO),
             step_us = policy::count(writer.pace.step_us), late = reader.late,
             slowed_us = writer.pace.slowed_us.map(policy::count);
             "{how}"
@@ -186,7 +188,7 @@
 
 /// Keeps of each stage the engines with the fewest suspects. Of two requests that end endpoints, or seem to, each must
 /// be seen for itself: one that another one took down with it would otherwise go down with it again.
-fn keep_apart(found: &mut Vec<(Arc<Target>, Seen)>) {
+fn isolate_suspects(found: &mut Vec<(Arc<Target>, Seen)>) {
     for stage in [Some(Stage::Prefill), Some(Stage::Decode)] {
         let of_stage = found.iter().filter(|(_, seen)| seen.profile.stage == stage);
         let least = of_stage.map(|(_, seen)| seen.load.suspects).min();
@@ -195,8 +197,8 @@
 }
 
 /// The parts of a request's prompt as a line of the log names them.
-fn parts(job: &Job) -> String {
-    let prompt = job.ask.prompt.iter();
+fn format_parts(job: &Job) -> String {
+    let prompt = job.metadata.prompt.iter();
     let parts = prompt.flat_map(|prompt| &prompt.parts);
     let named: Vec<String> = parts
         .map(|part| format!("{:x}:{}", part.key, part.tokens))
@@ -205,7 +207,7 @@
 }
 
 /// The place of an endpoint in this process's own order.
-fn order(job: &Job, target: &Target) -> u64 {
+fn tie_break_order(job: &Job, target: &Target) -> u64 {
     let seed = job.gateway.incarnation;
     xxhash_rust::xxh3::xxh3_64_with_seed(&target.short.to_le_bytes(), seed)
 }
@@ -229,7 +231,7 @@
         distance: if *seen.profile.data_centre == *near {
             0
         } else {
-            FAR
+            REMOTE_RTT_US
         },
         failures: seen.failures,
         order,
@@ -237,9 +239,9 @@
 }
 
 /// What a request asks of placement.
-pub fn ask(job: &Job) -> Ask {
+pub fn placement_request(job: &Job) -> Ask {
     let none = Prompt::default();
-    let prompt = job.ask.prompt.as_ref().unwrap_or(&none);
+    let prompt = job.metadata.prompt.as_ref().unwrap_or(&none);
     let left = job.objective.saturating_duration_since(Instant::now());
     Ask {
         prompt: prompt.tokens,
@@ -247,46 +249,50 @@
         within: policy::micros(left),
         pace: policy::real(policy::micros(job.time_left()))
             / policy::real(prompt.most_output.max(1)),
-        bearable: bearable(job),
-        event: event_tokens(job),
+        bearable: max_inter_token_latency(job),
+        event: tokens_per_event(job),
         pause: job
-            .pause
-            .map_or(f64::MAX, |pause| policy::real(policy::micros(pause))),
+            .max_stall
+            .map_or(f64::MAX, |stall| policy::real(policy::micros(stall))),
     }
 }
 
 /// Tokens in one event of an answer.
-fn event_tokens(job: &Job) -> u64 {
+fn tokens_per_event(job: &Job) -> u64 {
     let engines = job.service.engines.as_ref();
-    engines.map_or(1, |engines| engines.event_tokens.max(1))
+    engines.map_or(1, |engines| engines.tokens_per_event.max(1))
 }
 
 /// The longest time between two tokens that long answers of a request's service bear, in microseconds.
-fn bearable(job: &Job) -> f64 {
+fn max_inter_token_latency(job: &Job) -> f64 {
     let whole = job.gateway.bearable(&job.service.name);
-    let event = event_tokens(job);
-    let pause = job.pause.map_or(f64::MAX, |pause| {
-        policy::real(policy::micros(pause)) / policy::real(event)
+    let event = tokens_per_event(job);
+    let limit = job.max_stall.map_or(f64::MAX, |stall| {
+        policy::real(policy::micros(stall)) / policy::real(event)
     });
-    whole.min(pause)
+    whole.min(limit)
 }
 
 /// Whether a request's answer will be long.
-pub fn is_long(job: &Job) -> bool {
-    ask(job).output > Weights::default().long_answer
+pub fn is_long_answer(job: &Job) -> bool {
+    placement_request(job).output > Weights::default().long_answer
 }
 
 /// Counts what a request asks of its service.
-pub fn count(job: &Job, view: &View) {
+pub fn count_demand(job: &Job, snapshot: &Snapshot) {
     let gateway = &job.gateway;
     let service = &job.service.name;
-    let writing = if is_long(job) { ask(job).output } else { 0 };
+    let writing = if is_long_answer(job) {
+        placement_request(job).output
+    } else {
+        0
+    };
     let asked = Asked {
-        reading: view.to_read(job),
+        reading: snapshot.prefill_work(job),
         writing,
     };
     gateway.count_demand(service, asked);
-    if let Some(prompt) = job.ask.prompt.as_ref().filter(|_| is_long(job)) {
+    if let Some(prompt) = job.metadata.prompt.as_ref().filter(|_| is_long_answer(job)) {
         let time = job.deadline - job.arrived;
         gateway.count_long(service, prompt.most_output, time);
     }
--- a/components/gateway/src/request/job.rs
+++ b/components/gateway/src/request/job.rs
@@ -7,10 +7,10 @@
 use clock::Instant;
 use hyper::{HeaderMap, Method, Uri, http::request::Parts};
 
-use super::{attempts::Arrivals, content::Content};
+use super::{attempts::Arrivals, fingerprint::Fingerprint};
 use crate::{
-    connection::Counted,
-    edge::Ask,
+    connection::CountGuard,
+    edge::Metadata,
     process::Gateway,
     version::{Route, Service},
 };
@@ -18,12 +18,12 @@
 /// How long a caller waits if neither it nor its route says.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(60);
 /// The part of an objective that the way from the caller and back takes, with a new connection.
-const WAY: Duration = Duration::from_millis(12);
+const CALLER_TRANSIT: Duration = Duration::from_millis(12);
 
 /// What came of a caller.
 pub struct Received {
     /// What its head says beyond HTTP.
-    pub ask: Ask,
+    pub metadata: Metadata,
     /// Its head.
     pub head: Parts,
     /// Its body.
@@ -43,7 +43,7 @@
     /// The service that it goes to.
     pub service: Arc<Service>,
     /// What its head says beyond HTTP.
-    pub ask: Ask,
+    pub metadata: Metadata,
     /// Its method.
     pub method: Method,
     /// Its path and query.
@@ -53,7 +53,7 @@
     /// Its body.
     pub body: Bytes,
     /// What it asks for.
-    pub content: Content,
+    pub fingerprint: Fingerprint,
     /// When it arrived.
     pub arrived: Instant,
     /// When its time is over: the caller's, or the route's if that is shorter.
@@ -61,12 +61,12 @@
     /// Until when an answer is worth most.
     pub objective: Instant,
     /// The longest pause that streams of its service may have.
-    pub pause: Option<Duration>,
+    pub max_stall: Option<Duration>,
     /// Its arrivals at endpoints.
     pub arrivals: Arrivals,
     /// Its place on the caller's connection.
     pub open: Open,
-    _under_way: Counted,
+    _in_flight: CountGuard,
 }
 
 impl Job {
@@ -78,39 +78,39 @@
         received: Received,
     ) -> Self {
         let Received {
-            ask,
+            metadata,
             head,
             body,
             arrived,
             open,
         } = received;
-        let waits = ask.timeout.unwrap_or(DEFAULT_TIMEOUT);
-        let timeout = route.timeout.unwrap_or(waits);
-        let deadline = arrived + waits.min(timeout);
-        let objective = arrived + route.objective.saturating_sub(WAY);
-        let headers = gateway.edges.dialect.pass_on(&head.headers);
-        let pause = gateway
+        let caller_timeout = metadata.timeout.unwrap_or(DEFAULT_TIMEOUT);
+        let timeout = route.timeout.unwrap_or(caller_timeout);
+        let deadline = arrived + caller_timeout.min(timeout);
+        let objective = arrived + route.objective.saturating_sub(CALLER_TRANSIT);
+        let headers = gateway.edges.dialect.forwarded_headers(&head.headers);
+        let max_stall = gateway
             .configuration()
-            .and_then(|version| version.shortest_pause(&service.name));
-        let under_way = Counted::new(&gateway.under_way);
-        let content = Content::of(&head.method, super::host(&head), &head.uri, &body);
+            .and_then(|version| version.tightest_max_stall(&service.name));
+        let in_flight = CountGuard::new(&gateway.under_way);
+        let fingerprint = Fingerprint::of(&head.method, super::host(&head), &head.uri, &body);
         Self {
             gateway,
             route,
             service,
-            ask,
+            metadata,
             method: head.method,
             uri: head.uri,
             headers,
             body,
-            content,
+            fingerprint,
             arrived,
             deadline,
             objective,
-            pause,
+            max_stall,
             arrivals: Arrivals::default(),
             open,
-            _under_way: under_way,
+            _in_flight: in_flight,
         }
     }
 
@@ -120,8 +120,8 @@
     }
 
     /// The time until its caller leaves if nothing has come.
-    pub fn time_to_begin(&self) -> Duration {
-        let silence = self.route.silence.map(|silence| self.arrived + silence);
+    pub fn first_event_timeout(&self) -> Duration {
+        let silence = self.route.max_silence.map(|silence| self.arrived + silence);
         let latest = silence.map_or(self.deadline, |leaves| leaves.min(self.deadline));
         latest.saturating_duration_since(Instant::now())
     }
@@ -143,9 +143,9 @@
     }
 
     /// Connections that this process may hold to one endpoint of its service.
-    pub fn most_links(&self) -> usize {
+    pub fn max_connections(&self) -> usize {
         let sharers = usize::try_from(self.gateway.peers.count()).unwrap_or(0) + 1;
-        (self.service.connections / sharers).max(LEAST_LINKS)
+        (self.service.max_connections / sharers).max(MIN_CONNECTIONS)
     }
 }
 
@@ -156,4 +156,4 @@
 }
 
 /// Connections to an endpoint that a process may always hold.
-const LEAST_LINKS: usize = 4;
+const MIN_CONNECTIONS: usize = 4;
--- a/components/gateway/src/request/mod.rs
+++ b/components/gateway/src/request/mod.rs
@@ -5,13 +5,13 @@
 mod attempt;
 mod attempts;
 mod body;
-mod content;
 mod events;
+mod fingerprint;
 mod generate;
 mod job;
-mod pass;
 mod plain;
 mod refusal;
+mod relay;
 mod timeout;
 
 use std::{panic::AssertUnwindSafe, sync::Arc};
@@ -22,15 +22,15 @@
 use hyper::{Request, Response, body::Incoming, header, http::request::Parts};
 
 use crate::{
-    edge::Ask,
+    edge::Metadata,
     process::{Gateway, Phase},
 };
 pub use attempt::call;
-pub use content::Content;
-pub use generate::Line;
+pub use fingerprint::Fingerprint;
+pub use generate::Queue;
 use job::{Job, Received};
-use pass::Body;
 use refusal::Reason;
+use relay::Body;
 
 /// Answers a request that came on a connection. A refusal is sent at once.
 pub async fn answer(
@@ -40,13 +40,14 @@
 ) -> Response<Body> {
     let arrived = Instant::now();
     let (head, body) = request.into_parts();
-    let ask = gateway.edges.dialect.ask(&head);
-    let id = ask.id.clone();
+    let metadata = gateway.edges.dialect.parse_request(&head);
+    let id = metadata.id.clone();
     let open = exchange.begin(&id, head.version, arrived);
     let path = head.uri.path().to_owned();
     // the state is whole after a panic: guards release what the request held
-    let serving = AssertUnwindSafe(serve(&gateway, open, head, body, ask, arrived)).catch_unwind();
-    let given_up = |reason| {
+    let serving =
+        AssertUnwindSafe(serve(&gateway, open, head, body, metadata, arrived)).catch_unwind();
+    let failure_reason = |reason| {
         if exchange.may_have_run() {
             Reason::AnswerLost
         } else {
@@ -55,8 +56,8 @@
     };
     let served = tokio::select! {
         biased;
-        served = serving => served.unwrap_or_else(|_| Err(given_up(Reason::Panicked))),
-        () = gateway.stop_is_over() => Err(given_up(Reason::Stopping)),
+        served = serving => served.unwrap_or_else(|_| Err(failure_reason(Reason::Panicked))),
+        () = gateway.stop_is_over() => Err(failure_reason(Reason::Stopping)),
     };
     let mut response = match served {
         Ok(response) => response,
@@ -65,7 +66,7 @@
             metrics.refusals.with_label_values(&[reason.label()]).inc();
             let after_ms = reason.retry_after().map(policy::micros).unwrap_or_default() / 1_000;
             log::info!(
-                request = id, path, reason:%, run:% = reason.run(), after_ms,
+                request = id, path, reason:%, run:% = reason.execution(), after_ms,
                 took_us = policy::micros(arrived.elapsed());
                 "refused"
             );
@@ -84,7 +85,7 @@
     open: Open,
     head: Parts,
     body: Incoming,
-    ask: Ask,
+    metadata: Metadata,
     arrived: Instant,
 ) -> Result<Response<Body>, Reason> {
     if *gateway.phase.borrow() >= Phase::Closing {
@@ -95,16 +96,16 @@
     let route = version
         .route(host, head.uri.path())
         .ok_or(Reason::NoSuchRoute)?;
-    let draw = xxhash_rust::xxh3::xxh3_64(ask.id.as_bytes());
+    let draw = xxhash_rust::xxh3::xxh3_64(metadata.id.as_bytes());
     let service = route
         .target(draw)
         .and_then(|name| version.service(name))
-        .ok_or(Reason::NoEndpoint(refusal::SOON))?;
+        .ok_or(Reason::NoEndpoint(refusal::DEFAULT_RETRY_AFTER))?;
     let (route, service) = (Arc::clone(route), Arc::clone(service));
     let body = body::read(body, version.limits, arrived).await?;
     open.received();
     let received = Received {
-        ask,
+        metadata,
         head,
         body,
         arrived,
@@ -112,15 +113,15 @@
     };
     let job = Job::new(Arc::clone(gateway), route, service, received);
     gateway.count_request(&job.service.name);
-    if let Some(lapses) = gateway.withheld(job.content) {
+    if let Some(lapses) = gateway.withheld(job.fingerprint) {
         log::info!(
-            request = job.ask.id, content:% = job.content,
+            request = job.metadata.id, content:% = job.fingerprint,
             lapses_ms = policy::micros(lapses) / 1_000;
             "a request is withheld"
         );
         return Err(Reason::Withheld(lapses));
     }
-    match (&job.service.engines, &job.ask.prompt) {
+    match (&job.service.engines, &job.metadata.prompt) {
         (Some(_), Some(_)) => generate::serve(job).await,
         _ => plain::serve(job).await,
     }
--- a/components/gateway/src/request/plain.rs
+++ b/components/gateway/src/request/plain.rs
@@ -7,11 +7,11 @@
 
 use super::{
     attempt::{self, Answer, Cause},
-    attempts::{Attempts, Failed, Phase},
+    attempts::{Attempts, FailedAttempt, Phase},
     job::Job,
-    pass::{self, Body},
     refusal::Reason,
-    timeout::{Early, Suspicion, Timeout},
+    relay::{self, Body},
+    timeout::{EarlyTimeout, Suspicion, Timeout},
 };
 use crate::{
     edge::Directive,
@@ -19,19 +19,19 @@
 };
 
 /// What an endpoint in another data centre counts against a near one, in slots' worth of load.
-const REMOTE: f64 = 0.34;
+const REMOTE_PENALTY: f64 = 0.34;
 /// What an endpoint counts that fails every attempt, in slots' worth of load.
-const FAILURES: f64 = 4.0;
+const FAILURE_PENALTY: f64 = 4.0;
 
 /// What another suspect at an endpoint counts for a request that endpoints have ended under, in slots' worth of load:
 /// an idle endpoint elsewhere is better than one that may end under the other.
-const SUSPECTS: f64 = 2.0;
+const SUSPECT_PENALTY: f64 = 2.0;
 
 /// The part of the objective after which a silent endpoint is suspected, if the request may run again: an endpoint that
 /// works answers sooner, and the rest is enough for another one.
-const SUSPECTED: u32 = 2;
+const OBJECTIVES_PER_SUSPICION: u32 = 2;
 /// A silent endpoint is given this much time at least.
-const LEAST_TIMEOUT: Duration = Duration::from_millis(30);
+const MIN_TIMEOUT: Duration = Duration::from_millis(30);
 
 /// Serves a request.
 pub async fn serve(job: Job) -> Result<Response<Body>, Reason> {
@@ -43,30 +43,30 @@
     let mut failure: Option<(Answer, u32)> = None;
     let reason = loop {
         let Some(target) = choose(&job, attempts.tried()) else {
-            break attempts.give_up();
+            break attempts.exhausted_refusal();
         };
         let writing = Writing::new(&target, false);
         let outcome = attempt(&job, &target, &attempts).await;
         match outcome {
-            Ok(answer) if another_may_do_better(&job, &answer, &attempts) => {
-                attempts.ran(target);
+            Ok(answer) if should_retry_failure(&job, &answer, &attempts) => {
+                attempts.record_endpoint_failure(target);
                 failure.get_or_insert((answer, attempts.runs()));
             }
             Ok(answer) => {
                 if let Some((failure, _)) = failure {
                     failure.run.answered();
                 }
-                return Ok(pass::hand_on(job, answer, writing, attempts.runs() + 1));
+                return Ok(relay::forward(job, answer, writing, attempts.runs() + 1));
             }
             Err(cause) => {
                 drop(writing);
                 let phase = Phase::Run;
-                let failed = Failed {
+                let failed = FailedAttempt {
                     target,
                     cause,
                     phase,
                 };
-                if let Err(reason) = attempts.fail(&job, failed) {
+                if let Err(reason) = attempts.record_failure(&job, failed) {
                     break reason;
                 }
             }
@@ -74,7 +74,7 @@
     };
     let (answer, attempts) = failure.ok_or(reason)?;
     let writing = Writing::new(&answer.target, false);
-    Ok(pass::hand_on(job, answer, writing, attempts))
+    Ok(relay::forward(job, answer, writing, attempts))
 }
 
 /// The endpoint with the least load in proportion to its slots; near ones first.
@@ -83,7 +83,7 @@
     let fleet = job.gateway.registry.fleet(&job.service.name);
     let near = &job.gateway.settings.gateway.data_centre;
     let cut_off = job.gateway.peers.cut_off();
-    let suspect = job.gateway.is_suspect(job.content);
+    let suspect = job.gateway.is_suspect(job.fingerprint);
     let mut best: Option<(f64, &Arc<Target>)> = None;
     for target in fleet.used() {
         if tried.iter().any(|other| other.id == target.id) {
@@ -99,10 +99,10 @@
         let remote = if *seen.profile.data_centre == **near {
             0.0
         } else {
-            REMOTE
+            REMOTE_PENALTY
         };
         let suspects = policy::real(if suspect { seen.load.suspects } else { 0 });
-        let cost = load + remote + seen.failures * FAILURES + suspects * SUSPECTS;
+        let cost = load + remote + seen.failures * FAILURE_PENALTY + suspects * SUSPECT_PENALTY;
         if best.is_none_or(|(least, _)| cost < least) {
             best = Some((cost, target));
         }
@@ -112,41 +112,41 @@
 
 async fn attempt(job: &Job, target: &Arc<Target>, attempts: &Attempts) -> Result<Answer, Cause> {
     let directive = Directive {
-        time_left: job.time_left(),
-        expect: Some(target.id.clone()),
+        timeout: job.time_left(),
+        expected_endpoint: Some(target.id.clone()),
         ..Directive::default()
     };
-    let early = attempts.may_repeat_after_next(job).then(|| {
+    let early = attempts.may_retry_after_next(job).then(|| {
         // in time for another endpoint to answer within the objective
-        let suspected = job.arrived + job.route.objective / SUSPECTED;
-        Early {
-            suspicion: Suspicion::At(suspected.max(Instant::now() + LEAST_TIMEOUT)),
-            another: Box::new(|target| is_another_there(job, attempts, target)),
+        let suspected = job.arrived + job.route.objective / OBJECTIVES_PER_SUSPICION;
+        EarlyTimeout {
+            suspicion: Suspicion::At(suspected.max(Instant::now() + MIN_TIMEOUT)),
+            has_alternative: Box::new(|target| has_alternative(job, attempts, target)),
         }
     });
-    let timeout = Timeout::or_earlier(job.deadline, early);
+    let timeout = Timeout::with_early(job.deadline, early);
     attempt::send(job, target, &directive, timeout).await
 }
 
 /// Whether another endpoint would take the request than those that have had it and this one.
-fn is_another_there(job: &Job, attempts: &Attempts, target: &Arc<Target>) -> bool {
+fn has_alternative(job: &Job, attempts: &Attempts, target: &Arc<Target>) -> bool {
     choose(job, &attempts.tried_with(target)).is_some()
 }
 
 /// Whether an endpoint's own failure is not the caller's answer yet: the request may run again, there
 /// is time, another endpoint is there, and a repeat, which is reserved.
-fn another_may_do_better(job: &Job, answer: &Answer, attempts: &Attempts) -> bool {
+fn should_retry_failure(job: &Job, answer: &Answer, attempts: &Attempts) -> bool {
     let status = answer.head.status;
     if !status.is_server_error() {
         return false;
     }
-    answer.target.note(Verdict::Failed, &job.ask.id);
-    let may = attempts.may_repeat_after_next(job)
+    answer.target.note(Verdict::Failed, &job.metadata.id);
+    let may = attempts.may_retry_after_next(job)
         && Instant::now() < job.objective
-        && is_another_there(job, attempts, &answer.target)
+        && has_alternative(job, attempts, &answer.target)
         && job.arrivals.reserve_one(job);
     log::info!(
-        request = job.ask.id, endpoint = &*answer.target.id.0, status = status.as_u16(), may;
+        request = job.metadata.id, endpoint = &*answer.target.id.0, status = status.as_u16(), may;
         "an endpoint failed a request"
     );
     may
--- a/components/gateway/src/request/refusal.rs
+++ b/components/gateway/src/request/refusal.rs
@@ -12,11 +12,11 @@
     header::{self, HeaderValue},
 };
 
-use super::pass::{self, Body};
+use super::relay::{self, Body};
 
 /// Whether the request ran.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
-pub enum Run {
+pub enum Execution {
     /// It certainly did not, and never will.
     #[display("not-run")]
     NotRun,
@@ -45,13 +45,13 @@
     Stopping,
     /// No engine would begin to answer in time.
     #[display("no engine would begin to answer in time")]
-    Late(Duration),
+    Overloaded(Duration),
     /// No endpoint takes requests now.
     #[display("no endpoint takes requests")]
     NoEndpoint(Duration),
     /// Endpoints were asked, and none took it.
     #[display("no endpoint took the request")]
-    NotTaken(Duration),
+    AllRefused(Duration),
     /// Endpoints have ended under requests for the same.
     #[display("endpoints have ended under requests for the same")]
     Withheld(Duration),
@@ -63,22 +63,22 @@
     AnswerLost,
     /// The time was over before any endpoint got it.
     #[display("the time was over before an endpoint took it")]
-    TooLate,
+    Expired,
     /// The time was over while an endpoint may have been working on it.
     #[display("the time was over before the answer came")]
-    DeadlinePassed,
+    DeadlineExceeded,
 }
 
 /// When a caller should come back if nothing better is known: a stage change or a restart is hardly
 /// over sooner, and a caller may come to another process.
-pub const SOON: Duration = Duration::from_millis(300);
+pub const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(300);
 
 impl Reason {
     /// Whether the request ran.
-    pub fn run(self) -> Run {
+    pub fn execution(self) -> Execution {
         match self {
-            Self::AnswerLost | Self::DeadlinePassed => Run::Unknown,
-            _ => Run::NotRun,
+            Self::AnswerLost | Self::DeadlineExceeded => Execution::Unknown,
+            _ => Execution::NotRun,
         }
     }
 
@@ -90,14 +90,14 @@
             Self::SlowBody => "slow-body",
             Self::NotReady => "not-ready",
             Self::Stopping => "stopping",
-            Self::Late(_) => "late",
+            Self::Overloaded(_) => "late",
             Self::NoEndpoint(_) => "no-endpoint",
-            Self::NotTaken(_) => "not-taken",
+            Self::AllRefused(_) => "not-taken",
             Self::Withheld(_) => "withheld",
             Self::Panicked => "panicked",
             Self::AnswerLost => "answer-lost",
-            Self::TooLate => "too-late",
-            Self::DeadlinePassed => "deadline-passed",
+            Self::Expired => "too-late",
+            Self::DeadlineExceeded => "deadline-passed",
         }
     }
 
@@ -108,25 +108,25 @@
             Self::SlowBody => StatusCode::REQUEST_TIMEOUT,
             Self::NotReady
             | Self::Stopping
-            | Self::Late(_)
+            | Self::Overloaded(_)
             | Self::NoEndpoint(_)
-            | Self::NotTaken(_)
+            | Self::AllRefused(_)
             | Self::Withheld(_)
             | Self::Panicked
-            | Self::TooLate => StatusCode::SERVICE_UNAVAILABLE,
+            | Self::Expired => StatusCode::SERVICE_UNAVAILABLE,
             Self::AnswerLost => StatusCode::BAD_GATEWAY,
-            Self::DeadlinePassed => StatusCode::GATEWAY_TIMEOUT,
+            Self::DeadlineExceeded => StatusCode::GATEWAY_TIMEOUT,
         }
     }
 
     /// When trying again may help; none where it can't.
     pub fn retry_after(self) -> Option<Duration> {
         match self {
-            Self::Late(after)
+            Self::Overloaded(after)
             | Self::NoEndpoint(after)
-            | Self::NotTaken(after)
+            | Self::AllRefused(after)
             | Self::Withheld(after) => Some(after),
-            Self::NotReady | Self::Panicked => Some(SOON),
+            Self::NotReady | Self::Panicked => Some(DEFAULT_RETRY_AFTER),
             // another process takes it at once
             Self::Stopping => Some(Duration::ZERO),
             _ => None,
@@ -135,7 +135,7 @@
 
     /// The answer that a caller gets.
     pub fn response(self) -> Response<Body> {
-        let mut response = Response::new(pass::whole(Bytes::from(self.to_string())));
+        let mut response = Response::new(relay::full_body(Bytes::from(self.to_string())));
         *response.status_mut() = self.status();
         let headers = response.headers_mut();
         let text = HeaderValue::from_static("text/plain");
--- a/components/gateway/src/request/pass.rs
+++ b/components/gateway/src/request/relay.rs
@@ -15,10 +15,10 @@
 
 use super::{
     attempt::{self, Answer},
-    events::Splitter,
+    events::EventSplitter,
     generate::{
-        self, is_long,
-        relocate::{self, Stopped},
+        self, is_long_answer,
+        migrate::{self, StoppedAnswer},
     },
     job::Job,
 };
@@ -28,54 +28,54 @@
 };
 
 /// A body towards a caller.
-pub type Body = UnsyncBoxBody<Bytes, Broken>;
+pub type Body = UnsyncBoxBody<Bytes, RelayError>;
 
 /// An answer could not be handed on whole.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
-pub enum Broken {
+pub enum RelayError {
     /// The endpoint broke off.
     #[display("the endpoint broke its answer off")]
     Endpoint,
     /// The time of the request is over.
     #[display("the time of the request is over")]
-    TimeOver,
+    TimedOut,
 }
 
 /// An endpoint stops by itself when its time is over; its last bytes may take this much longer.
-const LAST_BYTES: Duration = Duration::from_millis(200);
+const DEADLINE_GRACE: Duration = Duration::from_millis(200);
 
 /// How often an answer goes on elsewhere because its engine is left: each time is an arrival more.
-const MOVES: u32 = 2;
+const MAX_MIGRATIONS: u32 = 2;
 /// Arrivals beyond the first that a move may take: where the answer goes on, and where it stopped if that engine
 /// turns it away. An answer that has stopped must not find the budget used up.
-const ARRIVALS: usize = 2;
+const MIGRATION_ARRIVALS: usize = 2;
 
 /// A body that is whole.
-pub fn whole(bytes: Bytes) -> Body {
+pub fn full_body(bytes: Bytes) -> Body {
     Full::new(bytes)
         .map_err(|never| match never {})
         .boxed_unsync()
 }
 
 /// An answer on its way to the caller.
-struct Passing {
+struct Relay {
     job: Job,
     status: StatusCode,
     source: Option<Source>,
     /// Who answers, or did last.
     endpoint: Id,
     /// Set for streams of events, which may go on at another endpoint.
-    splitter: Option<Splitter>,
+    splitter: Option<EventSplitter>,
     attempts: u32,
     /// Times that it went on elsewhere because its engine was left.
-    moves: u32,
+    migrations: u32,
     /// The engine to which it goes next, once it has stopped where it is.
-    next: Option<Stopped>,
+    migration: Option<StoppedAnswer>,
     events: u64,
-    first: Option<Instant>,
+    first_event: Option<Instant>,
     /// The longest time between two events.
-    longest: Duration,
-    ended: bool,
+    longest_gap: Duration,
+    logged: bool,
 }
 
 /// Where the answer comes from just now.
@@ -83,9 +83,9 @@
     body: Incoming,
     link: Link,
     target: Arc<Target>,
-    last: Option<Instant>,
+    last_event: Option<Instant>,
     /// The time that the prompts under way there would still take when the last event came, in microseconds.
-    left: Option<policy::Micros>,
+    prefill_left: Option<policy::Micros>,
     _writing: Writing,
     /// The request under way there; none once its connection broke.
     run: Option<Run>,
@@ -97,8 +97,8 @@
             body: answer.body,
             link: answer.link,
             target: answer.target,
-            last: None,
-            left: None,
+            last_event: None,
+            prefill_left: None,
             _writing: writing,
             run: Some(answer.run),
         }
@@ -106,64 +106,66 @@
 }
 
 /// Hands an answer on, after so many attempts.
-pub fn hand_on(job: Job, answer: Answer, writing: Writing, attempts: u32) -> Response<Body> {
+pub fn forward(job: Job, answer: Answer, writing: Writing, attempts: u32) -> Response<Body> {
     let mut response = Response::new(());
     *response.status_mut() = answer.head.status;
     *response.headers_mut() = call::headers::end_to_end(&answer.head.headers);
-    let streams = job.route.kind.streams() && answer.head.status.is_success();
-    let mut splitter = streams.then(Splitter::default);
-    if let (Some(splitter), Some(after)) = (&mut splitter, job.ask.resume_after) {
+    let streams = job.route.kind.is_stream() && answer.head.status.is_success();
+    let mut splitter = streams.then(EventSplitter::default);
+    if let (Some(splitter), Some(after)) = (&mut splitter, job.metadata.resume_after) {
         splitter.start_after(after);
     }
-    let mut passing = Passing {
+    let mut relay = Relay {
         status: answer.head.status,
         endpoint: answer.target.id.clone(),
         source: Some(Source::new(answer, writing)),
         job,
         splitter,
         attempts,
-        moves: 0,
-        next: None,
+        migrations: 0,
+        migration: None,
         events: 0,
-        first: None,
-        longest: Duration::ZERO,
-        ended: false,
+        first_event: None,
+        longest_gap: Duration::ZERO,
+        logged: false,
     };
-    if passing
+    if relay
         .source
         .as_ref()
         .is_some_and(|source| source.body.is_end_stream())
     {
         // nobody asks for the body of an answer that has none
-        passing.finish();
+        relay.finish();
     }
-    let parts = stream::try_unfold(passing, |mut passing| async move {
-        let part = passing.next().await?;
-        Ok::<_, Broken>(part.map(|part| (part, passing)))
+    let chunks = stream::try_unfold(relay, |mut relay| async move {
+        let chunk = relay.next_chunk().await?;
+        Ok::<_, RelayError>(chunk.map(|chunk| (chunk, relay)))
     });
-    response.map(|()| StreamBody::new(parts.map_ok(Frame::data).boxed()).boxed_unsync())
+    response.map(|()| StreamBody::new(chunks.map_ok(Frame::data).boxed()).boxed_unsync())
 }
 
-impl Passing {
+impl Relay {
     /// The next bytes for the caller; none at the end of a whole answer.
-    async fn next(&mut self) -> Result<Option<Bytes>, Broken> {
+    async fn next_chunk(&mut self) -> Result<Option<Bytes>, RelayError> {
         loop {
             let Some(source) = &mut self.source else {
                 return Ok(None);
             };
-            let until = self.job.deadline + LAST_BYTES;
-            let moves = self.next.is_none() && self.moves < MOVES && is_long(&self.job);
+            let cutoff = self.job.deadline + DEADLINE_GRACE;
+            let may_migrate = self.migration.is_none()
+                && self.migrations < MAX_MIGRATIONS
+                && is_long_answer(&self.job);
             let frame = tokio::select! {
                 biased;
-                frame = clock::timeout_at(until, source.body.frame()) => frame,
-                () = attempt::ended(&source.target) => {
+                frame = clock::timeout_at(cutoff, source.body.frame()) => frame,
+                () = attempt::wait_for_termination(&source.target) => {
                     if self.resume().await {
                         continue;
                     }
-                    return Err(self.fail(Broken::Endpoint));
+                    return Err(self.fail(RelayError::Endpoint));
                 }
-                () = source.target.left(), if moves => {
-                    self.leave().await;
+                () = source.target.left(), if may_migrate => {
+                    self.migrate().await;
                     continue;
                 }
             };
@@ -174,7 +176,7 @@
                     };
                     // nobody asks for more once an announced length has come
                     let last = source.body.is_end_stream();
-                    self.learn();
+                    self.learn_pace();
                     let whole = match &mut self.splitter {
                         None => Some(bytes),
                         Some(splitter) => splitter.push(&bytes),
@@ -184,132 +186,134 @@
                         (Some(whole), Some(rest)) => {
                             return Ok(Some([whole, rest].concat().into()));
                         }
-                        (Some(part), None) | (None, Some(part)) => return Ok(Some(part)),
+                        (Some(chunk), None) | (None, Some(chunk)) => return Ok(Some(chunk)),
                         (None, None) => {}
                     }
                 }
                 Ok(None) => return Ok(self.finish()),
                 Ok(Some(Err(_))) => {
-                    let goes_on = match self.next.take() {
-                        Some(next) => self.go_on(next).await,
+                    let resumed = match self.migration.take() {
+                        Some(next) => self.resume_migrated(next).await,
                         None => self.resume().await,
                     };
-                    if !goes_on {
-                        return Err(self.fail(Broken::Endpoint));
+                    if !resumed {
+                        return Err(self.fail(RelayError::Endpoint));
                     }
                 }
-                Err(_) => return Err(self.fail(Broken::TimeOver)),
+                Err(_) => return Err(self.fail(RelayError::TimedOut)),
             }
         }
     }
 
     /// Notes that the endpoint broke off, and finds out whether it has ended.
-    async fn broke(&mut self) {
+    async fn note_break(&mut self) {
         if let Some(source) = &mut self.source {
             if let Some(run) = source.run.take() {
                 run.broke();
             }
             let gateway = &self.job.gateway;
-            gateway.look_for_end(&source.target, &self.job.ask.id).await;
+            gateway
+                .look_for_end(&source.target, &self.job.metadata.id)
+                .await;
         }
     }
 
     /// Learns the engine's pace from the time between two events.
-    fn learn(&mut self) {
+    fn learn_pace(&mut self) {
         let now = Instant::now();
         self.events += 1;
-        self.first.get_or_insert(now);
+        self.first_event.get_or_insert(now);
         let Some(source) = &mut self.source else {
             return;
         };
-        let gap = source.last.replace(now).map(|last| now - last);
+        let gap = source.last_event.replace(now).map(|last| now - last);
         let gateway = &self.job.gateway;
         let common = gateway.common(&self.job.service.name);
         let left = source.target.with(|state| state.time_to_read(now, &common));
-        let before = std::mem::replace(&mut source.left, left);
+        let before = std::mem::replace(&mut source.prefill_left, left);
         source.target.progressed();
-        self.longest = self.longest.max(gap.unwrap_or_default());
+        self.longest_gap = self.longest_gap.max(gap.unwrap_or_default());
         let engines = self.job.service.engines.as_ref();
         if let (Some(gap), Some(engines)) = (gap, engines) {
             let gap = policy::micros(gap);
             gateway.learn_pace(&source.target, |pace| {
-                pace.event(engines.event_tokens, gap, before, left);
+                pace.event(engines.tokens_per_event, gap, before, left);
             });
         }
     }
 
     /// The end of an answer that is whole.
     fn finish(&mut self) -> Option<Bytes> {
-        let rest = self.splitter.as_mut().and_then(Splitter::finish);
-        self.log_end("answered");
+        let rest = self.splitter.as_mut().and_then(EventSplitter::finish);
+        self.log_outcome("answered");
         if let Some(source) = self.source.take() {
             if let Some(run) = source.run {
                 run.answered();
             }
             if self.status.is_success() {
-                self.job.gateway.note_served(self.job.content);
+                self.job.gateway.note_served(self.job.fingerprint);
             }
-            source.target.note(Verdict::Fine, &self.job.ask.id);
+            source.target.note(Verdict::Fine, &self.job.metadata.id);
             source.target.give_back(source.link);
         }
         rest
     }
 
-    fn fail(&mut self, broken: Broken) -> Broken {
-        let (outcome, verdict) = match broken {
-            Broken::Endpoint => ("broken off by the endpoint", Verdict::Failed),
-            Broken::TimeOver => ("cut when its time was over", Verdict::Fine),
+    fn fail(&mut self, error: RelayError) -> RelayError {
+        let (outcome, verdict) = match error {
+            RelayError::Endpoint => ("broken off by the endpoint", Verdict::Failed),
+            RelayError::TimedOut => ("cut when its time was over", Verdict::Fine),
         };
-        self.log_end(outcome);
+        self.log_outcome(outcome);
         if let Some(source) = self.source.take() {
-            source.target.note(verdict, &self.job.ask.id);
+            source.target.note(verdict, &self.job.metadata.id);
         }
-        broken
+        error
     }
 
     /// Has the answer stopped where it is, to go on at another engine.
-    async fn leave(&mut self) {
-        self.moves += 1;
+    async fn migrate(&mut self) {
+        self.migrations += 1;
         let Some(source) = &self.source else {
             return;
         };
-        let withheld = self.job.gateway.withheld(self.job.content).is_some();
-        if withheld || !self.job.arrivals.reserve(&self.job, ARRIVALS) {
+        let withheld = self.job.gateway.withheld(self.job.fingerprint).is_some();
+        if withheld || !self.job.arrivals.reserve(&self.job, MIGRATION_ARRIVALS) {
             return;
         }
-        self.next = relocate::stop(&self.job, &source.target).await;
-        if self.next.is_none() {
+        self.migration = migrate::stop_and_copy(&self.job, &source.target).await;
+        if self.migration.is_none() {
             self.job.arrivals.release(&self.job);
         }
     }
 
     /// Goes on where a stopped answer was moved to, or else where it stopped. Says whether that worked.
-    async fn go_on(&mut self, stopped: Stopped) -> bool {
-        let goes_on = self.go_on_at(stopped).await;
+    async fn resume_migrated(&mut self, stopped: StoppedAnswer) -> bool {
+        let resumed = self.try_resume_migrated(stopped).await;
         self.job.arrivals.release(&self.job);
-        goes_on
+        resumed
     }
 
-    async fn go_on_at(&mut self, stopped: Stopped) -> bool {
+    async fn try_resume_migrated(&mut self, stopped: StoppedAnswer) -> bool {
         let Some(splitter) = &mut self.splitter else {
             return false;
         };
-        splitter.forget();
-        let after = splitter.last();
+        splitter.discard_partial();
+        let after = splitter.last_id();
         self.source = None;
         let mut next = Some(stopped);
         while let Some(stopped) = next {
-            match relocate::go_on(&self.job, &stopped, after).await {
+            match migrate::resume(&self.job, &stopped, after).await {
                 Ok((answer, writing)) => {
                     self.endpoint = answer.target.id.clone();
                     self.source = Some(Source::new(answer, writing));
                     return true;
                 }
                 Err(cause) => {
-                    log::warn!(request = self.job.ask.id, cause:%; "a moved stream did not go on");
-                    next = stopped.back().filter(|_| cause.not_run());
+                    log::warn!(request = self.job.metadata.id, cause:%; "a moved stream did not go on");
+                    next = stopped.back_to_source().filter(|_| cause.not_run());
                     // it stays there, as the others are likely to turn it away too
-                    self.moves = MOVES;
+                    self.migrations = MAX_MIGRATIONS;
                 }
             }
         }
@@ -318,22 +322,22 @@
 
     /// Goes on at another endpoint after the last whole event. Says whether that worked.
     async fn resume(&mut self) -> bool {
-        self.broke().await;
+        self.note_break().await;
         if self.job.route.kind != Kind::ResumableStream {
             return false;
         }
         let Some(splitter) = &mut self.splitter else {
             return false;
         };
-        splitter.forget();
-        let after = splitter.last();
+        splitter.discard_partial();
+        let after = splitter.last_id();
         let Some(broken) = self.source.take() else {
             return false;
         };
-        broken.target.note(Verdict::Failed, &self.job.ask.id);
+        broken.target.note(Verdict::Failed, &self.job.metadata.id);
         let from = Arc::clone(&broken.target);
         drop(broken);
-        if self.attempts >= self.job.route.attempts {
+        if self.attempts >= self.job.route.max_attempts {
             return false;
         }
         self.attempts += 1;
@@ -344,42 +348,42 @@
                 true
             }
             Err(cause) => {
-                log::info!(request = self.job.ask.id, cause:%; "a broken stream was not resumed");
+                log::info!(request = self.job.metadata.id, cause:%; "a broken stream was not resumed");
                 false
             }
         }
     }
 
     /// Says how the request ended.
-    fn log_end(&mut self, outcome: &str) {
-        self.ended = true;
+    fn log_outcome(&mut self, outcome: &str) {
+        self.logged = true;
         let metrics = &self.job.gateway.metrics;
         let service = &*self.job.service.name;
         let whole = self.job.arrived.elapsed().as_secs_f64();
         metrics.answers.with_label_values(&[service, outcome]).inc();
         metrics.whole.with_label_values(&[service]).observe(whole);
-        if let Some(first) = self.first {
+        if let Some(first) = self.first_event {
             let first = (first - self.job.arrived).as_secs_f64();
             metrics.first.with_label_values(&[service]).observe(first);
         }
         let first_us = self
-            .first
+            .first_event
             .map(|first| policy::micros(first - self.job.arrived));
         log::info!(
-            request = self.job.ask.id, route = &*self.job.route.name, status = self.status.as_u16(),
-            attempts = self.attempts, moves = self.moves, events = self.events, first_us,
-            endpoint = &*self.endpoint.0, content:% = self.job.content,
-            longest_gap_us = policy::micros(self.longest),
+            request = self.job.metadata.id, route = &*self.job.route.name, status = self.status.as_u16(),
+            attempts = self.attempts, moves = self.migrations, events = self.events, first_us,
+            endpoint = &*self.endpoint.0, content:% = self.job.fingerprint,
+            longest_gap_us = policy::micros(self.longest_gap),
             took_us = policy::micros(self.job.arrived.elapsed());
             "{outcome}"
         );
     }
 }
 
-impl Drop for Passing {
+impl Drop for Relay {
     fn drop(&mut self) {
-        if !self.ended {
-            self.log_end("left by the caller");
+        if !self.logged {
+            self.log_outcome("left by the caller");
         }
     }
 }
--- a/components/gateway/src/steward/change.rs
+++ b/components/gateway/src/steward/change.rs
@@ -7,7 +7,7 @@
 
 use super::plan::Wish;
 use crate::{
-    edge::{Order, Ordered, Report},
+    edge::{Order, OrderOutcome, Report},
     endpoint::Target,
     process::Gateway,
     request::call,
@@ -88,7 +88,7 @@
         if report.stage == wish.stage {
             return true;
         }
-        if report.busy {
+        if report.order_in_progress {
             clock::sleep(LOOK).await;
             continue;
         }
@@ -97,9 +97,9 @@
             return false;
         }
         match give(gateway, wish, epoch, &report).await {
-            Some(Ordered::Accepted | Ordered::Holds) => return true,
-            Some(Ordered::Fenced) => return false,
-            Some(Ordered::Conflict | Ordered::Refused | Ordered::Unclear) | None => {
+            Some(OrderOutcome::Accepted | OrderOutcome::Holds) => return true,
+            Some(OrderOutcome::Fenced) => return false,
+            Some(OrderOutcome::Conflict | OrderOutcome::Refused | OrderOutcome::Unclear) | None => {
                 clock::sleep(LOOK).await;
             }
         }
@@ -107,21 +107,26 @@
     false
 }
 
-async fn give(gateway: &Arc<Gateway>, wish: &Wish, epoch: u64, report: &Report) -> Option<Ordered> {
+async fn give(
+    gateway: &Arc<Gateway>,
+    wish: &Wish,
+    epoch: u64,
+    report: &Report,
+) -> Option<OrderOutcome> {
     let order = Order {
         engine: wish.target.id.clone(),
         stage: wish.stage,
         holder: gateway.settings.gateway.name.clone(),
-        token: epoch,
-        after: report.orders,
+        fencing_token: epoch,
+        accepted_orders: report.accepted_orders,
     };
-    let answer = call(&wish.target, gateway.edges.dialect.order(&order)).await;
-    let ordered = answer.map(|(status, _)| gateway.edges.dialect.ordered(status));
+    let answer = call(&wish.target, gateway.edges.dialect.order_call(&order)).await;
+    let ordered = answer.map(|(status, _)| gateway.edges.dialect.parse_order_reply(status));
     let label = ordered.map_or_else(|| "unanswered".to_owned(), |ordered| ordered.to_string());
     gateway.metrics.orders.with_label_values(&[&label]).inc();
     let outcome = ordered.map_or("no answer".to_owned(), |ordered| ordered.to_string());
     log::info!(
-        engine = &*wish.target.id.0, to:% = wish.stage, epoch, after = report.orders, outcome;
+        engine = &*wish.target.id.0, to:% = wish.stage, epoch, after = report.accepted_orders, outcome;
         "ordered a change of stage"
     );
     ordered
@@ -141,7 +146,7 @@
         if report.is_some_and(|report| is_another(&wish.target, &report)) {
             return false;
         }
-        if report.is_some_and(|report| report.stage == wish.stage && !report.busy) {
+        if report.is_some_and(|report| report.stage == wish.stage && !report.order_in_progress) {
             wish.target.take_stage(wish.stage);
             gateway.steward.announce(wish.target.short, wish.stage);
             return true;
@@ -170,14 +175,14 @@
     let service = target.with(|state| Arc::clone(&state.profile.service));
     gateway
         .configuration()
-        .and_then(|version| Some(version.service(&service)?.engines.as_ref()?.switch))
+        .and_then(|version| Some(version.service(&service)?.engines.as_ref()?.stage_switch))
         .unwrap_or_default()
 }
 
 async fn report(gateway: &Arc<Gateway>, target: &Arc<Target>) -> Option<Report> {
-    let (status, body) = call(target, gateway.edges.dialect.inquiry()).await?;
+    let (status, body) = call(target, gateway.edges.dialect.report_call()).await?;
     status
         .is_success()
-        .then(|| gateway.edges.dialect.report(&body))
+        .then(|| gateway.edges.dialect.parse_report(&body))
         .flatten()
 }
--- a/components/gateway/src/version/idle.rs
+++ b/components/gateway/src/version/idle.rs
@@ -6,20 +6,20 @@
 use parking_lot::Mutex;
 
 /// Changes of the limit that are kept: at one a second, more than the longest that connections are left idle.
-const MOST: usize = 256;
+const MAX_CHANGES: usize = 256;
 
 /// The limits of the configurations so far, each with the time at which it came into force.
 #[derive(Debug, Default)]
-pub struct Limits(Mutex<Vec<(Instant, Duration)>>);
+pub struct History(Mutex<Vec<(Instant, Duration)>>);
 
-impl Limits {
+impl History {
     /// Notes the limit of a configuration that comes into force.
-    pub fn adopt(&self, now: Instant, limit: Duration) {
+    pub fn record(&self, now: Instant, limit: Duration) {
         let mut limits = self.0.lock();
         if limits.last().is_some_and(|(_, last)| *last == limit) {
             return;
         }
-        if limits.len() == MOST {
+        if limits.len() == MAX_CHANGES {
             limits.remove(0);
         }
         limits.push((now, limit));
--- a/components/gateway/src/version/mod.rs
+++ b/components/gateway/src/version/mod.rs
@@ -23,13 +23,13 @@
 impl Kind {
     /// Whether the answer is a stream of events.
     #[must_use]
-    pub fn streams(self) -> bool {
+    pub fn is_stream(self) -> bool {
         matches!(self, Self::Stream | Self::ResumableStream)
     }
 
     /// Whether it may run again after an attempt of unknown outcome.
     #[must_use]
-    pub fn repeats(self) -> bool {
+    pub fn is_retryable(self) -> bool {
         matches!(self, Self::Idempotent | Self::ResumableStream)
     }
 }
@@ -59,14 +59,14 @@
     /// The time within which an answer is worth most.
     pub objective: Duration,
     /// The longest pause between two events of a stream that still counts as on time.
-    pub pause: Option<Duration>,
+    pub max_stall: Option<Duration>,
     /// The longest silence that callers of a stream bear, also before its first event: then they leave. None if
     /// they wait until their time is over.
-    pub silence: Option<Duration>,
+    pub max_silence: Option<Duration>,
     /// Its rank; 0 goes first.
-    pub rank: u32,
+    pub priority: u32,
     /// Endpoints to which one request may be sent.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// The services that it leads to.
     pub targets: Vec<Target>,
 }
@@ -77,15 +77,15 @@
     /// Requests that an engine runs at once.
     pub slots: u64,
     /// Tokens that an engine's memory holds.
-    pub memory_tokens: u64,
+    pub kv_capacity_tokens: u64,
     /// Time to move a token's KV cache from one engine to another in the same data centre.
-    pub move_token: Duration,
+    pub transfer_per_token: Duration,
     /// Tokens in one event of a stream.
-    pub event_tokens: u64,
+    pub tokens_per_event: u64,
     /// How long an engine keeps a handle.
-    pub handle_life: Duration,
+    pub handle_ttl: Duration,
     /// How long an engine is away when its stage changes.
-    pub switch: Duration,
+    pub stage_switch: Duration,
 }
 
 /// A service.
@@ -94,7 +94,7 @@
     /// Its name.
     pub name: Arc<str>,
     /// Connections that each of its endpoints takes, from all callers together.
-    pub connections: usize,
+    pub max_connections: usize,
     /// What is known of its engines; none for a plain service.
     pub engines: Option<Engines>,
 }
@@ -103,22 +103,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// Largest head of a request, in bytes.
-    pub head_bytes: usize,
+    pub max_header_bytes: usize,
     /// Largest body of a request, in bytes.
-    pub body_bytes: usize,
+    pub max_body_bytes: usize,
     /// The longest that a caller may take to send a head.
-    pub head_time: Duration,
+    pub header_timeout: Duration,
     /// The longest that a connection may stay idle.
-    pub idle_time: Duration,
+    pub idle_timeout: Duration,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            head_bytes: 16 << 10,
-            body_bytes: 4 << 20,
-            head_time: Duration::from_secs(3),
-            idle_time: Duration::from_secs(15),
+            max_header_bytes: 16 << 10,
+            max_body_bytes: 4 << 20,
+            header_timeout: Duration::from_secs(3),
+            idle_timeout: Duration::from_secs(15),
         }
     }
 }
@@ -179,10 +179,10 @@
 
     /// The shortest of the pauses that streams of a service may have; none if no route bounds them.
     #[must_use]
-    pub fn shortest_pause(&self, service: &str) -> Option<Duration> {
+    pub fn tightest_max_stall(&self, service: &str) -> Option<Duration> {
         let serves = |route: &&Arc<Route>| route.targets.iter().any(|t| *t.service == *service);
         let routes = self.routes.iter().filter(serves);
-        routes.filter_map(|route| route.pause).min()
+        routes.filter_map(|route| route.max_stall).min()
     }
 
     /// All services, sorted by name.
--- a/components/gateway/tests/gateway/fake.rs
+++ b/components/gateway/tests/gateway/fake.rs
@@ -15,8 +15,8 @@
 use gateway::{
     Edges,
     edge::{
-        Ask, Call, Change, Dialect, Directive, Directory, Failure, From, Handle, Order, Ordered,
-        Relocated, Reply, Report, Update,
+        Call, Change, Cursor, Dialect, Directive, Directory, Failure, KvHandle, Metadata,
+        Migration, Order, OrderOutcome, Reply, Report, Update,
     },
     version::Configuration,
 };
@@ -32,7 +32,7 @@
 /// Notes all calls, and fails some of them.
 #[derive(Debug)]
 pub struct Notes {
-    pub calls: Mutex<Vec<From>>,
+    pub calls: Mutex<Vec<Cursor>>,
     /// The calls that fail, by their number from 1.
     fails: RangeInclusive<usize>,
 }
@@ -45,15 +45,15 @@
         }
     }
 
-    fn take<T>(&self, from: From) -> Result<Update<T>, Failure> {
+    fn take<T>(&self, from: Cursor) -> Result<Update<T>, Failure> {
         let mut calls = self.calls.lock();
         calls.push(from);
         if self.fails.contains(&calls.len()) {
-            return Err(Failure::Lost);
+            return Err(Failure::ResponseLost);
         }
         Ok(Update {
             revision: REVISION,
-            changed: 0,
+            last_change: 0,
             changes: Vec::new(),
         })
     }
@@ -87,7 +87,7 @@
 }
 
 impl Directory for Fake {
-    fn endpoints(&self, from: From) -> BoxFuture<'_, Result<Update<Change>, Failure>> {
+    fn endpoints(&self, from: Cursor) -> BoxFuture<'_, Result<Update<Change>, Failure>> {
         async move {
             tokio::time::sleep(Duration::from_millis(20)).await;
             self.endpoints.take(from)
@@ -97,7 +97,7 @@
 
     fn configuration(
         &self,
-        from: From,
+        from: Cursor,
     ) -> BoxFuture<'_, Result<Update<Arc<Configuration>>, Failure>> {
         async move {
             tokio::time::sleep(Duration::from_millis(20)).await;
@@ -120,62 +120,62 @@
 
 /// Nothing is sent in these tests.
 impl Dialect for Fake {
-    fn ask(&self, _: &request::Parts) -> Ask {
-        Ask::default()
+    fn parse_request(&self, _: &request::Parts) -> Metadata {
+        Metadata::default()
     }
 
-    fn pass_on(&self, headers: &HeaderMap) -> HeaderMap {
+    fn forwarded_headers(&self, headers: &HeaderMap) -> HeaderMap {
         headers.clone()
     }
 
-    fn direct(&self, _: &Directive, _: &mut HeaderMap) {}
+    fn apply_directive(&self, _: &Directive, _: &mut HeaderMap) {}
 
-    fn reply(&self, _: &str, _: &response::Parts) -> Reply {
+    fn parse_reply(&self, _: &str, _: &response::Parts) -> Reply {
         Reply {
-            ours: false,
+            matches_request: false,
             not_run: false,
             signed: false,
-            keeps: None,
+            keep_alive: None,
         }
     }
 
-    fn handle(&self, _: SocketAddr, _: &[u8]) -> Option<Handle> {
+    fn parse_handle(&self, _: SocketAddr, _: &[u8]) -> Option<KvHandle> {
         None
     }
 
-    fn release(&self, _: &Handle) -> Call {
+    fn release_call(&self, _: &KvHandle) -> Call {
         call()
     }
 
-    fn relocation(&self, _: &str, _: SocketAddr) -> Call {
+    fn migration_call(&self, _: &str, _: SocketAddr) -> Call {
         call()
     }
 
-    fn relocated(&self, _: SocketAddr, _: StatusCode, _: &[u8]) -> Option<Relocated> {
+    fn parse_migration(&self, _: SocketAddr, _: StatusCode, _: &[u8]) -> Option<Migration> {
         None
     }
 
-    fn order(&self, _: &Order) -> Call {
+    fn order_call(&self, _: &Order) -> Call {
         call()
     }
 
-    fn ordered(&self, _: StatusCode) -> Ordered {
-        Ordered::Unclear
+    fn parse_order_reply(&self, _: StatusCode) -> OrderOutcome {
+        OrderOutcome::Unclear
     }
 
-    fn inquiry(&self) -> Call {
+    fn report_call(&self) -> Call {
         call()
     }
 
-    fn report(&self, _: &[u8]) -> Option<Report> {
+    fn parse_report(&self, _: &[u8]) -> Option<Report> {
         None
     }
 
-    fn listing(&self) -> Call {
+    fn kv_list_call(&self) -> Call {
         call()
     }
 
-    fn held(&self, _: &[u8]) -> Option<Vec<policy::prompt::Part>> {
+    fn parse_kv_list(&self, _: &[u8]) -> Option<Vec<policy::prompt::Part>> {
         None
     }
 }
--- a/components/gateway/tests/gateway/lists.rs
+++ b/components/gateway/tests/gateway/lists.rs
@@ -2,7 +2,7 @@
 
 use std::{net::SocketAddr, sync::atomic::Ordering, time::Duration};
 
-use gateway::edge::From;
+use gateway::edge::Cursor;
 use prost::Message;
 use tokio::net::UdpSocket;
 use wire::{Digest, EndpointChanges};
@@ -24,12 +24,12 @@
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
         let asked = notes.calls.lock().clone();
-        assert_eq!(asked[0], From::Start);
+        assert_eq!(asked[0], Cursor::Start);
         let waits: Vec<Duration> = asked[1..]
             .iter()
             .map(|from| match from {
-                From::Start => panic!("read from the start again: {asked:?}"),
-                From::After { revision, wait } => {
+                Cursor::Start => panic!("read from the start again: {asked:?}"),
+                Cursor::After { revision, wait } => {
                     assert_eq!(*revision, REVISION);
                     *wait
                 }
@@ -67,7 +67,8 @@
     while calls().len() < 3 {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    let knows = |from: &From| matches!(from, From::After { revision, .. } if *revision > REVISION);
+    let knows =
+        |from: &Cursor| matches!(from, Cursor::After { revision, .. } if *revision > REVISION);
     let mut number = 0;
     while !calls().iter().any(knows) {
         number += 1;
@@ -82,7 +83,7 @@
     }
     // the second call was made before the store had failed
     for call in calls().iter().skip(2) {
-        assert_eq!(*call, call.at_once());
+        assert_eq!(*call, call.without_wait());
     }
 }
 
