--- a/components/gateway/src/endpoint/requests.rs
+++ b/components/gateway/src/endpoint/requests.rs
@@ -6,7 +6,7 @@
 use clock::Instant;
 
 use super::Target;
-use crate::request::Content;
+use crate::request::Fingerprint;
 
 /// How long a request that was given up on may still be what ends its endpoint: an engine notices late that nobody
 /// waits any more.
@@ -28,7 +28,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Unanswered {
-    fingerprint: Content,
+    fingerprint: Fingerprint,
     interruption: Interruption,
     at: Instant,
 }
@@ -46,7 +46,7 @@
 /// Requests under way at an endpoint, and those that lately got no answer.
 #[derive(Debug, Default)]
 pub struct RequestTracker {
-    in_flight: Vec<(u64, Content)>,
+    in_flight: Vec<(u64, Fingerprint)>,
     /// The oldest first.
     unanswered: VecDeque<Unanswered>,
     /// Requests so far.
@@ -54,13 +54,13 @@
 }
 
 impl RequestTracker {
-    fn insert(&mut self, fingerprint: Content) -> u64 {
+    fn insert(&mut self, fingerprint: Fingerprint) -> u64 {
         self.total += 1;
         self.in_flight.push((self.total, fingerprint));
         self.total
     }
 
-    fn remove(&mut self, number: u64) -> Option<Content> {
+    fn remove(&mut self, number: u64) -> Option<Fingerprint> {
         let at = self
             .in_flight
             .iter()
@@ -85,7 +85,7 @@
     }
 
     /// Takes what was under way when the endpoint ended just now, sorted.
-    pub fn take_all(&mut self, now: Instant) -> Vec<Content> {
+    pub fn take_all(&mut self, now: Instant) -> Vec<Fingerprint> {
         let unanswered = self
             .unanswered
             .drain(..)
@@ -99,7 +99,7 @@
     }
 
     /// Takes what the endpoint broke off lately, sorted.
-    pub fn take_broken(&mut self, now: Instant) -> Vec<Content> {
+    pub fn take_broken(&mut self, now: Instant) -> Vec<Fingerprint> {
         let broken = |request: &Unanswered| {
             request.interruption == Interruption::ConnectionBroken && !request.is_expired(now)
         };
@@ -108,8 +108,8 @@
     }
 }
 
-fn sorted(fingerprints: impl Iterator<Item = Content>) -> Vec<Content> {
-    let mut fingerprints: Vec<Content> = fingerprints.collect();
+fn sorted(fingerprints: impl Iterator<Item = Fingerprint>) -> Vec<Fingerprint> {
+    let mut fingerprints: Vec<Fingerprint> = fingerprints.collect();
     fingerprints.sort_unstable();
     fingerprints.dedup();
     fingerprints
@@ -126,7 +126,7 @@
 impl RequestGuard {
     /// Notes a request that is about to be sent to an endpoint, and whether other endpoints have ended under it.
     #[must_use]
-    pub fn new(target: &Arc<Target>, fingerprint: Content, suspect: bool) -> Self {
+    pub fn new(target: &Arc<Target>, fingerprint: Fingerprint, suspect: bool) -> Self {
         target.add_load(|load| load.suspects += u64::from(suspect));
         Self {
             target: Arc::clone(target),
--- a/components/gateway/src/endpoint/target.rs
+++ b/components/gateway/src/endpoint/target.rs
@@ -18,7 +18,7 @@
     Verdict,
     connection::{self, Idle},
 };
-use crate::request::Content;
+use crate::request::Fingerprint;
 
 /// How long it is taken to be known whether an endpoint still listens: its connections break within some milliseconds
 /// of each other when it ends.
@@ -434,7 +434,7 @@
     /// Takes what was under way there lately if it no longer listens; nothing if it does, if it is leaving anyway, or
     /// if that has been found out since `broke`. An endpoint that resets connections still takes new ones, one that
     /// has ended refuses them.
-    pub async fn take_requests_if_terminated(&self, broke: Instant) -> Vec<Content> {
+    pub async fn take_requests_if_terminated(&self, broke: Instant) -> Vec<Fingerprint> {
         let _listen_check = self.listen_check.lock().await;
         let (address, due) = self.with(|state| {
             let stays = state.listed && state.profile.state == State::Ready;
--- a/components/gateway/src/peer/cache_listing.rs
+++ b/components/gateway/src/peer/cache_listing.rs
@@ -54,10 +54,10 @@
 
 /// Asks an engine what it holds, and notes it; none if it does not say.
 async fn query_engine(gateway: &Gateway, target: &Arc<Target>) -> Option<Vec<Part>> {
-    let answer = call(target, gateway.edges.dialect.listing()).await;
+    let answer = call(target, gateway.edges.dialect.kv_list_call()).await;
     let cached = answer
         .filter(|(status, _)| status.is_success())
-        .and_then(|(_, body)| gateway.edges.dialect.held(&body));
+        .and_then(|(_, body)| gateway.edges.dialect.parse_kv_list(&body));
     let label = if cached.is_some() { "yes" } else { "no" };
     gateway.metrics.listings.with_label_values(&[label]).inc();
     let Some(parts) = cached else {
