--- a/components/gateway/src/peer/receive.rs
+++ b/components/gateway/src/peer/receive.rs
@@ -13,7 +13,7 @@
 };
 use crate::{
     endpoint::{Load, Stage, Target},
-    process::{Asked, Gateway},
+    process::{DemandTotals, Gateway},
 };
 
 /// How long an engine is left alone after the steward's last word that it is changing: a few
@@ -121,17 +121,17 @@
 
 /// What was asked since the digest before; a peer that is new counts from now on.
 fn demand_growth(
-    known: &mut Vec<(u32, Asked)>,
+    known: &mut Vec<(u32, DemandTotals)>,
     received: &[ServiceDemand],
     same_incarnation: bool,
-) -> Vec<(u32, Asked)> {
+) -> Vec<(u32, DemandTotals)> {
     let before = std::mem::take(known);
     *known = received
         .iter()
         .map(|demand| {
-            let asked = Asked {
-                reading: demand.reading,
-                writing: demand.writing,
+            let asked = DemandTotals {
+                prefill_work: demand.reading,
+                decode_tokens: demand.writing,
             };
             (demand.service, asked)
         })
@@ -144,7 +144,7 @@
         .iter()
         .map(|(service, asked)| {
             let at = before.binary_search_by_key(service, |(service, _)| *service);
-            let old = at.map_or_else(|_| Asked::default(), |at| before[at].1);
+            let old = at.map_or_else(|_| DemandTotals::default(), |at| before[at].1);
             (*service, asked.since(old))
         })
         .collect()
--- a/components/gateway/src/peer/send.rs
+++ b/components/gateway/src/peer/send.rs
@@ -70,7 +70,7 @@
 /// Whether others depend on this process and must notice its end soon.
 fn is_critical(gateway: &Gateway, update: &Update) -> bool {
     // while the store answers nobody all would read
-    (update.reads_lists && gateway.store_answers()) || steward::is_near(gateway)
+    (update.reads_lists && gateway.store_available()) || steward::is_steward_or_successor(gateway)
 }
 
 /// What there is to tell at one moment.
@@ -93,10 +93,11 @@
             placed: std::mem::take(&mut *gateway.peers.pending_placements.lock()),
             changing: gateway.steward.changing(),
             changes: std::mem::take(&mut *gateway.peers.pending_changes.lock()),
-            revisions: [List::Endpoints, List::Configuration].map(|list| gateway.changed.get(list)),
+            revisions: [List::Endpoints, List::Configuration]
+                .map(|list| gateway.last_changes.revision(list)),
             reads_lists: gateway.reads_lists(),
             suspects: gateway
-                .suspects_to_tell()
+                .suspects_to_send()
                 .iter()
                 .map(|(content, record)| suspects::encode(*content, record, gateway.moment()))
                 .collect(),
--- a/components/gateway/src/peer/suspects.rs
+++ b/components/gateway/src/peer/suspects.rs
@@ -28,7 +28,7 @@
 pub(super) fn apply(gateway: &Gateway, received: &[Suspect], peer: &str) {
     for suspect in received {
         let record = decode(suspect, gateway.moment());
-        gateway.add_suspect(suspect.content.into(), &record, Source::Peer(peer));
+        gateway.merge_suspect(suspect.content.into(), &record, Source::Peer(peer));
     }
 }
 
--- a/components/gateway/src/request/attempt.rs
+++ b/components/gateway/src/request/attempt.rs
@@ -166,7 +166,7 @@
     directive: &Directive,
     timeout: Timeout<'_>,
 ) -> Result<Answer, Cause> {
-    if job.gateway.withheld(job.fingerprint).is_some() {
+    if job.gateway.withheld_for(job.fingerprint).is_some() {
         return Err(Cause::Withheld);
     }
     let max_idle = if job.route.kind.is_retryable() {
@@ -211,7 +211,7 @@
                 None if error.error().is_parse() => Cause::ForeignResponse,
                 None => {
                     run.connection_broke();
-                    job.gateway.look_for_end(target, &job.metadata.id).await;
+                    job.gateway.check_for_crash(target, &job.metadata.id).await;
                     Cause::ConnectionBroken
                 }
             });
@@ -221,7 +221,7 @@
     let (head, body) = response.into_parts();
     let reply = job
         .gateway
-        .edges
+        .adapters
         .dialect
         .parse_reply(&job.metadata.id, &head);
     target.set_idle_timeout(reply.keep_alive);
@@ -257,7 +257,7 @@
     *request.uri_mut() = job.uri.clone();
     let mut headers = job.headers.clone();
     job.gateway
-        .edges
+        .adapters
         .dialect
         .apply_directive(directive, &mut headers);
     *request.headers_mut() = headers;
--- a/components/gateway/src/request/generate/migrate.rs
+++ b/components/gateway/src/request/generate/migrate.rs
@@ -58,7 +58,7 @@
     let at = place::choose_writer(&snapshot.engines, &placement_request(job), &weights)?;
     let to = &snapshot.targets[at];
     let address = |target: &Target| target.with(|state| state.profile.address);
-    let dialect = &job.gateway.edges.dialect;
+    let dialect = &job.gateway.adapters.dialect;
     let call = dialect.migration_call(&job.metadata.id, address(to));
     // the answer stops when the call comes, and how long its memory takes to copy depends on its size and the links: who
     // gives up on the call loses the answer
--- a/components/gateway/src/request/generate/mod.rs
+++ b/components/gateway/src/request/generate/mod.rs
@@ -88,7 +88,7 @@
         let choice = snapshot.choose(job);
         (snapshot, choice)
     };
-    let queue = job.gateway.line(&job.service.name);
+    let queue = job.gateway.queue(&job.service.name);
     let (snapshot, choice) = try_place();
     if attempts.none_failed() {
         snapshot::count_demand(job, &snapshot);
--- a/components/gateway/src/request/generate/prefill.rs
+++ b/components/gateway/src/request/generate/prefill.rs
@@ -185,7 +185,7 @@
         Err(_) => {
             job.arrivals.prefill_failed();
             answer.run.connection_broke();
-            job.gateway.look_for_end(target, &job.metadata.id).await;
+            job.gateway.check_for_crash(target, &job.metadata.id).await;
             return Err(failed(Cause::ConnectionBroken));
         }
     };
@@ -193,7 +193,7 @@
     job.arrivals.prefill_accepted(job);
     wait.finish();
     let address = target.with(|state| state.profile.address);
-    let handle = job.gateway.edges.dialect.parse_handle(address, &body);
+    let handle = job.gateway.adapters.dialect.parse_handle(address, &body);
     let handle = handle.ok_or_else(|| failed(Cause::ForeignResponse))?;
     if !deferred {
         learn_pace(job, target, in_flight.ahead + in_flight.guard.work(), begun);
@@ -239,7 +239,7 @@
         if self.fetched {
             return;
         }
-        let call = self.gateway.edges.dialect.release_call(&self.handle);
+        let call = self.gateway.adapters.dialect.release_call(&self.handle);
         let target = Arc::clone(&self.target);
         // a handle that stays is only a cost, and the engine drops it in the end
         tokio::spawn(async move { attempt::call(&target, call).await });
--- a/components/gateway/src/request/generate/snapshot.rs
+++ b/components/gateway/src/request/generate/snapshot.rs
@@ -10,7 +10,7 @@
 
 use crate::{
     endpoint::{self, Stage, Target},
-    process::Asked,
+    process::DemandTotals,
     request::job::Job,
 };
 
@@ -268,7 +268,7 @@
 
 /// The longest time between two tokens that long answers of a request's service bear, in microseconds.
 fn max_inter_token_latency(job: &Job) -> f64 {
-    let whole = job.gateway.bearable(&job.service.name);
+    let whole = job.gateway.max_inter_token_latency(&job.service.name);
     let event = tokens_per_event(job);
     let limit = job.max_stall.map_or(f64::MAX, |stall| {
         policy::real(policy::micros(stall)) / policy::real(event)
@@ -290,13 +290,13 @@
     } else {
         0
     };
-    let asked = Asked {
-        reading: snapshot.prefill_work(job),
-        writing,
+    let asked = DemandTotals {
+        prefill_work: snapshot.prefill_work(job),
+        decode_tokens: writing,
     };
     gateway.count_demand(service, asked);
     if let Some(prompt) = job.metadata.prompt.as_ref().filter(|_| is_long_answer(job)) {
         let time = job.deadline - job.arrived;
-        gateway.count_long(service, prompt.most_output, time);
+        gateway.record_long_answer(service, prompt.most_output, time);
     }
 }
--- a/components/gateway/src/request/job.rs
+++ b/components/gateway/src/request/job.rs
@@ -88,11 +88,11 @@
         let timeout = route.timeout.unwrap_or(caller_timeout);
         let deadline = arrived + caller_timeout.min(timeout);
         let objective = arrived + route.objective.saturating_sub(CALLER_TRANSIT);
-        let headers = gateway.edges.dialect.forwarded_headers(&head.headers);
+        let headers = gateway.adapters.dialect.forwarded_headers(&head.headers);
         let max_stall = gateway
             .configuration()
             .and_then(|version| version.tightest_max_stall(&service.name));
-        let in_flight = CountGuard::new(&gateway.under_way);
+        let in_flight = CountGuard::new(&gateway.in_flight);
         let fingerprint = Fingerprint::of(&head.method, super::host(&head), &head.uri, &body);
         Self {
             gateway,
@@ -131,14 +131,14 @@
     /// endpoint falls silent, so its whole time has to fit.
     pub fn ends_before_stop(&self, expected: Duration) -> bool {
         let now = Instant::now();
-        self.gateway.stop().is_none_or(|stop| {
+        self.gateway.shutdown().is_none_or(|stop| {
             // the balancer still sends until then, and takes no cut amiss
-            let ends = if now < stop.quiet {
+            let ends = if now < stop.balancer_removed {
                 (now + expected).min(self.deadline)
             } else {
                 self.deadline
             };
-            ends <= stop.end
+            ends <= stop.deadline
         })
     }
 
--- a/components/gateway/src/request/relay.rs
+++ b/components/gateway/src/request/relay.rs
@@ -213,7 +213,7 @@
             }
             let gateway = &self.job.gateway;
             gateway
-                .look_for_end(&source.target, &self.job.metadata.id)
+                .check_for_crash(&source.target, &self.job.metadata.id)
                 .await;
         }
     }
@@ -253,7 +253,7 @@
                 run.finish();
             }
             if self.status.is_success() {
-                self.job.gateway.note_served(self.job.fingerprint);
+                self.job.gateway.record_served(self.job.fingerprint);
             }
             source
                 .target
@@ -281,7 +281,11 @@
         let Some(source) = &self.source else {
             return;
         };
-        let withheld = self.job.gateway.withheld(self.job.fingerprint).is_some();
+        let withheld = self
+            .job
+            .gateway
+            .withheld_for(self.job.fingerprint)
+            .is_some();
         if withheld || !self.job.arrivals.reserve(&self.job, MIGRATION_ARRIVALS) {
             return;
         }
