--- a/benches/daemon.rs
+++ b/benches/daemon.rs
@@ -169,7 +169,7 @@
         let streams = (0..STREAMS).map(|_| whole(&http, address, is_direct, TOKENS));
         futures::future::join_all(streams).await;
         let chunks = TOKENS * u64::try_from(STREAMS).expect("few");
-        let cost = policy::real(processor_us() - before) / policy::real(chunks);
+        let cost = policy::to_f64(processor_us() - before) / policy::to_f64(chunks);
         println!(
             "{}: {chunks} chunks in {} ms, {cost:.2} us of processor a chunk (engine, daemon and caller together)",
             if is_direct {
@@ -188,7 +188,7 @@
         let requests = (0..100).map(|_| whole(&http, through, false, 1));
         futures::future::join_all(requests).await;
     }
-    let cost = policy::real(processor_us() - before) / 2_000.0;
+    let cost = policy::to_f64(processor_us() - before) / 2_000.0;
     println!(
         "2000 requests of one token in {} ms, {cost:.0} us of processor each (all parts), {:.0} requests a second a core",
         began.elapsed().as_millis(),
--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -4,31 +4,31 @@
 
 use criterion::{Criterion, criterion_group, criterion_main};
 use policy::{
-    fair::{Group, Queue, Waiting},
-    learn::Rates,
-    route::{Ask, Engine, Role, Weights, choose},
+    estimate::BatchLatency,
+    fair::{Group, Queue, QueuedRequest},
+    route::{Engine, Request, Role, Weights, choose},
 };
 
 fn engines(count: u64) -> Vec<Engine> {
     (0..count)
         .map(|at| Engine {
             role: Role::Mixed,
-            ahead: at * 131 % 1_000,
-            reading: at * 137 % 2_000,
-            writing: at * 7 % 40,
-            cached: at * 64 % 640,
-            distance: 0,
-            rates: Rates::default(),
+            prefill_tokens_ahead: at * 131 % 1_000,
+            prefill_tokens: at * 137 % 2_000,
+            decode_requests: at * 7 % 40,
+            cached_tokens: at * 64 % 640,
+            one_way_delay: 0,
+            latency: BatchLatency::default(),
         })
         .collect()
 }
 
 fn routing(criterion: &mut Criterion) {
-    let ask = Ask {
-        prompt: 1_000,
-        output: 100,
+    let ask = Request {
+        prompt_tokens: 1_000,
+        expected_output_tokens: 100,
         urgent: false,
-        paced: false,
+        interactive: false,
     };
     let weights = Weights::default();
     for count in [12, 64, 256] {
@@ -61,15 +61,15 @@
                 id += 1;
                 let group = 100 + usize::try_from(id * 31).expect("small") % (count - 100);
                 queue.push(group, waiting(id));
-                let (next, _) = queue.heads(1)[0];
-                black_box(queue.take(next))
+                let (next, _) = queue.peek(1)[0];
+                black_box(queue.pop(next))
             });
         });
     }
 }
 
-fn waiting(id: u64) -> Waiting {
-    Waiting {
+fn waiting(id: u64) -> QueuedRequest {
+    QueuedRequest {
         id,
         priority: 4,
         work: 10_000 + id % 97,
--- a/components/daemon/src/process/pool/entry.rs
+++ b/components/daemon/src/process/pool/entry.rs
@@ -9,9 +9,9 @@
 use endpoint::engine::{CacheEvent, Report};
 use policy::{
     Micros,
-    learn::Rates,
+    estimate::BatchLatency,
+    load::{self, Sources, TokensByClass},
     route,
-    view::{self, Reading, Sources},
 };
 use protocol::order;
 use settings::tree::resolve;
@@ -40,9 +40,9 @@
     /// Whether the VM list says that it leaves.
     pub leaving: bool,
     /// Its speed, as learnt.
-    pub rates: Rates,
+    pub rates: BatchLatency,
     /// Prompt tokens that this daemon sent and that are not read yet.
-    pub reading: Reading,
+    pub reading: TokensByClass,
     /// This daemon's requests that write there.
     pub writing: u64,
     /// Prompt tokens ever sent by this daemon.
@@ -54,7 +54,7 @@
     reports: bool,
     since: Instant,
     quarantined: Option<Instant>,
-    peers_reading: Reading,
+    peers_reading: TokensByClass,
     peers_writing: u64,
     /// Blocks that its prefix cache likely holds, sorted.
     blocks: Vec<u64>,
@@ -75,14 +75,14 @@
             reports,
             report: None,
             leaving: false,
-            rates: Rates::default(),
-            reading: Reading::default(),
+            rates: BatchLatency::default(),
+            reading: TokensByClass::default(),
             writing: 0,
             sent: 0,
             written: 0,
             since: Instant::now(),
             quarantined: None,
-            peers_reading: Reading::default(),
+            peers_reading: TokensByClass::default(),
             peers_writing: 0,
             blocks: Vec::new(),
             sequence: 0,
@@ -142,7 +142,7 @@
             .count();
         let tokens = held * endpoint::engine::prefix::BLOCK_TOKENS;
         route::Engine {
-            cached: u64::try_from(tokens).unwrap_or(0),
+            cached_tokens: u64::try_from(tokens).unwrap_or(0),
             ..self.bare(need.priority)
         }
     }
@@ -159,21 +159,21 @@
         let sources = Sources {
             own: (self.reading, self.writing),
             peers: (self.peers_reading, self.peers_writing),
-            told,
+            reported: told,
         };
-        let out = view::outstanding(&sources, &self.rates, view::band(priority));
+        let out = load::estimate(&sources, &self.rates, load::priority_class(priority));
         route::Engine {
             role: match self.role() {
                 order::Role::Prefill => route::Role::Prefill,
                 order::Role::Decode => route::Role::Decode,
                 order::Role::Mixed => route::Role::Mixed,
             },
-            ahead: out.ahead,
-            reading: out.reading,
-            writing: out.writing,
-            cached: 0,
-            distance: if self.local { 0 } else { FAR },
-            rates: self.rates,
+            prefill_tokens_ahead: out.prefill_tokens_ahead,
+            prefill_tokens: out.prefill_tokens,
+            decode_requests: out.decode_requests,
+            cached_tokens: 0,
+            one_way_delay: if self.local { 0 } else { FAR },
+            latency: self.rates,
         }
     }
 
@@ -236,7 +236,7 @@
         let loads = live.iter().flat_map(|member| &member.loads).filter(|load| {
             load.endpoint == self.id.number && *load.data_centre == *self.id.data_centre
         });
-        self.peers_reading = Reading::default();
+        self.peers_reading = TokensByClass::default();
         self.peers_writing = 0;
         for load in loads {
             for (sum, reading) in self.peers_reading.iter_mut().zip(&load.reading) {
--- a/components/daemon/src/process/pool/line.rs
+++ b/components/daemon/src/process/pool/line.rs
@@ -3,8 +3,9 @@
 use std::{sync::Arc, time::Instant};
 
 use policy::{
-    Micros, count,
-    fair::{self, Queue, Waiting},
+    Micros,
+    fair::{self, Queue, QueuedRequest},
+    to_u64,
 };
 use settings::tree::resolve;
 use tokio::sync::oneshot;
@@ -54,7 +55,7 @@
 
     pub(super) fn expected_output(&self, need: &Need) -> u64 {
         let mean = self.outputs.get(need.group.0).copied();
-        count(mean.unwrap_or(FIRST_GUESS)).clamp(1, need.most_output.max(1))
+        to_u64(mean.unwrap_or(FIRST_GUESS)).clamp(1, need.most_output.max(1))
     }
 
     pub(super) fn push(
@@ -68,7 +69,7 @@
         let id = self.next;
         let group = need.group.0;
         let start_by = need.start_by;
-        let waiting = Waiting {
+        let waiting = QueuedRequest {
             id,
             priority: need.priority,
             work,
@@ -119,8 +120,8 @@
                 }
                 Err(_) => false,
             });
-        while let Some((old_group, waiting)) = old.heads(1).first().copied() {
-            old.take(old_group);
+        while let Some((old_group, waiting)) = old.peek(1).first().copied() {
+            old.pop(old_group);
             if let Some(at) = self.find(waiting.id) {
                 let group = self.waiters[at].need.group.0;
                 self.waiters[at].group = group;
--- a/components/daemon/src/process/pool/mod.rs
+++ b/components/daemon/src/process/pool/mod.rs
@@ -13,11 +13,11 @@
 };
 
 use policy::{
-    Micros, count,
-    learn::Rates,
-    real,
-    route::{self, Ask, Choice, Plan, Weights},
-    view::{self, URGENT},
+    Micros,
+    estimate::BatchLatency,
+    load::{self, URGENT_PRIORITY},
+    route::{self, Choice, Placement, Request, Weights},
+    to_f64, to_u64,
 };
 use settings::tree::resolve;
 use tokio::sync::{Notify, oneshot};
@@ -168,7 +168,7 @@
 
     /// Places a request without waiting, unless others wait that go before it.
     fn try_now(self: &Arc<Self>, need: &Need) -> Option<Grant> {
-        let urgent = need.priority >= URGENT;
+        let urgent = need.priority >= URGENT_PRIORITY;
         let line = self.line();
         if !urgent && !line.queue.is_empty() {
             return None;
@@ -192,7 +192,7 @@
         }
         let output = line.expected_output(&need);
         let work = work(need.prompt, output);
-        let wait = Duration::from_micros(line.queue.wait(need.group.0, engines));
+        let wait = Duration::from_micros(line.queue.estimate_wait(need.group.0, engines));
         let service = Duration::from_micros(self.alone(need.prompt, output));
         let now = Instant::now();
         if now + wait + service > need.deadline || now + wait > need.start_by {
@@ -230,7 +230,7 @@
 
     /// Gives the first request that fits its engine; says whether there was one.
     fn hand_out_one(self: &Arc<Self>, line: &mut Line) -> bool {
-        for (group, waiting) in line.queue.heads(HEADS) {
+        for (group, waiting) in line.queue.peek(HEADS) {
             let Some(at) = line.find(waiting.id) else {
                 continue;
             };
@@ -238,7 +238,7 @@
             let Some(grant) = self.try_place(&line.waiters[at].need, output) else {
                 continue;
             };
-            line.queue.take(group);
+            line.queue.pop(group);
             let waiter = line.waiters.remove(at);
             // one that hung up gives its grant back by dropping it
             let _ = waiter.grant.send(grant);
@@ -250,11 +250,11 @@
     fn try_place(self: &Arc<Self>, need: &Need, output: u64) -> Option<Grant> {
         let mut entries = self.entries();
         let (at, view) = self.view(&entries, need);
-        let ask = Ask {
-            prompt: need.prompt,
-            output,
-            urgent: need.priority >= URGENT,
-            paced: view::band(need.priority) > 0,
+        let ask = Request {
+            prompt_tokens: need.prompt,
+            expected_output_tokens: output,
+            urgent: need.priority >= URGENT_PRIORITY,
+            interactive: load::priority_class(need.priority) > 0,
         };
         let choice = route::choose(&view, &ask, &self.weights, rand::random())?;
         let places = self.hold(&mut entries, &at, &choice, need)?;
@@ -282,9 +282,9 @@
         choice: &Choice,
         need: &Need,
     ) -> Option<Vec<Place>> {
-        let order: &[usize] = match &choice.plan {
-            Plan::Whole { engine } => &[*engine],
-            Plan::Split { prefill, decode } => &[*prefill, *decode],
+        let order: &[usize] = match &choice.placement {
+            Placement::Single { engine } => &[*engine],
+            Placement::Split { prefill, decode } => &[*prefill, *decode],
         };
         let mut places = Vec::with_capacity(order.len());
         for (nth, engine) in order.iter().enumerate() {
@@ -296,7 +296,7 @@
                 entry,
                 hold,
                 reading,
-                view::band(need.priority),
+                load::priority_class(need.priority),
                 writes,
             ));
         }
@@ -325,8 +325,8 @@
             .map(|entry| entry.bare(0))
             .collect();
         drop(entries);
-        route::soonest(&view, &self.weights).map_or(COME_BACK, |us| {
-            Duration::from_micros(count(us)).max(Duration::from_secs(1))
+        route::estimate_shortest_wait(&view, &self.weights).map_or(COME_BACK, |us| {
+            Duration::from_micros(to_u64(us)).max(Duration::from_secs(1))
         })
     }
 
@@ -335,8 +335,8 @@
             .entries()
             .iter()
             .find(|entry| entry.takes())
-            .map_or_else(Rates::default, |entry| entry.rates);
-        count(real(prompt) * rates.read_us + real(output) * rates.between_tokens(1))
+            .map_or_else(BatchLatency::default, |entry| entry.rates);
+        to_u64(to_f64(prompt) * rates.prefill_token_us + to_f64(output) * rates.inter_token_us(1))
     }
 
     /// Notes the end of a whole answer.
@@ -347,7 +347,7 @@
             .binary_search_by(|name| name.as_str().cmp(group))
         {
             let mean = &mut line.outputs[at];
-            *mean += OUTPUT_WEIGHT * (real(output) - *mean);
+            *mean += OUTPUT_WEIGHT * (to_f64(output) - *mean);
         }
     }
 
@@ -405,7 +405,7 @@
 
 /// The work of a request in microseconds of an engine.
 pub fn work(prompt: u64, output: u64) -> Micros {
-    let rates = Rates::default();
-    let each = rates.between_tokens(USUAL_BATCH) / real(USUAL_BATCH);
-    count(real(prompt) * rates.read_us + real(output) * each)
+    let rates = BatchLatency::default();
+    let each = rates.inter_token_us(USUAL_BATCH) / to_f64(USUAL_BATCH);
+    to_u64(to_f64(prompt) * rates.prefill_token_us + to_f64(output) * each)
 }
--- a/components/daemon/src/process/steward/roles.rs
+++ b/components/daemon/src/process/steward/roles.rs
@@ -4,10 +4,9 @@
 
 use cloud::table::Row;
 use policy::{
-    count,
-    learn::Rates,
-    real,
-    role::{self, Bounds, Change, Demand, Split},
+    estimate::BatchLatency,
+    role::{self, Bounds, Change, Demand, RoleCounts},
+    to_f64, to_u64,
 };
 use protocol::{
     Incarnation,
@@ -84,14 +83,14 @@
         });
         let rates = entries
             .first()
-            .map_or_else(Rates::default, |entry| entry.rates);
-        let each = rates.between_tokens(USUAL_BATCH) / real(USUAL_BATCH);
+            .map_or_else(BatchLatency::default, |entry| entry.rates);
+        let each = rates.inter_token_us(USUAL_BATCH) / to_f64(USUAL_BATCH);
         if let Some(old) = self.totals.replace(totals) {
             // a peer that came or went makes the sums jump; a fall is no demand
-            let read = real(totals.0.saturating_sub(old.0)) * rates.read_us;
-            let write = real(totals.1.saturating_sub(old.1)) * each;
+            let read = to_f64(totals.0.saturating_sub(old.0)) * rates.prefill_token_us;
+            let write = to_f64(totals.1.saturating_sub(old.1)) * each;
             let now = micros(self.started.elapsed());
-            self.demand.observe(now, count(read), count(write));
+            self.demand.observe(now, to_u64(read), to_u64(write));
         }
     }
 
@@ -107,7 +106,7 @@
         let mut entries = pool.snapshot();
         entries.retain(|entry| *entry.id.data_centre == *held.data_centre && entry.takes());
         let now = micros(self.started.elapsed());
-        let change = role::decide(
+        let change = role::choose_change(
             split(&entries),
             self.demand.forecast(),
             &bounds(&fleet),
@@ -122,7 +121,7 @@
         let entry = entries
             .iter()
             .filter(|entry| entry.role() == from)
-            .min_by_key(|entry| entry.bare(0).writing + entry.bare(0).reading)?;
+            .min_by_key(|entry| entry.bare(0).decode_requests + entry.bare(0).prefill_tokens)?;
         let holds = entry.report.as_ref().map(|(report, _)| &report.holds)?;
         let wish = Wish {
             id: entry.id.clone(),
@@ -157,21 +156,21 @@
 
 fn bounds(fleet: &settings::tree::resolve::Fleet) -> Bounds {
     Bounds {
-        reserve: fleet.reserve,
+        min_engines_per_role: fleet.reserve,
         horizon: micros(fleet.horizon),
-        away: micros(AWAY),
-        spacing: HOUR
+        change_duration: micros(AWAY),
+        min_change_interval: HOUR
             .checked_div(u64::from(fleet.changes_per_hour))
             .unwrap_or(u64::MAX),
     }
 }
 
-fn split(entries: &[Entry]) -> Split {
+fn split(entries: &[Entry]) -> RoleCounts {
     let of = |role: Role| {
         let matching = entries.iter().filter(|entry| entry.role() == role);
         u32::try_from(matching.count()).unwrap_or(u32::MAX)
     };
-    Split {
+    RoleCounts {
         prefill: of(Role::Prefill),
         decode: of(Role::Decode),
         mixed: of(Role::Mixed),
--- a/components/daemon/src/request/generate/outcome.rs
+++ b/components/daemon/src/request/generate/outcome.rs
@@ -3,7 +3,7 @@
 use std::time::Instant;
 
 use endpoint::{Failure, engine::Frame};
-use policy::retry::{self, Class};
+use policy::retry::{self, FailureClass};
 use settings::tree::resolve::Repeat;
 use telemetry::timeline::Kind;
 
@@ -31,7 +31,9 @@
                 // with others in between the time is not this prompt's alone
                 if entry.reading.iter().all(|tokens| *tokens == 0) {
                     let cached = frame.done.map_or(0, |done| done.cached_tokens);
-                    entry.rates.first(prompt - cached.min(prompt), since);
+                    entry
+                        .rates
+                        .observe_first_token(prompt - cached.min(prompt), since);
                 }
                 entry.read(blocks);
             });
@@ -46,8 +48,8 @@
             self.job.pool.with(&live.at.0, |entry| {
                 entry.written += SAMPLE;
                 let seen = entry.bare(0);
-                if seen.reading == 0 {
-                    entry.rates.between(seen.writing, gap);
+                if seen.prefill_tokens == 0 {
+                    entry.rates.observe_step(seen.decode_requests, gap);
                 }
             });
         }
@@ -67,7 +69,7 @@
         self.job.pool.finished(group, written);
         let process = &context.process;
         process.used(group, pool::work(self.job.need.prompt, written));
-        lock(&process.budget).succeed();
+        lock(&process.budget).record_success();
         let metrics = &process.metrics;
         let labels = [service.as_str(), group.as_str()];
         metrics
@@ -94,10 +96,10 @@
 
     pub(super) fn again(&mut self, failed: &Id, failure: Failure) -> Result<(), Broken> {
         let class = if failure.not_run() {
-            Class::NotRun
+            FailureClass::NotExecuted
         } else {
             self.may_have_run = true;
-            Class::Unknown
+            FailureClass::MaybeExecuted
         };
         self.job.pool.with(failed, pool::Entry::failed);
         self.job.need.avoid.push(failed.clone());
@@ -112,11 +114,11 @@
         // an attempt that may have run is the only one of a request that may not be repeated
         let repeatable = self.job.repeat == Repeat::Allowed;
         let class = if self.may_have_run && !repeatable {
-            Class::Unknown
+            FailureClass::MaybeExecuted
         } else {
             class
         };
-        let more = retry::again(
+        let more = retry::allow_retry(
             class,
             repeatable,
             self.attempts,
--- a/components/daemon/src/request/plain.rs
+++ b/components/daemon/src/request/plain.rs
@@ -7,7 +7,7 @@
 use futures::StreamExt;
 use http_body_util::BodyDataStream;
 use hyper::{HeaderMap, Method, Request, Response, body::Incoming};
-use policy::retry::{self, Class};
+use policy::retry::{self, FailureClass};
 use settings::tree::resolve::{Kind as ServiceKind, Repeat};
 use telemetry::timeline::Kind;
 
@@ -141,7 +141,12 @@
         let pool = process.pool(&self.service)?;
         let mut entries = pool.snapshot();
         entries.retain(|entry| entry.takes() && !avoid.contains(&entry.id));
-        entries.sort_by_key(|entry| (entry.bare(0).distance, process.gates.in_flight(&entry.id)));
+        entries.sort_by_key(|entry| {
+            (
+                entry.bare(0).one_way_delay,
+                process.gates.in_flight(&entry.id),
+            )
+        });
         entries.into_iter().find_map(|entry| {
             let hold = process.gates.hold(&entry.id)?;
             Some((entry, hold))
@@ -170,9 +175,9 @@
             pool.with(id, Entry::failed);
         }
         let class = if failure.not_run() {
-            Class::NotRun
+            FailureClass::NotExecuted
         } else {
-            Class::Unknown
+            FailureClass::MaybeExecuted
         };
         let left = self
             .caller
@@ -181,15 +186,17 @@
         let left = u64::try_from(left.as_micros()).unwrap_or(u64::MAX);
         let repeatable = self.repeat == Repeat::Allowed;
         let budget = &mut lock(&process.budget);
-        if retry::again(class, repeatable, attempt, left, 0, budget) {
+        if retry::allow_retry(class, repeatable, attempt, left, 0, budget) {
             self.context.note(Kind::Retried, format!("{id}: {failure}"));
             return Ok(());
         }
         self.context.note(Kind::Broken, format!("{id}: {failure}"));
         Err(match class {
-            Class::NotRun => Reason::NotTaken.into(),
-            Class::Unknown | Class::Final if left == 0 => Reason::DeadlinePassed.into(),
-            Class::Unknown | Class::Final => Reason::AnswerLost.into(),
+            FailureClass::NotExecuted => Reason::NotTaken.into(),
+            FailureClass::MaybeExecuted | FailureClass::Permanent if left == 0 => {
+                Reason::DeadlinePassed.into()
+            }
+            FailureClass::MaybeExecuted | FailureClass::Permanent => Reason::AnswerLost.into(),
         })
     }
 
@@ -217,7 +224,7 @@
     /// Counts the request by its outcome.
     pub fn count(&self, outcome: &str) {
         let process = &self.context.process;
-        lock(&process.budget).succeed();
+        lock(&process.budget).record_success();
         self.context.note(Kind::Finished, outcome);
         process
             .metrics
--- a/components/gateway/src/endpoint/load.rs
+++ b/components/gateway/src/endpoint/load.rs
@@ -7,7 +7,7 @@
 /// Work under way at an endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Load {
-    /// Work of the prompts that are sent and not read yet, see [`policy::prompt::work`].
+    /// Work of the prompts that are sent and not read yet, see [`policy::prompt::prefill_work`].
     pub reading: u64,
     /// Work of the prompts that give way to all others.
     pub late: u64,
--- a/components/gateway/src/endpoint/target.rs
+++ b/components/gateway/src/endpoint/target.rs
@@ -10,7 +10,7 @@
 
 use clock::Instant;
 use parking_lot::Mutex;
-use policy::{backlog::Backlog, learn::Pace, memory::Memory, prompt::Part};
+use policy::{backlog::Backlog, estimate::Latency, prefix_cache::PrefixCache, prompt::Part};
 use tokio::sync::{Mutex as AsyncMutex, Notify};
 
 use super::{
@@ -59,9 +59,9 @@
     /// How it does.
     pub health: Health,
     /// How fast it is in its present stage; none before it has done anything in it.
-    pub pace: Option<Pace>,
+    pub pace: Option<Latency>,
     /// Which prompt parts it likely holds.
-    pub memory: Memory,
+    pub memory: PrefixCache,
     /// Idle connections, the longest idle first.
     idle: Vec<Idle>,
     /// Until when it is taken to be changing its stage.
@@ -84,15 +84,15 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Paces {
     /// Those that read.
-    pub readers: Pace,
+    pub readers: Latency,
     /// Those that write.
-    pub writers: Pace,
+    pub writers: Latency,
 }
 
 impl Paces {
     /// How fast engines are on average in a stage; an endpoint without one writes.
     #[must_use]
-    pub fn of(&self, stage: Option<Stage>) -> Pace {
+    pub fn of(&self, stage: Option<Stage>) -> Latency {
         match stage {
             Some(Stage::Prefill) => self.readers,
             Some(Stage::Decode) | None => self.writers,
@@ -100,7 +100,7 @@
     }
 
     /// The same, to learn.
-    pub fn of_mut(&mut self, stage: Stage) -> &mut Pace {
+    pub fn of_mut(&mut self, stage: Stage) -> &mut Latency {
         match stage {
             Stage::Prefill => &mut self.readers,
             Stage::Decode => &mut self.writers,
@@ -111,8 +111,8 @@
 impl Default for Paces {
     fn default() -> Self {
         Self {
-            readers: Pace::of_reader(),
-            writers: Pace::of_writer(),
+            readers: Latency::initial_prefill(),
+            writers: Latency::initial_decode(),
         }
     }
 }
@@ -137,7 +137,7 @@
     /// All that is under way there.
     pub load: Load,
     /// How fast it is in its present stage.
-    pub pace: Pace,
+    pub pace: Latency,
     /// Tokens of the prompt asked about that it likely holds.
     pub held: u64,
     /// Tokens of it that other engines can likely fetch there.
@@ -153,25 +153,25 @@
     }
 
     /// Work that is left to read there, if it reads at this pace unless its own is known.
-    pub fn left(&self, now: Instant, common: Pace) -> u64 {
-        let read_us = self.pace.unwrap_or(common).read_us;
+    pub fn left(&self, now: Instant, common: Latency) -> u64 {
+        let read_us = self.pace.unwrap_or(common).prefill_token_us;
         let left = self
             .backlog
-            .left(self.age(now), read_us, self.load().reading);
-        policy::count(left)
+            .remaining(self.age(now), read_us, self.load().reading);
+        policy::to_u64(left)
     }
 
     /// The time that it still takes for the prompts under way there, in microseconds; none if there are none.
     pub fn time_to_read(&self, now: Instant, common: &Common) -> Option<policy::Micros> {
         let pace = common.paces.of(self.profile.stage);
-        let read_us = self.pace.unwrap_or(pace).read_us;
-        let time = policy::real(self.left(now, pace)) * read_us;
-        (self.load().prompts > 0).then(|| policy::count(time))
+        let read_us = self.pace.unwrap_or(pace).prefill_token_us;
+        let time = policy::to_f64(self.left(now, pace)) * read_us;
+        (self.load().prompts > 0).then(|| policy::to_u64(time))
     }
 
     /// Notes work that is about to be sent there, by this process or a peer.
-    pub fn sends(&mut self, now: Instant, common: Pace, work: u64) {
-        let read_us = self.pace.unwrap_or(common).read_us;
+    pub fn sends(&mut self, now: Instant, common: Latency, work: u64) {
+        let read_us = self.pace.unwrap_or(common).prefill_token_us;
         let (age, under_way) = (self.age(now), self.load().reading);
         self.backlog.add(age, read_us, under_way, work);
     }
@@ -181,10 +181,10 @@
     pub fn uses(&mut self, now: Instant, common: &Common, parts: &[Part], fetched: bool) {
         let pace = common.paces.of(self.profile.stage);
         self.memory.resize(common.memory_tokens);
-        let read_us = self.pace.unwrap_or(pace).read_us;
+        let read_us = self.pace.unwrap_or(pace).prefill_token_us;
         let left = if fetched { 0 } else { self.left(now, pace) };
-        let read_at = self.age(now) + policy::count(policy::real(left) * read_us);
-        self.memory.used(parts, read_at);
+        let read_at = self.age(now) + policy::to_u64(policy::to_f64(left) * read_us);
+        self.memory.record_use(parts, read_at);
     }
 
     fn age(&self, now: Instant) -> policy::Micros {
@@ -212,7 +212,7 @@
                 peers: Load::default(),
                 health: Health::default(),
                 pace: None,
-                memory: Memory::default(),
+                memory: PrefixCache::default(),
                 idle: Vec::new(),
                 changing: None,
                 keeps: None,
@@ -270,8 +270,8 @@
                     ..state.load()
                 },
                 pace: state.pace.unwrap_or(common),
-                held: state.memory.held(parts),
-                fetchable: state.memory.fetchable(parts, state.age(now)),
+                held: state.memory.cached_tokens(parts),
+                fetchable: state.memory.fetchable_tokens(parts, state.age(now)),
                 failures: state.health.failures(),
             })
         })
--- a/components/gateway/src/peer/paces.rs
+++ b/components/gateway/src/peer/paces.rs
@@ -3,7 +3,7 @@
 
 use std::sync::Arc;
 
-use policy::learn::{Pace, Samples};
+use policy::estimate::{Latency, Samples};
 use wire::ServicePace;
 
 use crate::{
@@ -47,30 +47,30 @@
     }
 }
 
-fn encode(service: &str, stage: Stage, pace: &Pace) -> ServicePace {
+fn encode(service: &str, stage: Stage, pace: &Latency) -> ServicePace {
     ServicePace {
         service: short(service),
         prefill: stage == Stage::Prefill,
-        start_us: narrow(pace.start_us),
-        read_us: narrow(pace.read_us),
-        step_us: narrow(pace.step_us),
-        start_samples: pace.samples.start,
-        read_samples: pace.samples.read,
-        step_samples: pace.samples.step,
+        start_us: narrow(pace.overhead_us),
+        read_us: narrow(pace.prefill_token_us),
+        step_us: narrow(pace.decode_token_us),
+        start_samples: pace.samples.overhead,
+        read_samples: pace.samples.prefill,
+        step_samples: pace.samples.decode,
     }
 }
 
-fn decode(told: &ServicePace) -> Pace {
-    Pace {
-        start_us: told.start_us.into(),
-        read_us: told.read_us.into(),
-        step_us: told.step_us.into(),
+fn decode(told: &ServicePace) -> Latency {
+    Latency {
+        overhead_us: told.start_us.into(),
+        prefill_token_us: told.read_us.into(),
+        decode_token_us: told.step_us.into(),
         // one wrong sample of it would reach all gateways at once
-        slowed_us: None,
+        contended_token_us: None,
         samples: Samples {
-            start: told.start_samples,
-            read: told.read_samples,
-            step: told.step_samples,
+            overhead: told.start_samples,
+            prefill: told.read_samples,
+            decode: told.step_samples,
         },
     }
 }
--- a/components/gateway/src/peer/suspects.rs
+++ b/components/gateway/src/peer/suspects.rs
@@ -1,6 +1,6 @@
 //! Requests that endpoints ended under, as peers tell each other.
 
-use policy::suspect::{End, Moment, Record};
+use policy::suspect::{Crash, Moment, Record};
 use wire::{EndpointEnd, Suspect};
 
 use crate::{
@@ -13,14 +13,14 @@
 
 /// The message for a request.
 pub(super) fn encode(content: Content, record: &Record, now: Moment) -> Suspect {
-    let ends = record.ends.iter().map(|end| EndpointEnd {
+    let ends = record.crashes.iter().map(|end| EndpointEnd {
         endpoint: end.endpoint,
         ago_ms: age_ms(end.at, now),
     });
     Suspect {
         content: content.into(),
         ends: ends.collect(),
-        served_ms: record.served.map_or(0, |served| age_ms(served, now)),
+        served_ms: record.last_served.map_or(0, |served| age_ms(served, now)),
     }
 }
 
@@ -34,18 +34,18 @@
 
 fn decode(received: &Suspect, now: Moment) -> Record {
     let ago = |age_ms: u32| now - Moment::from(age_ms) * MILLI;
-    let mut ends: Vec<End> = received
+    let mut ends: Vec<Crash> = received
         .ends
         .iter()
-        .map(|end| End {
+        .map(|end| Crash {
             endpoint: end.endpoint,
             at: ago(end.ago_ms),
         })
         .collect();
     ends.sort_unstable_by_key(|end| end.at);
     Record {
-        ends,
-        served: (received.served_ms > 0).then(|| ago(received.served_ms)),
+        crashes: ends,
+        last_served: (received.served_ms > 0).then(|| ago(received.served_ms)),
     }
 }
 
--- a/components/gateway/src/process/ledger.rs
+++ b/components/gateway/src/process/ledger.rs
@@ -5,7 +5,7 @@
 
 use parking_lot::Mutex;
 use policy::{
-    learn::{Margin, Pace, Stretch},
+    estimate::{Latency, Margin, WaitFactor},
     retry::Window,
 };
 
@@ -57,7 +57,7 @@
     /// How much later than expected its answers begin.
     margin: Margin,
     /// How many times as long as expected its late prompts wait.
-    stretch: Stretch,
+    stretch: WaitFactor,
     /// How fast its engines read, and write, on average.
     paces: Paces,
     /// The longest time between tokens with which each long answer so far could end in time, in
@@ -73,7 +73,7 @@
             repeats,
             asked: Asked::default(),
             margin: Margin::default(),
-            stretch: Stretch::default(),
+            stretch: WaitFactor::default(),
             paces: Paces::default(),
             bearable: f64::MAX,
             line: Arc::default(),
@@ -108,7 +108,7 @@
     pub fn count_request(&self, service: &Arc<str>) {
         let now = self.micros();
         self.metrics.requests.with_label_values(&[service]).inc();
-        self.with_ledger(service, |ledger| ledger.repeats.request(now));
+        self.with_ledger(service, |ledger| ledger.repeats.record_request(now));
     }
 
     /// Takes one repeat of a request out of its service's budget; none if none is left.
@@ -116,14 +116,14 @@
         let now = self.micros();
         let share = self.repeat_share();
         let usage = self.with_ledger(service, |ledger| {
-            ledger.repeats.spend(now, share.ratio, share.slack)
+            ledger.repeats.try_spend(now, share.ratio, share.slack)
         });
-        let allowed = usage.has_room();
+        let allowed = usage.allows_retry();
         let labels = [&**service, if allowed { "yes" } else { "no" }];
         self.metrics.repeats.with_label_values(&labels).inc();
         log::info!(
-            request, service = &**service, allowed, requests = usage.requests, repeats = usage.repeats,
-            limit = usage.allowed, sharers = share.sharers, slack = share.slack;
+            request, service = &**service, allowed, requests = usage.requests, repeats = usage.retries,
+            limit = usage.allowed_retries, sharers = share.sharers, slack = share.slack;
             "a repeat was requested"
         );
         allowed.then_some(Repeat { taken: now })
@@ -133,7 +133,7 @@
     pub fn give_back_repeat(&self, service: &Arc<str>, request: &str, repeat: &Repeat) {
         let labels = [&**service, "given-back"];
         self.metrics.repeats.with_label_values(&labels).inc();
-        self.with_ledger(service, |ledger| ledger.repeats.give_back(repeat.taken));
+        self.with_ledger(service, |ledger| ledger.repeats.refund(repeat.taken));
         log::info!(request, service = &**service; "a repeat was given back");
     }
 
@@ -144,7 +144,7 @@
         let usage = self.with_ledger(service, |ledger| {
             ledger.repeats.usage(now, share.ratio, share.slack)
         });
-        usage.has_room()
+        usage.allows_retry()
     }
 
     /// The window of a service of which nothing has been counted yet.
@@ -166,7 +166,7 @@
         let bounds = self.bounds.read();
         let sharers = self.peers.sharers(self.started.elapsed());
         let sharers = sharers.map(|peers| peers + 1);
-        let slack = sharers.map_or(0.0, |sharers| bounds.retry_slack / policy::real(sharers));
+        let slack = sharers.map_or(0.0, |sharers| bounds.retry_slack / policy::to_f64(sharers));
         Share {
             ratio: bounds.retry_ratio,
             slack,
@@ -196,7 +196,7 @@
 
     /// Notes a long answer of at most so many tokens, which has so much time.
     pub fn count_long(&self, service: &Arc<str>, tokens: u64, time: Duration) {
-        let bearable = policy::real(policy::micros(time)) / policy::real(tokens.max(1));
+        let bearable = policy::to_f64(policy::micros(time)) / policy::to_f64(tokens.max(1));
         self.with_ledger(service, |ledger| {
             ledger.bearable = ledger.bearable.min(bearable);
         });
@@ -215,16 +215,16 @@
 
     /// Learns from an answer that was expected to begin after one time and began after another.
     pub fn learn_margin(&self, service: &Arc<str>, expected: f64, took: policy::Micros) {
-        self.with_ledger(service, |ledger| ledger.margin.learn(expected, took));
+        self.with_ledger(service, |ledger| ledger.margin.observe(expected, took));
     }
 
     /// How many times as long as expected late prompts of a service wait.
-    pub fn stretch(&self, service: &Arc<str>) -> Stretch {
+    pub fn stretch(&self, service: &Arc<str>) -> WaitFactor {
         self.with_ledger(service, |ledger| ledger.stretch)
     }
 
     /// Learns from a late prompt of a service.
-    pub fn learn_stretch(&self, service: &Arc<str>, learn: impl FnOnce(&mut Stretch)) {
+    pub fn learn_stretch(&self, service: &Arc<str>, learn: impl FnOnce(&mut WaitFactor)) {
         self.with_ledger(service, |ledger| learn(&mut ledger.stretch));
     }
 
@@ -251,7 +251,7 @@
     }
 
     /// Learns how fast an engine is: its own pace, and its service's.
-    pub fn learn_pace(&self, target: &Target, learn: impl Fn(&mut Pace)) {
+    pub fn learn_pace(&self, target: &Target, learn: impl Fn(&mut Latency)) {
         let (service, stage) = target.with(|state| {
             let stage = state.profile.stage.unwrap_or(Stage::Decode);
             (Arc::clone(&state.profile.service), stage)
@@ -273,7 +273,9 @@
         let ledgers = self.ledgers.0.lock();
         let told = ledgers.iter().filter(|(_, ledger)| {
             let Paces { readers, writers } = &ledger.paces;
-            readers.is_new() || writers.is_new() || (all && ledger.paces != Paces::default())
+            readers.is_converging()
+                || writers.is_converging()
+                || (all && ledger.paces != Paces::default())
         });
         told.map(|(service, ledger)| (Arc::clone(service), ledger.paces))
             .collect()
@@ -281,7 +283,7 @@
 
     /// Takes what a peer has learnt of the engines of a service in one stage. A process that starts would place its
     /// first prompts by a guess: 44,958 tokens were expected to be read in 0.3 s, and took 1.9 s.
-    pub fn adopt_pace(&self, service: &Arc<str>, stage: Stage, told: &Pace) {
+    pub fn adopt_pace(&self, service: &Arc<str>, stage: Stage, told: &Latency) {
         let adopted = self.with_ledger(service, |ledger| ledger.paces.of_mut(stage).adopt(told));
         if !adopted {
             return;
@@ -295,8 +297,8 @@
             });
         }
         log::info!(
-            service = &**service, stage:%, read_ns = policy::count(told.read_us * NANOS),
-            step_us = policy::count(told.step_us), samples = told.samples.read;
+            service = &**service, stage:%, read_ns = policy::to_u64(told.prefill_token_us * NANOS),
+            step_us = policy::to_u64(told.decode_token_us), samples = told.samples.prefill;
             "took a pace from a peer"
         );
     }
--- a/components/gateway/src/process/status.rs
+++ b/components/gateway/src/process/status.rs
@@ -71,7 +71,7 @@
     let now = gateway.moment();
     let withheld = suspects
         .iter()
-        .filter(|(_, record)| record.withheld(now).is_some());
+        .filter(|(_, record)| record.remaining_withhold(now).is_some());
     set(&metrics.withheld, count(withheld.count()));
     Response::new(Full::new(Bytes::from(metrics.text())))
 }
--- a/components/gateway/src/process/suspects.rs
+++ b/components/gateway/src/process/suspects.rs
@@ -9,7 +9,7 @@
 use clock::Instant;
 use derive_more::Display;
 use parking_lot::Mutex;
-use policy::suspect::{self, End, Moment, Record};
+use policy::suspect::{self, Crash, Moment, Record};
 use tokio::sync::Notify;
 
 use super::Gateway;
@@ -90,12 +90,12 @@
     /// Whether an endpoint ended under a request since it was last served.
     pub fn is_suspect(&self, content: Content) -> bool {
         self.suspect(content)
-            .is_some_and(|record| !record.ends.is_empty())
+            .is_some_and(|record| !record.crashes.is_empty())
     }
 
     /// For how much longer a request gets to no endpoint; none if it may.
     pub fn withheld(&self, content: Content) -> Option<Duration> {
-        let left = self.suspect(content)?.withheld(self.moment())?;
+        let left = self.suspect(content)?.remaining_withhold(self.moment())?;
         u64::try_from(left).ok().map(Duration::from_micros)
     }
 
@@ -120,8 +120,8 @@
         let at = self.moment();
         for content in contents {
             let record = Record {
-                ends: vec![End { endpoint, at }],
-                served: None,
+                crashes: vec![Crash { endpoint, at }],
+                last_served: None,
             };
             self.learn_suspect(*content, &record);
         }
@@ -131,8 +131,8 @@
     pub fn note_served(&self, content: Content) {
         if self.is_suspect(content) {
             let record = Record {
-                ends: Vec::new(),
-                served: Some(self.moment()),
+                crashes: Vec::new(),
+                last_served: Some(self.moment()),
             };
             self.learn_suspect(content, &record);
         }
@@ -158,7 +158,7 @@
             news
         };
         let after = self.suspect(content).unwrap_or_default();
-        match (before, after.withheld(now)) {
+        match (before, after.remaining_withhold(now)) {
             (false, Some(left)) => {
                 log::warn!(
                     content:%, source:%, ends = ends(&after), lapses_ms = left / 1_000;
@@ -189,7 +189,7 @@
     /// Forgets requests of which nothing was known for a while.
     pub fn forget_old_suspects(&self) {
         let mut known = self.suspects.known.lock();
-        known.forget_old(self.moment());
+        known.evict_expired(self.moment());
         let any = !known.records().is_empty();
         self.suspects.any.store(any, Ordering::Relaxed);
     }
@@ -211,9 +211,9 @@
         }
         let now = self.moment();
         let mut records = self.all_suspects();
-        let fresh = |record: &Record| record.last().is_some_and(|last| now - last < FRESH);
-        records.retain(|(_, record)| record.ends.len() > 1 || fresh(record));
-        records.sort_by_key(|(_, record)| std::cmp::Reverse(record.last()));
+        let fresh = |record: &Record| record.last_update().is_some_and(|last| now - last < FRESH);
+        records.retain(|(_, record)| record.crashes.len() > 1 || fresh(record));
+        records.sort_by_key(|(_, record)| std::cmp::Reverse(record.last_update()));
         records.truncate(MOST_AGAIN);
         records
     }
@@ -227,7 +227,7 @@
 /// The endpoints of a record as a line of the log names them, by their short numbers.
 fn ends(record: &Record) -> String {
     let ends: Vec<String> = record
-        .ends
+        .crashes
         .iter()
         .map(|end| format!("{:08x}", end.endpoint))
         .collect();
--- a/components/gateway/src/process/withheld.rs
+++ b/components/gateway/src/process/withheld.rs
@@ -5,7 +5,7 @@
 
 use clock::Instant;
 use cloud::table::{Read, Transaction};
-use policy::suspect::{End, Moment, Record};
+use policy::suspect::{Crash, Moment, Record};
 use serde::{Deserialize, Serialize};
 
 use super::{Gateway, Source};
@@ -143,7 +143,7 @@
 impl Row {
     fn new(record: &Record, now: Moment) -> Self {
         let today = time_of_day();
-        let ends = record.ends.iter().map(|end| Ended {
+        let ends = record.crashes.iter().map(|end| Ended {
             endpoint: end.endpoint,
             at_ms: today - (now - end.at) / MILLI,
         });
@@ -154,17 +154,20 @@
 
     fn record(&self, now: Moment) -> Record {
         let today = time_of_day();
-        let mut ends: Vec<End> = self
+        let mut ends: Vec<Crash> = self
             .ends
             .iter()
-            .map(|end| End {
+            .map(|end| Crash {
                 endpoint: end.endpoint,
                 // one that a clock puts into the future has just ended
                 at: now - (today - end.at_ms).max(0) * MILLI,
             })
             .collect();
         ends.sort_unstable_by_key(|end| end.at);
-        Record { ends, served: None }
+        Record {
+            crashes: ends,
+            last_served: None,
+        }
     }
 }
 
--- a/components/gateway/src/request/attempt.rs
+++ b/components/gateway/src/request/attempt.rs
@@ -270,7 +270,7 @@
 /// The longest wait for the answer to a call of the gateway's own.
 const CALL: Duration = Duration::from_secs(1);
 /// The most of an answer to such a call that is read, in bytes: some 40 for each of the parts that an engine lists, of
-/// which as many are remembered as [`policy::memory`] keeps.
+/// which as many are remembered as [`policy::prefix_cache`] keeps.
 const CALL_BYTES: usize = 256 << 10;
 /// Connections that calls of the gateway's own may hold to an endpoint.
 const CALL_LINKS: usize = 64;
--- a/components/gateway/src/request/generate/mod.rs
+++ b/components/gateway/src/request/generate/mod.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 
 use hyper::Response;
-use policy::place::{Choice, Plan};
+use policy::place::{Choice, Placement};
 
 use super::{
     attempt::{Answer, Cause},
@@ -42,17 +42,17 @@
             view.log_placement(&job, &choice, "placed again");
             Timing::InTime
         };
-        let outcome = match (timing, choice.plan) {
+        let outcome = match (timing, choice.placement) {
             (Timing::Late(late), _) => {
-                let wanted = read::Wanted::Late(late.read);
+                let wanted = read::Wanted::Late(late.prefill_us);
                 run::split(&job, &view, late.engine, &attempts, wanted).await
             }
-            (Timing::InTime, Plan::Whole { engine }) => {
-                let timeout = timing::timeout(&job, &attempts, choice.first);
+            (Timing::InTime, Placement::Single { engine }) => {
+                let timeout = timing::timeout(&job, &attempts, choice.first_event_us);
                 run::whole(&job, &view, engine, timeout, None).await
             }
-            (Timing::InTime, Plan::Split { prefill, .. }) => {
-                let wanted = read::Wanted::InTime(choice.first);
+            (Timing::InTime, Placement::Split { prefill, .. }) => {
+                let wanted = read::Wanted::InTime(choice.first_event_us);
                 run::split(&job, &view, prefill, &attempts, wanted).await
             }
         };
@@ -61,7 +61,7 @@
                 if attempts.is_fresh() && timing == Timing::InTime {
                     let took = policy::micros(job.arrived.elapsed());
                     job.gateway
-                        .learn_margin(&job.service.name, choice.first, took);
+                        .learn_margin(&job.service.name, choice.first_event_us, took);
                 }
                 return Ok(pass::hand_on(job, answer, writing, attempts.runs() + 1));
             }
@@ -117,9 +117,9 @@
 ) -> Result<(Answer, Writing), Cause> {
     let view = View::new(job, std::slice::from_ref(from));
     let choice = view.choose(job).ok_or(Cause::TimeOver)?;
-    let engine = match choice.plan {
-        Plan::Whole { engine } => engine,
-        Plan::Split { decode, .. } => decode,
+    let engine = match choice.placement {
+        Placement::Single { engine } => engine,
+        Placement::Split { decode, .. } => decode,
     };
     let resumed = run::whole(job, &view, engine, Timeout::until(job.deadline), after).await;
     let resumed = resumed
--- a/components/gateway/src/request/generate/read.rs
+++ b/components/gateway/src/request/generate/read.rs
@@ -4,7 +4,7 @@
 
 use clock::Instant;
 use http_body_util::{BodyExt, Collected, Limited};
-use policy::learn::Stretch;
+use policy::estimate::WaitFactor;
 
 use super::{
     run::failed,
@@ -38,15 +38,15 @@
 pub fn begin(job: &Job, view: &View, at: usize, late: bool) -> Counted {
     let target = &view.targets[at];
     let engine = &view.engines[at];
-    let held = engine.held + engine.fetch.tokens;
-    let work = policy::prompt::work(ask(job).prompt, held);
+    let held = engine.cached_tokens + engine.fetch.tokens;
+    let work = policy::prompt::prefill_work(ask(job).prompt_tokens, held);
     let paces = job.gateway.paces(&job.service.name);
     let now = Instant::now();
     let ahead = target.with(|state| {
         let common = paces.of(state.profile.stage);
         let load = state.load();
         let left = state.left(now, common);
-        let ahead = policy::place::ahead(left, load.late, load.late_prompts);
+        let ahead = policy::place::work_ahead(left, load.late, load.late_prompts);
         if !late {
             state.sends(now, common, work);
         }
@@ -111,10 +111,10 @@
 
     /// Takes that the prompt has been read.
     fn end(&mut self) {
-        self.learn(Stretch::learn);
+        self.learn(WaitFactor::observe);
     }
 
-    fn learn(&mut self, learn: impl FnOnce(&mut Stretch, f64, policy::Micros)) {
+    fn learn(&mut self, learn: impl FnOnce(&mut WaitFactor, f64, policy::Micros)) {
         if let Some(expected) = self.expected.take() {
             let took = policy::micros(self.begun.elapsed());
             let gateway = &self.job.gateway;
@@ -127,7 +127,7 @@
 
 impl Drop for Wait<'_> {
     fn drop(&mut self) {
-        self.learn(Stretch::give_up);
+        self.learn(WaitFactor::observe_cancelled);
     }
 }
 
@@ -207,7 +207,8 @@
 /// Learns from a prompt that was read, with all the work there was since it was sent.
 pub fn learn(job: &Job, target: &Target, work: u64, begun: Instant) {
     let took = policy::micros(begun.elapsed());
-    job.gateway.learn_pace(target, |pace| pace.read(work, took));
+    job.gateway
+        .learn_pace(target, |pace| pace.observe_prefill(work, took));
 }
 
 /// A handle that is given back if nobody takes it.
--- a/components/gateway/src/request/generate/relocate.rs
+++ b/components/gateway/src/request/generate/relocate.rs
@@ -55,7 +55,7 @@
     let since = Instant::now();
     let view = View::new(job, std::slice::from_ref(from));
     let weights = Weights::default();
-    let at = place::choose_writer(&view.engines, &ask(job), &weights)?;
+    let at = place::choose_decode_engine(&view.engines, &ask(job), &weights)?;
     let to = &view.targets[at];
     let address = |target: &Target| target.with(|state| state.profile.address);
     let dialect = &job.gateway.edges.dialect;
--- a/components/gateway/src/request/generate/run.rs
+++ b/components/gateway/src/request/generate/run.rs
@@ -61,7 +61,7 @@
 async fn writer(job: &Job, attempts: &Attempts) -> Option<(View, usize)> {
     let look = || {
         let view = View::new(job, attempts.tried());
-        let at = place::choose_writer(&view.engines, &ask(job), &Weights::default())?;
+        let at = place::choose_decode_engine(&view.engines, &ask(job), &Weights::default())?;
         Some((view, at))
     };
     if let Some(found) = look() {
@@ -101,11 +101,12 @@
     };
     read::use_parts(job, decode, true);
     let begun = Instant::now();
-    let timeout = timing::timeout(job, attempts, view.engines[at].pace.start_us);
+    let timeout = timing::timeout(job, attempts, view.engines[at].latency.overhead_us);
     match attempt::send(job, decode, &directive, timeout).await {
         Ok(answer) => {
             let took = policy::micros(begun.elapsed());
-            job.gateway.learn_pace(decode, |pace| pace.began(took));
+            job.gateway
+                .learn_pace(decode, |pace| pace.observe_first_token(took));
             prefill.note(Verdict::Fine, &job.ask.id);
             handle.taken();
             Ok((answer, writing))
--- a/components/gateway/src/request/generate/timing.rs
+++ b/components/gateway/src/request/generate/timing.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use clock::Instant;
-use policy::place::{self, Choice, Plan, Weights};
+use policy::place::{self, Choice, Placement, Weights};
 
 use super::view::{View, ask};
 use crate::request::{
@@ -35,14 +35,14 @@
     /// It will.
     InTime,
     /// It won't, but there is time for a late one; its prompt is read there when no other one waits.
-    Late(place::Late),
+    Late(place::Deferred),
 }
 
 /// Decides whether a request is served in time, late or not at all, which is said at once.
 pub fn decide(job: &Job, view: &View, choice: &Choice) -> Result<Timing, Reason> {
     let left = policy::micros(job.objective.saturating_duration_since(Instant::now()));
     let margin = job.gateway.margin(&job.service.name);
-    let expected = policy::count(choice.first + margin);
+    let expected = policy::to_u64(choice.first_event_us + margin);
     if expected <= left {
         view.log_placement(job, choice, "placed");
         return Ok(Timing::InTime);
@@ -52,7 +52,8 @@
         return Ok(Timing::InTime);
     }
     let ask = ask(job);
-    if let Some(late) = place::choose_late(&view.engines, &ask, &Weights::default(), late_time(job))
+    if let Some(late) =
+        place::choose_deferred(&view.engines, &ask, &Weights::default(), late_time(job))
     {
         view.log_placement(job, choice, "placed late");
         return Ok(Timing::Late(late));
@@ -64,9 +65,9 @@
 /// The time that the prompt of a late answer may be expected to take, in microseconds: its caller must not have
 /// left by then, and there must be time to write.
 fn late_time(job: &Job) -> f64 {
-    let begin = policy::real(policy::micros(job.time_to_begin()));
-    let whole = policy::real(policy::micros(job.time_left())) * LATE_READ;
-    let stretch = job.gateway.stretch(&job.service.name).times();
+    let begin = policy::to_f64(policy::micros(job.time_to_begin()));
+    let whole = policy::to_f64(policy::micros(job.time_left())) * LATE_READ;
+    let stretch = job.gateway.stretch(&job.service.name).factor();
     (begin * BEGINS / stretch).min(whole)
 }
 
@@ -91,7 +92,7 @@
 /// The longest that an engine which works gets on with nothing.
 fn longest(job: &Job, expected: f64) -> Duration {
     let expected = expected + job.gateway.margin(&job.service.name);
-    let longest = Duration::from_micros(policy::count(expected)) * EXPECTED_TIMES;
+    let longest = Duration::from_micros(policy::to_u64(expected)) * EXPECTED_TIMES;
     longest.max(job.time_left() / WAITED_FOR)
 }
 
@@ -100,11 +101,11 @@
 
 /// Whether an answer ends before this process does, if it stops.
 pub fn ends_before_stop(job: &Job, view: &View, choice: &Choice) -> bool {
-    let writer = match choice.plan {
-        Plan::Whole { engine } => engine,
-        Plan::Split { decode, .. } => decode,
+    let writer = match choice.placement {
+        Placement::Single { engine } => engine,
+        Placement::Split { decode, .. } => decode,
     };
-    let step = view.engines[writer].pace.step_us;
-    let us = choice.first + policy::real(ask(job).output) * step;
-    job.ends_before_stop(Duration::from_micros(policy::count(us * LONGER)))
+    let step = view.engines[writer].latency.decode_token_us;
+    let us = choice.first_event_us + policy::to_f64(ask(job).expected_output_tokens) * step;
+    job.ends_before_stop(Duration::from_micros(policy::to_u64(us * LONGER)))
 }
--- a/components/gateway/src/request/generate/view.rs
+++ b/components/gateway/src/request/generate/view.rs
@@ -4,7 +4,7 @@
 
 use clock::Instant;
 use policy::{
-    place::{self, Ask, Choice, Plan, Weights},
+    place::{self, Choice, Placement, Request, Weights},
     prompt::Prompt,
 };
 
@@ -102,11 +102,11 @@
         };
         let token_us = engines.move_token.as_secs_f64() * MICROS;
         for engine in &mut self.engines {
-            let tokens = held.saturating_sub(engine.held);
+            let tokens = held.saturating_sub(engine.cached_tokens);
             if tokens >= LEAST_FETCH {
                 engine.fetch = place::Fetch {
                     tokens,
-                    time: policy::real(tokens) * token_us * FETCH_SLACK,
+                    time_us: policy::to_f64(tokens) * token_us * FETCH_SLACK,
                 };
             }
         }
@@ -130,31 +130,34 @@
     pub fn may_get_room(&self, waiting: usize) -> bool {
         let writers = self.engines.iter();
         let writers = writers.filter(|engine| engine.stage == place::Stage::Decode);
-        let slots: u64 = writers.map(|engine| engine.slots).sum();
+        let slots: u64 = writers.map(|engine| engine.decode_slots).sum();
         u64::try_from(waiting).is_ok_and(|waiting| waiting < slots)
     }
 
     /// Whether the plan reads a prompt so short where it is answered that it makes no difference to anybody: then
     /// a request that is late goes there too.
     pub fn reads_in_passing(&self, job: &Job, choice: &Choice) -> bool {
-        match choice.plan {
-            Plan::Whole { engine } => {
-                place::is_short(&self.engines[engine], &ask(job), &Weights::default())
+        match choice.placement {
+            Placement::Single { engine } => {
+                place::is_short_prefill(&self.engines[engine], &ask(job), &Weights::default())
             }
-            Plan::Split { .. } => false,
+            Placement::Split { .. } => false,
         }
     }
 
     /// The work for an engine that reads; none if the prompt is short.
     fn to_read(&self, job: &Job) -> u64 {
-        let prompt = ask(job).prompt;
+        let prompt = ask(job).prompt_tokens;
         let readers = self
             .engines
             .iter()
             .filter(|engine| engine.stage == place::Stage::Prefill);
-        let held = readers.map(|engine| engine.held).max().unwrap_or(0);
-        if prompt.saturating_sub(held) > Weights::default().short_prompt {
-            policy::prompt::work(prompt, held)
+        let held = readers
+            .map(|engine| engine.cached_tokens)
+            .max()
+            .unwrap_or(0);
+        if prompt.saturating_sub(held) > Weights::default().short_prompt_max_tokens {
+            policy::prompt::prefill_work(prompt, held)
         } else {
             0
         }
@@ -162,23 +165,23 @@
 
     /// Says where a request is placed, and what that was decided by.
     pub fn log_placement(&self, job: &Job, choice: &Choice, how: &str) {
-        let (first, last) = match choice.plan {
-            Plan::Whole { engine } => (engine, engine),
-            Plan::Split { prefill, decode } => (prefill, decode),
+        let (first, last) = match choice.placement {
+            Placement::Single { engine } => (engine, engine),
+            Placement::Split { prefill, decode } => (prefill, decode),
         };
         let names = (&*self.targets[first].id.0, &*self.targets[last].id.0);
         let (reader, writer) = (&self.engines[first], &self.engines[last]);
         let ask = ask(job);
         log::info!(
             request = job.ask.id, reads = names.0, writes = names.1,
-            expected_us = policy::count(choice.first),
-            margin_us = policy::count(job.gateway.margin(&job.service.name)), left_us = ask.within,
-            prompt = ask.prompt, held = reader.held, fetched = reader.fetch.tokens, output = ask.output,
-            content:% = job.content, parts = parts(job), reading = reader.reading, writing = writer.writing,
-            long = writer.long, start_us = policy::count(writer.pace.start_us),
-            read_ns = policy::count(reader.pace.read_us * NANOS),
-            step_us = policy::count(writer.pace.step_us), late = reader.late,
-            slowed_us = writer.pace.slowed_us.map(policy::count);
+            expected_us = policy::to_u64(choice.first_event_us),
+            margin_us = policy::to_u64(job.gateway.margin(&job.service.name)), left_us = ask.first_event_timeout,
+            prompt = ask.prompt_tokens, held = reader.cached_tokens, fetched = reader.fetch.tokens, output = ask.expected_output_tokens,
+            content:% = job.content, parts = parts(job), reading = reader.prefill_work, writing = writer.answers,
+            long = writer.long_answers, start_us = policy::to_u64(writer.latency.overhead_us),
+            read_ns = policy::to_u64(reader.latency.prefill_token_us * NANOS),
+            step_us = policy::to_u64(writer.latency.decode_token_us), late = reader.deferred_work,
+            slowed_us = writer.latency.contended_token_us.map(policy::to_u64);
             "{how}"
         );
     }
@@ -217,41 +220,41 @@
             Stage::Prefill => place::Stage::Prefill,
             Stage::Decode => place::Stage::Decode,
         },
-        reading: seen.load.reading,
-        late: seen.load.late,
-        late_prompts: seen.load.late_prompts,
-        writing: seen.load.writing,
-        long: seen.load.long,
-        slots: seen.profile.slots,
-        held: seen.held,
+        prefill_work: seen.load.reading,
+        deferred_work: seen.load.late,
+        deferred_prompts: seen.load.late_prompts,
+        answers: seen.load.writing,
+        long_answers: seen.load.long,
+        decode_slots: seen.profile.slots,
+        cached_tokens: seen.held,
         fetch: place::Fetch::default(),
-        pace: seen.pace,
-        distance: if *seen.profile.data_centre == *near {
+        latency: seen.pace,
+        extra_round_trip: if *seen.profile.data_centre == *near {
             0
         } else {
             FAR
         },
-        failures: seen.failures,
-        order,
+        failure_ratio: seen.failures,
+        rank: order,
     }
 }
 
 /// What a request asks of placement.
-pub fn ask(job: &Job) -> Ask {
+pub fn ask(job: &Job) -> Request {
     let none = Prompt::default();
     let prompt = job.ask.prompt.as_ref().unwrap_or(&none);
     let left = job.objective.saturating_duration_since(Instant::now());
-    Ask {
-        prompt: prompt.tokens,
-        output: prompt.expected_output(),
-        within: policy::micros(left),
-        pace: policy::real(policy::micros(job.time_left()))
-            / policy::real(prompt.most_output.max(1)),
-        bearable: bearable(job),
-        event: event_tokens(job),
-        pause: job
+    Request {
+        prompt_tokens: prompt.tokens,
+        expected_output_tokens: prompt.expected_output_tokens(),
+        first_event_timeout: policy::micros(left),
+        max_inter_token_latency_us: policy::to_f64(policy::micros(job.time_left()))
+            / policy::to_f64(prompt.max_output_tokens.max(1)),
+        service_max_inter_token_latency_us: bearable(job),
+        tokens_per_event: event_tokens(job),
+        max_stall_us: job
             .pause
-            .map_or(f64::MAX, |pause| policy::real(policy::micros(pause))),
+            .map_or(f64::MAX, |pause| policy::to_f64(policy::micros(pause))),
     }
 }
 
@@ -266,21 +269,25 @@
     let whole = job.gateway.bearable(&job.service.name);
     let event = event_tokens(job);
     let pause = job.pause.map_or(f64::MAX, |pause| {
-        policy::real(policy::micros(pause)) / policy::real(event)
+        policy::to_f64(policy::micros(pause)) / policy::to_f64(event)
     });
     whole.min(pause)
 }
 
 /// Whether a request's answer will be long.
 pub fn is_long(job: &Job) -> bool {
-    ask(job).output > Weights::default().long_answer
+    ask(job).expected_output_tokens > Weights::default().short_answer_max_tokens
 }
 
 /// Counts what a request asks of its service.
 pub fn count(job: &Job, view: &View) {
     let gateway = &job.gateway;
     let service = &job.service.name;
-    let writing = if is_long(job) { ask(job).output } else { 0 };
+    let writing = if is_long(job) {
+        ask(job).expected_output_tokens
+    } else {
+        0
+    };
     let asked = Asked {
         reading: view.to_read(job),
         writing,
@@ -288,6 +295,6 @@
     gateway.count_demand(service, asked);
     if let Some(prompt) = job.ask.prompt.as_ref().filter(|_| is_long(job)) {
         let time = job.deadline - job.arrived;
-        gateway.count_long(service, prompt.most_output, time);
+        gateway.count_long(service, prompt.max_output_tokens, time);
     }
 }
--- a/components/gateway/src/request/pass.rs
+++ b/components/gateway/src/request/pass.rs
@@ -233,7 +233,7 @@
         if let (Some(gap), Some(engines)) = (gap, engines) {
             let gap = policy::micros(gap);
             gateway.learn_pace(&source.target, |pace| {
-                pace.event(engines.event_tokens, gap, before, left);
+                pace.observe_event(engines.event_tokens, gap, before, left);
             });
         }
     }
--- a/components/gateway/src/request/plain.rs
+++ b/components/gateway/src/request/plain.rs
@@ -95,13 +95,13 @@
         if cut_off.contains(&seen.profile.data_centre) {
             continue;
         }
-        let load = policy::real(seen.load.writing) / policy::real(seen.profile.slots.max(1));
+        let load = policy::to_f64(seen.load.writing) / policy::to_f64(seen.profile.slots.max(1));
         let remote = if *seen.profile.data_centre == **near {
             0.0
         } else {
             REMOTE
         };
-        let suspects = policy::real(if suspect { seen.load.suspects } else { 0 });
+        let suspects = policy::to_f64(if suspect { seen.load.suspects } else { 0 });
         let cost = load + remote + seen.failures * FAILURES + suspects * SUSPECTS;
         if best.is_none_or(|(least, _)| cost < least) {
             best = Some((cost, target));
--- a/components/gateway/src/steward/plan.rs
+++ b/components/gateway/src/steward/plan.rs
@@ -61,7 +61,7 @@
 }
 
 fn number(count: usize) -> f64 {
-    policy::real(whole(count))
+    policy::to_f64(whole(count))
 }
 
 impl Planner {
@@ -103,11 +103,11 @@
             let readers = || engines.iter().filter(|e| e.stage == Stage::Prefill);
             let busy = readers().filter(|engine| engine.reading > 0);
             let sample = Sample {
-                reading: policy::real(new.reading) * paces.readers.read_us,
-                writing: policy::real(new.writing) * paces.writers.step_us,
-                taken: policy::real(taken),
-                busy: number(busy.count()),
-                readers: number(readers().count()),
+                prefill_us: policy::to_f64(new.reading) * paces.readers.prefill_token_us,
+                decode_slot_us: policy::to_f64(new.writing) * paces.writers.decode_token_us,
+                occupied_slots: policy::to_f64(taken),
+                busy_prefill_engines: number(busy.count()),
+                prefill_engines: number(readers().count()),
             };
             known.demand.observe(now, &sample);
         }
@@ -128,16 +128,18 @@
     let members = members(&engines, &changing);
     let fleet = Fleet {
         engines: whole(engines.len()),
-        reading: whole(members.iter().filter(|member| !member.writes).count()),
-        slots: engines.iter().map(|engine| engine.slots).max()?,
+        prefill_engines: whole(members.iter().filter(|member| !member.decodes).count()),
+        slots_per_engine: engines.iter().map(|engine| engine.slots).max()?,
     };
     let is_changing = |engine: &Engine| changing.contains(&engine.target.short);
     let away = whole(engines.iter().filter(|e| is_changing(e)).count());
     let weights = Weights::default();
-    if away >= stage::most_changing(fleet.engines) || stage::is_idle(&service.demand, &weights) {
+    if away >= stage::max_concurrent_changes(fleet.engines)
+        || stage::is_idle(&service.demand, &weights)
+    {
         return None;
     }
-    let wanted = stage::readers(&service.demand, &fleet, &weights);
+    let wanted = stage::plan_prefill_engines(&service.demand, &fleet, &weights);
     let free: Vec<(usize, &Engine)> = engines
         .iter()
         .enumerate()
@@ -146,13 +148,13 @@
     let (engine, stage) = lone_reader(gateway, &free, &members)
         .map(|engine| (engine, Stage::Decode))
         .or_else(|| {
-            let change = stage::change(&service.demand, wanted, &fleet, &weights)?;
+            let change = stage::choose_change(&service.demand, wanted, &fleet, &weights)?;
             cheapest(change, &free, &members)
         })?;
     log::info!(
         service = &*service.name, engine = &*engine.target.id.0, to:% = stage, wanted, away,
-        reading = fleet.reading, count = fleet.engines, demand_reading = service.demand.reading,
-        demand_lately = service.demand.reading_lately, demand_writing = service.demand.writing,
+        reading = fleet.prefill_engines, count = fleet.engines, demand_reading = service.demand.prefill_engines,
+        demand_lately = service.demand.recent_prefill_engines, demand_writing = service.demand.decode_slots,
         long = engine.long, data_centre = &*engine.data_centre;
         "an engine is to change its stage"
     );
@@ -171,7 +173,7 @@
             Member {
                 data_centre: &engine.data_centre,
                 // one that is changing will be the other kind
-                writes: writes != changing.contains(&engine.target.short),
+                decodes: writes != changing.contains(&engine.target.short),
             }
         })
         .collect()
@@ -186,7 +188,7 @@
 ) -> Option<&'a Engine> {
     let cut_off = gateway.peers.cut_off();
     let alone = free.iter().filter(|(at, engine)| {
-        let lacks = !stage::serves_alone(members, members[*at].data_centre);
+        let lacks = !stage::can_serve_alone(members, members[*at].data_centre);
         lacks && engine.stage == Stage::Prefill && !cut_off.contains(&engine.data_centre)
     });
     let engine = alone.min_by_key(|(_, engine)| engine.reading)?;
@@ -200,18 +202,18 @@
     members: &[Member],
 ) -> Option<(&'a Engine, Stage)> {
     let readers_near = |engine: &Engine| {
-        let near = |member: &&Member| !member.writes && *member.data_centre == *engine.data_centre;
+        let near = |member: &&Member| !member.decodes && *member.data_centre == *engine.data_centre;
         members.iter().filter(near).count()
     };
     let (found, stage) = match change {
-        Change::MoreReaders => {
+        Change::MorePrefill => {
             let writers = free.iter().filter(|(at, engine)| {
-                engine.stage == Stage::Decode && stage::may_read(members, *at)
+                engine.stage == Stage::Decode && stage::may_switch_to_prefill(members, *at)
             });
             let found = writers.min_by_key(|(_, e)| (e.long, readers_near(e), e.writing));
             (found, Stage::Prefill)
         }
-        Change::MoreWriters => {
+        Change::MoreDecode => {
             let readers = free.iter().filter(|(_, e)| e.stage == Stage::Prefill);
             let found = readers.min_by_key(|(_, e)| (Reverse(readers_near(e)), e.reading));
             (found, Stage::Decode)
--- a/components/gateway/tests/registry.rs
+++ b/components/gateway/tests/registry.rs
@@ -124,9 +124,9 @@
         tokens: 100,
     }];
     former.with(|state| {
-        state.memory = policy::memory::Memory::new(1_000);
-        state.memory.used(&parts, 0);
-        state.pace = Some(policy::learn::Pace::of_writer());
+        state.memory = policy::prefix_cache::PrefixCache::new(1_000);
+        state.memory.record_use(&parts, 0);
+        state.pace = Some(policy::estimate::Latency::initial_decode());
         state.peers.writing = 5;
     });
     let _under_way = Writing::new(&former, false);
@@ -137,7 +137,7 @@
     former.ended().await;
     next.with(|state| {
         assert_eq!((state.own, state.peers), (Load::default(), Load::default()));
-        assert_eq!((state.pace, state.memory.held(&parts)), (None, 0));
+        assert_eq!((state.pace, state.memory.cached_tokens(&parts)), (None, 0));
     });
     // peers that have not heard of it yet tell of the former one
     assert_ne!(former.short, next.short);
--- a/components/policy/src/learn.rs
+++ b/components/policy/src/estimate.rs
@@ -1,88 +1,88 @@
 //! Rates of an engine, learnt from what it did.
 
-use crate::{Micros, count, real};
+use crate::{Micros, to_f64, to_u64};
 
 /// What is known of an engine's speed.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Rates {
+pub struct BatchLatency {
     /// Time to read one prompt token.
-    pub read_us: f64,
+    pub prefill_token_us: f64,
     /// Time of a step in which one request writes.
-    pub step_us: f64,
+    pub decode_step_us: f64,
     /// What each further request adds to a step.
-    pub write_us: f64,
+    pub added_request_us: f64,
 }
 
-impl Default for Rates {
+impl Default for BatchLatency {
     /// A guess that is corrected within a few requests.
     fn default() -> Self {
         Self {
-            read_us: 80.0,
-            step_us: 9_000.0,
-            write_us: 150.0,
+            prefill_token_us: 80.0,
+            decode_step_us: 9_000.0,
+            added_request_us: 150.0,
         }
     }
 }
 
 /// Weight of a new sample in the averages. A fifth of the way each: a wrong guess is gone after some
 /// twenty requests, and one odd request moves the choice little.
-const WEIGHT: f64 = 0.2;
+const BATCH_SAMPLE_WEIGHT: f64 = 0.2;
 /// A sample counts as at most this many times the present rate, so that one stall is not learnt.
-const OUTLIER: f64 = 4.0;
+const MAX_SAMPLE_RATIO: f64 = 4.0;
 
-impl Rates {
+impl BatchLatency {
     /// Learns from a first token that came after so long, with so many prompt tokens read before it.
-    pub fn first(&mut self, tokens_read: u64, took: Micros) {
-        if tokens_read >= LEAST_TOKENS {
-            let sample = (real(took) - self.step_us).max(0.0) / real(tokens_read);
-            blend(&mut self.read_us, sample);
+    pub fn observe_first_token(&mut self, tokens_read: u64, took: Micros) {
+        if tokens_read >= MIN_SAMPLE_TOKENS {
+            let sample = (to_f64(took) - self.decode_step_us).max(0.0) / to_f64(tokens_read);
+            update_average(&mut self.prefill_token_us, sample);
         }
     }
 
     /// Learns from a time between tokens, while so many requests wrote and nothing was read.
-    pub fn between(&mut self, writing: u64, took: Micros) {
-        let expected = self.between_tokens(writing);
-        let ratio = (real(took) / expected).clamp(1.0 / OUTLIER, OUTLIER);
-        let scale = 1.0 + WEIGHT * (ratio - 1.0);
+    pub fn observe_step(&mut self, writing: u64, took: Micros) {
+        let expected = self.inter_token_us(writing);
+        let ratio = (to_f64(took) / expected).clamp(1.0 / MAX_SAMPLE_RATIO, MAX_SAMPLE_RATIO);
+        let scale = 1.0 + BATCH_SAMPLE_WEIGHT * (ratio - 1.0);
         // a lone writer tells of the step, a crowd of what each one adds
-        if writing <= FEW {
-            self.step_us *= scale;
+        if writing <= SMALL_BATCH_REQUESTS {
+            self.decode_step_us *= scale;
         } else {
-            self.write_us *= scale;
+            self.added_request_us *= scale;
         }
     }
 
     /// The time between tokens while so many requests write.
     #[must_use]
-    pub fn between_tokens(&self, writing: u64) -> f64 {
-        self.step_us + self.write_us * real(writing.saturating_sub(1))
+    pub fn inter_token_us(&self, writing: u64) -> f64 {
+        self.decode_step_us + self.added_request_us * to_f64(writing.saturating_sub(1))
     }
 }
 
-const LEAST_TOKENS: u64 = 64;
-const FEW: u64 = 4;
+const MIN_SAMPLE_TOKENS: u64 = 64;
+const SMALL_BATCH_REQUESTS: u64 = 4;
 
-fn blend(rate: &mut f64, sample: f64) {
-    blend_by(WEIGHT, rate, sample);
+fn update_average(rate: &mut f64, sample: f64) {
+    update_average_by(BATCH_SAMPLE_WEIGHT, rate, sample);
 }
 
-fn blend_by(weight: f64, rate: &mut f64, sample: f64) {
-    let sample = sample.clamp(*rate / OUTLIER, *rate * OUTLIER);
+fn update_average_by(weight: f64, rate: &mut f64, sample: f64) {
+    let sample = sample.clamp(*rate / MAX_SAMPLE_RATIO, *rate * MAX_SAMPLE_RATIO);
     *rate += weight * (sample - *rate);
 }
 
 /// How fast an engine is in its present stage, where nobody has told: learnt from what it does.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Pace {
+pub struct Latency {
     /// Time to the first token, or to the handle of a read prompt, besides reading.
-    pub start_us: f64,
+    pub overhead_us: f64,
     /// Time to read one prompt token at the beginning of a prompt.
-    pub read_us: f64,
+    pub prefill_token_us: f64,
     /// Time between two tokens of an answer while no prompt is read.
-    pub step_us: f64,
+    pub decode_token_us: f64,
     /// The longest that this lately was while prompts were read all the time, see [`SLOWED_UP`]. None before that
     /// was seen.
-    pub slowed_us: Option<f64>,
+    pub contended_token_us: Option<f64>,
     /// How many samples each of the first three was learnt from.
     pub samples: Samples,
 }
@@ -91,67 +91,71 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Samples {
     /// Of the time besides reading.
-    pub start: u32,
+    pub overhead: u32,
     /// Of the time to read a token.
-    pub read: u32,
+    pub prefill: u32,
     /// Of the time between tokens.
-    pub step: u32,
+    pub decode: u32,
 }
 
-impl Pace {
+impl Latency {
     /// A guess for an engine that only reads, until the first prompt has been read somewhere: faster than
     /// any engine known. One that looks fast is tried, and one that looks too slow for every request would
     /// never be.
     #[must_use]
-    pub fn of_reader() -> Self {
+    pub fn initial_prefill() -> Self {
         Self {
-            start_us: 3_000.0,
-            read_us: FASTEST_US,
-            step_us: 500.0,
-            slowed_us: None,
+            overhead_us: 3_000.0,
+            prefill_token_us: MIN_PREFILL_TOKEN_US,
+            decode_token_us: 500.0,
+            contended_token_us: None,
             samples: Samples::default(),
         }
     }
 
     /// A guess for an engine that writes: it reads at half the speed, and between its tokens.
     #[must_use]
-    pub fn of_writer() -> Self {
+    pub fn initial_decode() -> Self {
         Self {
-            read_us: 5.0,
-            ..Self::of_reader()
+            prefill_token_us: 5.0,
+            ..Self::initial_prefill()
         }
     }
 }
 
 /// The shortest time to read a token, in microseconds, below that of any engine known. What seems to be read
 /// faster was held by the engine already: a pace of nothing would make every line look short, and never grow.
-const FASTEST_US: f64 = 2.0;
+const MIN_PREFILL_TOKEN_US: f64 = 2.0;
 /// Least weight of a new sample of a pace. Samples are noisy, as the work ahead is known only roughly.
-const PACE_WEIGHT: f64 = 0.1;
+const MIN_SAMPLE_WEIGHT: f64 = 0.1;
 /// Samples from which on one that is far off is not believed whole.
-const SETTLED: u32 = 4;
+const SETTLED_SAMPLES: u32 = 4;
 /// The part of the way that [`Pace::slowed_us`] goes up to an event that took longer, and down with one that did not.
 /// Most events beside which a prompt is thought to be read are not held up, as the prompt is held already or has not
 /// come yet. As the time that nine of ten stay below it was 1 to 6 ms a token where reading makes it 36.
-const SLOWED_UP: f64 = 0.5;
-const SLOWED_DOWN: f64 = 0.005;
+const CONTENDED_RISE_WEIGHT: f64 = 0.5;
+const CONTENDED_FALL_WEIGHT: f64 = 0.005;
 /// Samples from which on others are not told unless they are new: a rate has then moved by all that a wrong guess
 /// was off, see [`PACE_WEIGHT`].
-const LEARNT: u32 = 32;
+const CONVERGED_SAMPLES: u32 = 32;
 /// Prompts up to this many tokens tell of the time besides reading, longer ones of reading.
-const SHORT: u64 = 512;
+const SHORT_PROMPT_WORK: u64 = 512;
 
-impl Pace {
+impl Latency {
     /// Learns from a prompt that was read, with so much work in all since it was sent.
-    pub fn read(&mut self, work: u64, took: Micros) {
-        let reading = real(work) * self.read_us;
-        if work <= SHORT {
-            let sample = (real(took) - reading).max(0.0);
-            average(&mut self.samples.start, &mut self.start_us, sample);
+    pub fn observe_prefill(&mut self, work: u64, took: Micros) {
+        let reading = to_f64(work) * self.prefill_token_us;
+        if work <= SHORT_PROMPT_WORK {
+            let sample = (to_f64(took) - reading).max(0.0);
+            update_mean(&mut self.samples.overhead, &mut self.overhead_us, sample);
         } else {
-            let sample = (real(took) - self.start_us).max(0.0) / real(work);
-            if sample >= FASTEST_US {
-                median(&mut self.samples.read, &mut self.read_us, sample);
+            let sample = (to_f64(took) - self.overhead_us).max(0.0) / to_f64(work);
+            if sample >= MIN_PREFILL_TOKEN_US {
+                update_median(
+                    &mut self.samples.prefill,
+                    &mut self.prefill_token_us,
+                    sample,
+                );
             }
         }
     }
@@ -162,17 +166,20 @@
     /// What is taken counts as a few samples, so that own ones soon show whether it holds here.
     pub fn adopt(&mut self, told: &Self) -> bool {
         let before = *self;
-        take(
-            (&mut self.samples.start, &mut self.start_us),
-            (told.samples.start, told.start_us),
+        adopt_sample(
+            (&mut self.samples.overhead, &mut self.overhead_us),
+            (told.samples.overhead, told.overhead_us),
         );
-        take(
-            (&mut self.samples.read, &mut self.read_us),
-            (told.samples.read, told.read_us.max(FASTEST_US)),
+        adopt_sample(
+            (&mut self.samples.prefill, &mut self.prefill_token_us),
+            (
+                told.samples.prefill,
+                told.prefill_token_us.max(MIN_PREFILL_TOKEN_US),
+            ),
         );
-        take(
-            (&mut self.samples.step, &mut self.step_us),
-            (told.samples.step, told.step_us),
+        adopt_sample(
+            (&mut self.samples.decode, &mut self.decode_token_us),
+            (told.samples.decode, told.decode_token_us),
         );
         *self != before
     }
@@ -180,14 +187,22 @@
     /// Whether it is still being learnt, so that what one decider sees is news to others. The rate with the most samples
     /// tells: engines that read give no answers to learn from.
     #[must_use]
-    pub fn is_new(&self) -> bool {
-        let Samples { start, read, step } = self.samples;
-        (1..LEARNT).contains(&start.max(read).max(step))
+    pub fn is_converging(&self) -> bool {
+        let Samples {
+            overhead: start,
+            prefill: read,
+            decode: step,
+        } = self.samples;
+        (1..CONVERGED_SAMPLES).contains(&start.max(read).max(step))
     }
 
     /// Learns from an answer that began after so long, its prompt having been read elsewhere.
-    pub fn began(&mut self, took: Micros) {
-        average(&mut self.samples.start, &mut self.start_us, real(took));
+    pub fn observe_first_token(&mut self, took: Micros) {
+        update_mean(
+            &mut self.samples.overhead,
+            &mut self.overhead_us,
+            to_f64(took),
+        );
     }
 
     /// Learns from an event of so many tokens that came so long after the one before it. `before` and `after` are
@@ -198,7 +213,7 @@
     /// if their answers bore any reading: with such samples 55 % of the answers beside 10,000 tokens or more paused
     /// for over 200 ms. Where only what filled the whole time counted, the events that reading held up most were
     /// left out, and engines with 15 answers were sent prompts of 5,000 to 20,000 tokens one after the other.
-    pub fn event(
+    pub fn observe_event(
         &mut self,
         tokens: u64,
         gap: Micros,
@@ -208,35 +223,39 @@
         if tokens == 0 {
             return;
         }
-        let sample = real(gap) / real(tokens);
+        let sample = to_f64(gap) / to_f64(tokens);
         match (before, after) {
-            (None, None) => average(&mut self.samples.step, &mut self.step_us, sample),
-            (Some(left), _) if left >= gap.min(self.slowed_event(tokens)) => self.slowed(sample),
+            (None, None) => {
+                update_mean(&mut self.samples.decode, &mut self.decode_token_us, sample);
+            }
+            (Some(left), _) if left >= gap.min(self.contended_event(tokens)) => {
+                self.observe_contended(sample);
+            }
             _ => {}
         }
     }
 
     /// The time that an event of so many tokens is thought to take while prompts are read.
-    fn slowed_event(&self, tokens: u64) -> Micros {
-        self.slowed_us
-            .map_or(Micros::MAX, |slowed| count(slowed * real(tokens)))
+    fn contended_event(&self, tokens: u64) -> Micros {
+        self.contended_token_us
+            .map_or(Micros::MAX, |slowed| to_u64(slowed * to_f64(tokens)))
     }
 
-    fn slowed(&mut self, sample: f64) {
-        let slowed = self.slowed_us.get_or_insert(sample);
-        let sample = sample.min(*slowed * OUTLIER);
+    fn observe_contended(&mut self, sample: f64) {
+        let slowed = self.contended_token_us.get_or_insert(sample);
+        let sample = sample.min(*slowed * MAX_SAMPLE_RATIO);
         let part = if sample > *slowed {
-            SLOWED_UP
+            CONTENDED_RISE_WEIGHT
         } else {
-            SLOWED_DOWN
+            CONTENDED_FALL_WEIGHT
         };
         *slowed += part * (sample - *slowed);
     }
 }
 
 /// Takes a rate that is told with the number of its samples, if it has more of them and the own one few.
-fn take((seen, rate): (&mut u32, &mut f64), (told, other): (u32, f64)) {
-    let told = told.min(SETTLED);
+fn adopt_sample((seen, rate): (&mut u32, &mut f64), (told, other): (u32, f64)) {
+    let told = told.min(SETTLED_SAMPLES);
     if told > *seen && other.is_finite() && other > 0.0 {
         *seen = told;
         *rate = other;
@@ -246,8 +265,8 @@
 /// Moves a median that starts at a guess: the first sample replaces it, and each further one moves it by a
 /// part of itself. A prompt that waited behind work that nobody here knew of took several times its time,
 /// which says nothing of the pace; an average would follow it.
-fn median(seen: &mut u32, rate: &mut f64, sample: f64) {
-    let weight = (PACE_WEIGHT / 2.0).max(1.0 / (f64::from(*seen) + 2.0));
+fn update_median(seen: &mut u32, rate: &mut f64, sample: f64) {
+    let weight = (MIN_SAMPLE_WEIGHT / 2.0).max(1.0 / (f64::from(*seen) + 2.0));
     *rate = match *seen {
         0 => sample,
         _ if sample > *rate => sample.min(*rate * (1.0 + weight)),
@@ -258,12 +277,12 @@
 
 /// Takes a sample into an average that starts at a guess: the first sample replaces it, the next ones count
 /// alike, and later ones at least [`PACE_WEIGHT`], so that it follows what changes.
-fn average(seen: &mut u32, rate: &mut f64, sample: f64) {
-    let weight = PACE_WEIGHT.max(1.0 / (f64::from(*seen) + 1.0));
-    if *seen < SETTLED {
+fn update_mean(seen: &mut u32, rate: &mut f64, sample: f64) {
+    let weight = MIN_SAMPLE_WEIGHT.max(1.0 / (f64::from(*seen) + 1.0));
+    if *seen < SETTLED_SAMPLES {
         *rate += weight * (sample - *rate);
     } else {
-        blend_by(weight, rate, sample);
+        update_average_by(weight, rate, sample);
     }
     *seen = seen.saturating_add(1);
 }
@@ -276,23 +295,23 @@
 }
 
 /// One in so many may be later than the margin says.
-const ONE_IN: f64 = 7.0;
+const MARGIN_EXCEEDED_ONE_IN: f64 = 7.0;
 /// How far the margin moves with a sample that is beyond it, in microseconds: some ten such samples
 /// take it from nothing to where it was found to lie in overload, some 30 ms.
-const STEP_US: f64 = 3_000.0;
+const MARGIN_STEP_US: f64 = 3_000.0;
 /// The largest margin, in microseconds. A larger one would refuse what an idle fleet can serve.
-const LARGEST_US: f64 = 80_000.0;
+const MAX_MARGIN_US: f64 = 80_000.0;
 
 impl Margin {
     /// Learns from something that was expected after one time and happened after another.
-    pub fn learn(&mut self, expected: f64, took: Micros) {
-        let beyond = real(took) - expected > self.us;
+    pub fn observe(&mut self, expected: f64, took: Micros) {
+        let beyond = to_f64(took) - expected > self.us;
         let step = if beyond {
-            STEP_US
+            MARGIN_STEP_US
         } else {
-            -STEP_US / (ONE_IN - 1.0)
+            -MARGIN_STEP_US / (MARGIN_EXCEEDED_ONE_IN - 1.0)
         };
-        self.us = (self.us + step).clamp(0.0, LARGEST_US);
+        self.us = (self.us + step).clamp(0.0, MAX_MARGIN_US);
     }
 
     /// The margin in microseconds.
@@ -305,47 +324,48 @@
 /// How many times as long as expected most things take that wait behind others: what is expected of a long line
 /// is off by a factor rather than by a time.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Stretch {
-    times: f64,
+pub struct WaitFactor {
+    factor: f64,
 }
 
 /// One in so many may take longer than the stretch says.
-const LONGER_ONE_IN: f64 = 4.0;
+const FACTOR_EXCEEDED_ONE_IN: f64 = 4.0;
 /// How far the stretch moves, as a part of itself, with a sample that is beyond it: it doubles with seven.
-const STRETCH_STEP: f64 = 0.1;
+const FACTOR_STEP_RATIO: f64 = 0.1;
 /// The largest stretch. With a larger one nothing would be let in that could show that it is too large.
-const LARGEST: f64 = 4.0;
+const MAX_FACTOR: f64 = 4.0;
 
-impl Default for Stretch {
+impl Default for WaitFactor {
     fn default() -> Self {
-        Self { times: 1.0 }
+        Self { factor: 1.0 }
     }
 }
 
-impl Stretch {
+impl WaitFactor {
     /// Learns from something that was expected to take one time and took another.
-    pub fn learn(&mut self, expected: f64, took: Micros) {
-        if real(took) > expected * self.times {
-            self.beyond();
+    pub fn observe(&mut self, expected: f64, took: Micros) {
+        if to_f64(took) > expected * self.factor {
+            self.increase();
         } else {
-            self.times = (self.times * (1.0 - STRETCH_STEP / (LONGER_ONE_IN - 1.0))).max(1.0);
+            self.factor =
+                (self.factor * (1.0 - FACTOR_STEP_RATIO / (FACTOR_EXCEEDED_ONE_IN - 1.0))).max(1.0);
         }
     }
 
     /// Learns from something that was given up after a time, and would have taken longer.
-    pub fn give_up(&mut self, expected: f64, after: Micros) {
-        if real(after) > expected * self.times {
-            self.beyond();
+    pub fn observe_cancelled(&mut self, expected: f64, after: Micros) {
+        if to_f64(after) > expected * self.factor {
+            self.increase();
         }
     }
 
-    fn beyond(&mut self) {
-        self.times = (self.times * (1.0 + STRETCH_STEP)).min(LARGEST);
+    fn increase(&mut self) {
+        self.factor = (self.factor * (1.0 + FACTOR_STEP_RATIO)).min(MAX_FACTOR);
     }
 
     /// How many times as long.
     #[must_use]
-    pub fn times(&self) -> f64 {
-        self.times
+    pub fn factor(&self) -> f64 {
+        self.factor
     }
 }
--- a/components/policy/src/fair.rs
+++ b/components/policy/src/fair.rs
@@ -4,7 +4,7 @@
 //! the groups with waiting requests the one that is furthest behind goes first, level by level. A
 //! share that is not used is lent at once and never saved up. See `docs/DESIGN.md#fair-share`.
 
-use crate::{Micros, count, real};
+use crate::{Micros, to_f64, to_u64};
 
 /// A group as the queue needs it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -17,7 +17,7 @@
 
 /// A request that waits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Waiting {
+pub struct QueuedRequest {
     /// Its number.
     pub id: u64,
     /// 9 goes first within its group.
@@ -32,15 +32,15 @@
 struct Node {
     parent: usize,
     share: f64,
-    time: f64,
+    virtual_time: f64,
     /// The lowest time of a child that went, so that a child that wakes starts from there.
-    floor: f64,
+    virtual_time_floor: f64,
     /// Children with something to do, sorted by virtual time.
     active: Vec<(f64, usize)>,
     /// Own waiting requests, the highest priority first.
-    waiting: Vec<Waiting>,
+    waiting: Vec<QueuedRequest>,
     /// Work of the own waiting requests and those below.
-    queued: Micros,
+    queued_work: Micros,
 }
 
 /// The queue of a service.
@@ -79,18 +79,18 @@
 
     /// Work that waits, over all groups.
     #[must_use]
-    pub fn queued(&self) -> Micros {
-        self.nodes[ROOT].queued
+    pub fn queued_work(&self) -> Micros {
+        self.nodes[ROOT].queued_work
     }
 
     /// Adds a request of a group.
-    pub fn push(&mut self, group: usize, request: Waiting) {
+    pub fn push(&mut self, group: usize, request: QueuedRequest) {
         let at = group + 1;
         let waiting = &mut self.nodes[at].waiting;
         let place = waiting.partition_point(|other| other.priority >= request.priority);
         waiting.insert(place, request);
         self.length += 1;
-        self.add(at, request.work);
+        self.add_work(at, request.work);
         self.activate(at);
     }
 
@@ -101,7 +101,7 @@
             return false;
         };
         let request = self.nodes[at].waiting.remove(place);
-        self.took(at, &request);
+        self.remove_work(at, &request);
         true
     }
 
@@ -110,13 +110,13 @@
     /// Several are given because the first one's request may need what is full just now, while
     /// another's doesn't: a long prompt that waits for an engine holds nobody else up.
     #[must_use]
-    pub fn heads(&self, most: usize) -> Vec<(usize, Waiting)> {
+    pub fn peek(&self, most: usize) -> Vec<(usize, QueuedRequest)> {
         let mut heads = Vec::new();
-        self.visit(ROOT, most, &mut heads);
+        self.collect_heads(ROOT, most, &mut heads);
         heads
     }
 
-    fn visit(&self, at: usize, most: usize, heads: &mut Vec<(usize, Waiting)>) {
+    fn collect_heads(&self, at: usize, most: usize, heads: &mut Vec<(usize, QueuedRequest)>) {
         let node = &self.nodes[at];
         if let Some(request) = node.waiting.first() {
             heads.push((at - 1, *request));
@@ -125,19 +125,19 @@
             if heads.len() >= most {
                 return;
             }
-            self.visit(*child, most, heads);
+            self.collect_heads(*child, most, heads);
         }
     }
 
     /// Takes the first request of a group and charges the group for it.
-    pub fn take(&mut self, group: usize) -> Option<Waiting> {
+    pub fn pop(&mut self, group: usize) -> Option<QueuedRequest> {
         let at = group + 1;
         if self.nodes[at].waiting.is_empty() {
             return None;
         }
         let request = self.nodes[at].waiting.remove(0);
         self.charge(group, request.work);
-        self.took(at, &request);
+        self.remove_work(at, &request);
         Some(request)
     }
 
@@ -146,8 +146,8 @@
         let mut at = group + 1;
         while at != ROOT {
             let parent = self.nodes[at].parent;
-            let before = self.nodes[at].time;
-            self.nodes[at].time = before + real(work) / self.nodes[at].share;
+            let before = self.nodes[at].virtual_time;
+            self.nodes[at].virtual_time = before + to_f64(work) / self.nodes[at].share;
             self.reorder(parent, at, before);
             at = parent;
         }
@@ -156,21 +156,21 @@
     /// How long a request of a group would wait: behind its group's own work at the share that the
     /// group has now, and never longer than behind everything.
     #[must_use]
-    pub fn wait(&self, group: usize, engines: u64) -> Micros {
-        let engines = real(engines.max(1));
+    pub fn estimate_wait(&self, group: usize, engines: u64) -> Micros {
+        let engines = to_f64(engines.max(1));
         let mut part = 1.0;
         let mut at = group + 1;
-        let own = real(self.nodes[at].queued);
+        let own = to_f64(self.nodes[at].queued_work);
         while at != ROOT {
             let parent = self.nodes[at].parent;
-            part *= self.part(parent, at);
+            part *= self.active_share(parent, at);
             at = parent;
         }
         let alone = own / (engines * part);
-        count(alone.min(real(self.queued()) / engines))
+        to_u64(alone.min(to_f64(self.queued_work()) / engines))
     }
 
-    fn part(&self, parent: usize, child: usize) -> f64 {
+    fn active_share(&self, parent: usize, child: usize) -> f64 {
         let own = self.nodes[child].share;
         let others: f64 = self.nodes[parent]
             .active
@@ -181,9 +181,9 @@
         own / (own + others)
     }
 
-    fn add(&mut self, mut at: usize, work: Micros) {
+    fn add_work(&mut self, mut at: usize, work: Micros) {
         loop {
-            self.nodes[at].queued += work;
+            self.nodes[at].queued_work += work;
             if at == ROOT {
                 return;
             }
@@ -191,18 +191,18 @@
         }
     }
 
-    fn took(&mut self, mut at: usize, request: &Waiting) {
+    fn remove_work(&mut self, mut at: usize, request: &QueuedRequest) {
         self.length -= 1;
         let leaf = at;
         loop {
-            let queued = &mut self.nodes[at].queued;
+            let queued = &mut self.nodes[at].queued_work;
             *queued = queued.saturating_sub(request.work);
             if at == ROOT {
                 break;
             }
             at = self.nodes[at].parent;
         }
-        self.rest(leaf);
+        self.deactivate(leaf);
     }
 
     /// Puts a group and its parents among the active ones.
@@ -217,16 +217,16 @@
                 return;
             }
             // who was idle starts level with those that go now: nothing is saved up
-            let floor = self.nodes[parent].floor;
-            let time = self.nodes[at].time.max(floor);
-            self.nodes[at].time = time;
+            let floor = self.nodes[parent].virtual_time_floor;
+            let time = self.nodes[at].virtual_time.max(floor);
+            self.nodes[at].virtual_time = time;
             insert(&mut self.nodes[parent].active, time, at);
             at = parent;
         }
     }
 
     /// Takes groups with nothing to do from among the active ones.
-    fn rest(&mut self, mut at: usize) {
+    fn deactivate(&mut self, mut at: usize) {
         while at != ROOT {
             let node = &self.nodes[at];
             if !node.waiting.is_empty() || !node.active.is_empty() {
@@ -239,7 +239,7 @@
     }
 
     fn reorder(&mut self, parent: usize, child: usize, before: f64) {
-        let time = self.nodes[child].time;
+        let time = self.nodes[child].virtual_time;
         let siblings = &mut self.nodes[parent];
         if let Some(place) = siblings
             .active
@@ -248,7 +248,7 @@
         {
             siblings.active.remove(place);
             insert(&mut siblings.active, time, child);
-            siblings.floor = siblings.floor.max(before);
+            siblings.virtual_time_floor = siblings.virtual_time_floor.max(before);
         }
     }
 }
--- a/components/policy/src/lib.rs
+++ b/components/policy/src/lib.rs
@@ -4,17 +4,17 @@
 //! this code and so does the measurement `mixshift`. See `docs/DESIGN.md#decisions`.
 
 pub mod backlog;
+pub mod estimate;
 pub mod fair;
-pub mod learn;
-pub mod memory;
+pub mod load;
 pub mod place;
+pub mod prefix_cache;
 pub mod prompt;
 pub mod retry;
 pub mod role;
 pub mod route;
 pub mod stage;
 pub mod suspect;
-pub mod view;
 
 /// Microseconds of the decider's own monotonic clock, or a span of them.
 pub type Micros = u64;
@@ -23,7 +23,7 @@
 /// nothing is lost.
 #[must_use]
 #[expect(clippy::cast_precision_loss, reason = "counts stay far below 2^52")]
-pub fn real(count: u64) -> f64 {
+pub fn to_f64(count: u64) -> f64 {
     count as f64
 }
 
@@ -34,7 +34,7 @@
     clippy::cast_sign_loss,
     reason = "the cast saturates, which is what is wanted"
 )]
-pub fn count(real: f64) -> u64 {
+pub fn to_u64(real: f64) -> u64 {
     real as u64
 }
 
--- a/components/policy/src/memory.rs
+++ b/components/policy/src/prefix_cache.rs
@@ -7,33 +7,33 @@
 
 /// The part of an engine's memory that is counted on for parts that nobody uses just now; the rest is
 /// taken by requests under way, which can't yield.
-const FREE: u64 = 80;
+const USABLE_PERCENT: u64 = 80;
 const PERCENT: u64 = 100;
 /// The most parts remembered of an engine; older ones are forgotten first.
-const MOST: usize = 4_096;
+const MAX_PARTS: usize = 4_096;
 
 /// A part that was used at an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Used {
+struct CachedPart {
     key: u64,
     /// What had passed through the engine when it was last used.
-    passed: u64,
+    last_used: u64,
     /// When it has been read, by expectation.
-    read_at: Micros,
+    cached_at: Micros,
 }
 
 /// The parts of one engine.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Memory {
+pub struct PrefixCache {
     /// Tokens that its memory holds.
-    capacity: u64,
+    capacity_tokens: u64,
     /// Tokens that have passed through it so far.
-    passed: u64,
+    processed_tokens: u64,
     /// Parts, sorted by key.
-    parts: Vec<Used>,
+    parts: Vec<CachedPart>,
 }
 
-impl Memory {
+impl PrefixCache {
     /// An empty memory of so many tokens.
     #[must_use]
     pub fn new(tokens: u64) -> Self {
@@ -44,51 +44,51 @@
 
     /// Takes that it holds so many tokens, whatever was thought before.
     pub fn resize(&mut self, tokens: u64) {
-        self.capacity = tokens * FREE / PERCENT;
+        self.capacity_tokens = tokens * USABLE_PERCENT / PERCENT;
     }
 
     /// Tokens of a prompt that it likely holds, or will when its turn comes there: the parts up to the first one
     /// that it lacks.
     #[must_use]
-    pub fn held(&self, parts: &[Part]) -> u64 {
-        self.leading(parts, |used| self.holds(used))
+    pub fn cached_tokens(&self, parts: &[Part]) -> u64 {
+        self.count_leading_tokens(parts, |used| self.is_cached(used))
     }
 
     /// Tokens of a prompt that others can fetch there now: what is still being read can't be.
     #[must_use]
-    pub fn fetchable(&self, parts: &[Part], now: Micros) -> u64 {
-        self.leading(parts, |used| self.holds(used) && used.read_at <= now)
+    pub fn fetchable_tokens(&self, parts: &[Part], now: Micros) -> u64 {
+        self.count_leading_tokens(parts, |used| self.is_cached(used) && used.cached_at <= now)
     }
 
     /// Notes that a prompt was used there, whose parts will have been read at a time unless they were before.
-    pub fn used(&mut self, parts: &[Part], read_at: Micros) {
-        let held = self.held(parts);
+    pub fn record_use(&mut self, parts: &[Part], read_at: Micros) {
+        let held = self.cached_tokens(parts);
         let all: u64 = parts.iter().map(|part| part.tokens).sum();
-        self.passed += all - held;
+        self.processed_tokens += all - held;
         let mut before = 0;
         for part in parts {
             before += part.tokens;
-            let passed = self.passed;
+            let passed = self.processed_tokens;
             match self.parts.binary_search_by_key(&part.key, |used| used.key) {
                 Ok(at) => {
                     let used = &mut self.parts[at];
-                    used.passed = passed;
+                    used.last_used = passed;
                     if before > held {
-                        used.read_at = read_at;
+                        used.cached_at = read_at;
                     }
                 }
                 Err(at) => {
-                    let used = Used {
+                    let used = CachedPart {
                         key: part.key,
-                        passed,
-                        read_at,
+                        last_used: passed,
+                        cached_at: read_at,
                     };
                     self.parts.insert(at, used);
                 }
             }
         }
-        if self.parts.len() > MOST {
-            self.forget();
+        if self.parts.len() > MAX_PARTS {
+            self.evict();
         }
     }
 
@@ -97,7 +97,7 @@
         self.parts.clear();
     }
 
-    fn leading(&self, parts: &[Part], counts: impl Fn(&Used) -> bool) -> u64 {
+    fn count_leading_tokens(&self, parts: &[Part], counts: impl Fn(&CachedPart) -> bool) -> u64 {
         parts
             .iter()
             .take_while(|part| self.find(part.key).is_some_and(&counts))
@@ -105,23 +105,23 @@
             .sum()
     }
 
-    fn find(&self, key: u64) -> Option<&Used> {
+    fn find(&self, key: u64) -> Option<&CachedPart> {
         let at = self.parts.binary_search_by_key(&key, |used| used.key);
         at.ok().map(|at| &self.parts[at])
     }
 
-    fn holds(&self, used: &Used) -> bool {
-        self.passed - used.passed < self.capacity
+    fn is_cached(&self, used: &CachedPart) -> bool {
+        self.processed_tokens - used.last_used < self.capacity_tokens
     }
 
-    fn forget(&mut self) {
-        let (passed, capacity) = (self.passed, self.capacity);
-        self.parts.retain(|used| passed - used.passed < capacity);
-        if self.parts.len() > MOST {
-            let mut ages: Vec<u64> = self.parts.iter().map(|used| used.passed).collect();
+    fn evict(&mut self) {
+        let (passed, capacity) = (self.processed_tokens, self.capacity_tokens);
+        self.parts.retain(|used| passed - used.last_used < capacity);
+        if self.parts.len() > MAX_PARTS {
+            let mut ages: Vec<u64> = self.parts.iter().map(|used| used.last_used).collect();
             ages.sort_unstable();
             let oldest = ages[ages.len() / 2];
-            self.parts.retain(|used| used.passed > oldest);
+            self.parts.retain(|used| used.last_used > oldest);
         }
     }
 }
--- a/components/policy/src/retry.rs
+++ b/components/policy/src/retry.rs
@@ -2,17 +2,17 @@
 
 use std::collections::VecDeque;
 
-use crate::{Micros, real};
+use crate::{Micros, to_f64};
 
 /// What is known of a failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Class {
+pub enum FailureClass {
     /// It certainly did not run.
-    NotRun,
+    NotExecuted,
     /// It may have run.
-    Unknown,
+    MaybeExecuted,
     /// Another attempt would end the same way.
-    Final,
+    Permanent,
 }
 
 /// A budget of attempts after the first, a fraction of recent successes, so that a fleet in
@@ -23,39 +23,39 @@
 }
 
 /// What a retry takes; each success adds one.
-const COST: u32 = 10;
+const CREDIT_PER_RETRY: u32 = 10;
 /// The most that is saved up, and what a new daemon starts with: twenty retries.
-const MOST: u32 = 20 * COST;
+const MAX_CREDIT: u32 = 20 * CREDIT_PER_RETRY;
 
 impl Default for Budget {
     fn default() -> Self {
-        Self { credit: MOST }
+        Self { credit: MAX_CREDIT }
     }
 }
 
 impl Budget {
     /// Notes a success.
-    pub fn succeed(&mut self) {
-        self.credit = (self.credit + 1).min(MOST);
+    pub fn record_success(&mut self) {
+        self.credit = (self.credit + 1).min(MAX_CREDIT);
     }
 
     /// Takes one retry out of the budget, if there is one.
-    pub fn spend(&mut self) -> bool {
-        let enough = self.credit >= COST;
+    pub fn try_spend(&mut self) -> bool {
+        let enough = self.credit >= CREDIT_PER_RETRY;
         if enough {
-            self.credit -= COST;
+            self.credit -= CREDIT_PER_RETRY;
         }
         enough
     }
 }
 
 /// The most attempts for one request, resumed ones included.
-pub const ATTEMPTS: u32 = 6;
+pub const MAX_ATTEMPTS: u32 = 6;
 
 /// Whether another attempt may be made.
 #[must_use]
-pub fn again(
-    class: Class,
+pub fn allow_retry(
+    class: FailureClass,
     repeatable: bool,
     attempts: u32,
     left: Micros,
@@ -63,11 +63,11 @@
     budget: &mut Budget,
 ) -> bool {
     let allowed = match class {
-        Class::NotRun => true,
-        Class::Unknown => repeatable,
-        Class::Final => false,
+        FailureClass::NotExecuted => true,
+        FailureClass::MaybeExecuted => repeatable,
+        FailureClass::Permanent => false,
     };
-    allowed && attempts < ATTEMPTS && left > needed && budget.spend()
+    allowed && attempts < MAX_ATTEMPTS && left > needed && budget.try_spend()
 }
 
 /// What a window counts, and the repeats that it allows.
@@ -76,16 +76,16 @@
     /// Requests in the window.
     pub requests: u64,
     /// Repeats in the window.
-    pub repeats: u64,
+    pub retries: u64,
     /// The most repeats that it may hold.
-    pub allowed: f64,
+    pub allowed_retries: f64,
 }
 
 impl Usage {
     /// Whether one more repeat is allowed.
     #[must_use]
-    pub fn has_room(&self) -> bool {
-        real(self.repeats) + 1.0 <= self.allowed
+    pub fn allows_retry(&self) -> bool {
+        to_f64(self.retries) + 1.0 <= self.allowed_retries
     }
 }
 
@@ -97,18 +97,18 @@
     /// Times of requests in the window, the oldest first.
     requests: VecDeque<Micros>,
     /// Times of repeats in the window, the oldest first.
-    repeats: VecDeque<Micros>,
+    retries: VecDeque<Micros>,
     /// Until then repeats of a process before this one may still be in the window.
-    inherited: Micros,
+    inherited_until: Micros,
 }
 
 /// The part of what is allowed that is used: the deciders' windows don't slide together, and a
 /// repeat arrives later than it was counted.
-const USED: f64 = 0.8;
+const USED_RATIO: f64 = 0.8;
 /// The part of the ratio that a restarted process uses while repeats of the one before it may be in the window, and
 /// nothing of the slack. That one may have used all of its part, so both together must stay within the whole:
 /// `USED * (1 + RESTARTED) < 1`.
-const RESTARTED: f64 = 0.2;
+const RESTARTED_RATIO: f64 = 0.2;
 
 impl Window {
     /// An empty window of a span.
@@ -117,8 +117,8 @@
         Self {
             span,
             requests: VecDeque::new(),
-            repeats: VecDeque::new(),
-            inherited: 0,
+            retries: VecDeque::new(),
+            inherited_until: 0,
         }
     }
 
@@ -126,53 +126,53 @@
     #[must_use]
     pub fn restarted(span: Micros, now: Micros) -> Self {
         Self {
-            inherited: now + span,
+            inherited_until: now + span,
             ..Self::new(span)
         }
     }
 
     /// Counts a request.
-    pub fn request(&mut self, now: Micros) {
-        self.slide(now);
+    pub fn record_request(&mut self, now: Micros) {
+        self.expire(now);
         self.requests.push_back(now);
     }
 
     /// What the window counts, and what is allowed in it.
     pub fn usage(&mut self, now: Micros, ratio: f64, slack: f64) -> Usage {
-        self.slide(now);
+        self.expire(now);
         let count = |times: &VecDeque<Micros>| u64::try_from(times.len()).unwrap_or(u64::MAX);
         let requests = count(&self.requests);
-        let (ratio, slack) = if now < self.inherited {
-            (ratio * RESTARTED, 0.0)
+        let (ratio, slack) = if now < self.inherited_until {
+            (ratio * RESTARTED_RATIO, 0.0)
         } else {
             (ratio, slack)
         };
         Usage {
             requests,
-            repeats: count(&self.repeats),
-            allowed: (real(requests) * ratio + slack) * USED,
+            retries: count(&self.retries),
+            allowed_retries: (to_f64(requests) * ratio + slack) * USED_RATIO,
         }
     }
 
     /// Takes one repeat, if there is one left. Says what the window held before it.
-    pub fn spend(&mut self, now: Micros, ratio: f64, slack: f64) -> Usage {
+    pub fn try_spend(&mut self, now: Micros, ratio: f64, slack: f64) -> Usage {
         let usage = self.usage(now, ratio, slack);
-        if usage.has_room() {
-            self.repeats.push_back(now);
+        if usage.allows_retry() {
+            self.retries.push_back(now);
         }
         usage
     }
 
     /// Gives a repeat back that was taken at this time and did not become one.
-    pub fn give_back(&mut self, taken: Micros) {
-        if let Ok(at) = self.repeats.binary_search(&taken) {
-            self.repeats.remove(at);
+    pub fn refund(&mut self, taken: Micros) {
+        if let Ok(at) = self.retries.binary_search(&taken) {
+            self.retries.remove(at);
         }
     }
 
-    fn slide(&mut self, now: Micros) {
+    fn expire(&mut self, now: Micros) {
         let from = now.saturating_sub(self.span);
-        for times in [&mut self.requests, &mut self.repeats] {
+        for times in [&mut self.requests, &mut self.retries] {
             while times.front().is_some_and(|time| *time < from) {
                 times.pop_front();
             }
--- a/components/policy/src/suspect.rs
+++ b/components/policy/src/suspect.rs
@@ -9,20 +9,20 @@
 
 /// Endpoints that may end under a request before it is withheld: fewer would withhold requests that had the bad luck of
 /// two endpoints that ended for reasons of their own, more would cost what else runs there.
-pub const ENDS: usize = 3;
+pub const CRASHES_TO_WITHHOLD: usize = 3;
 /// How long a request is withheld after the last endpoint ended under it: endpoints may have been mended by then. If
 /// another one ends under it, it is withheld at once again.
-pub const WITHHELD: Moment = 300 * SECOND;
+pub const WITHHOLD_DURATION: Moment = 300 * SECOND;
 /// How long a suspect is remembered after the last endpoint ended under it.
-pub const KEPT: Moment = 2 * WITHHELD;
+pub const RECORD_TTL: Moment = 2 * WITHHOLD_DURATION;
 /// The most requests that are remembered: of some 100 bytes each.
-pub const MOST: usize = 1_024;
+pub const MAX_RECORDS: usize = 1_024;
 
 const SECOND: Moment = 1_000_000;
 
 /// An endpoint that ended while a request was under way there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct End {
+pub struct Crash {
     /// The endpoint's incarnation.
     pub endpoint: u32,
     /// When it ended.
@@ -33,47 +33,51 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Record {
     /// The endpoints that ended under it since it was served last, at most [`ENDS`] of them, the oldest first.
-    pub ends: Vec<End>,
+    pub crashes: Vec<Crash>,
     /// When it was last served.
-    pub served: Option<Moment>,
+    pub last_served: Option<Moment>,
 }
 
 impl Record {
     /// When something was last known of it.
     #[must_use]
-    pub fn last(&self) -> Option<Moment> {
-        self.ends.last().map(|end| end.at).max(self.served)
+    pub fn last_update(&self) -> Option<Moment> {
+        self.crashes.last().map(|end| end.at).max(self.last_served)
     }
 
     /// For how much longer it is withheld; none if it isn't.
     #[must_use]
-    pub fn withheld(&self, now: Moment) -> Option<Moment> {
-        let last = self.ends.last().filter(|_| self.ends.len() >= ENDS)?;
-        let left = last.at + WITHHELD - now;
+    pub fn remaining_withhold(&self, now: Moment) -> Option<Moment> {
+        let last = self
+            .crashes
+            .last()
+            .filter(|_| self.crashes.len() >= CRASHES_TO_WITHHOLD)?;
+        let left = last.at + WITHHOLD_DURATION - now;
         (left > 0).then_some(left)
     }
 
     /// Adds what another record says of the same request. Says whether that changed anything.
     fn merge(&mut self, other: &Self) -> bool {
         let before = self.clone();
-        self.served = self.served.max(other.served);
-        for end in &other.ends {
+        self.last_served = self.last_served.max(other.last_served);
+        for end in &other.crashes {
             match self
-                .ends
+                .crashes
                 .iter_mut()
                 .find(|known| known.endpoint == end.endpoint)
             {
                 // the first to tell was there
                 Some(known) => known.at = known.at.min(end.at),
-                None => self.ends.push(*end),
+                None => self.crashes.push(*end),
             }
         }
-        let served = self.served;
-        self.ends
+        let served = self.last_served;
+        self.crashes
             .retain(|end| served.is_none_or(|served| served < end.at));
-        self.ends.sort_unstable_by_key(|end| (end.at, end.endpoint));
-        let surplus = self.ends.len().saturating_sub(ENDS);
-        self.ends.drain(..surplus);
+        self.crashes
+            .sort_unstable_by_key(|end| (end.at, end.endpoint));
+        let surplus = self.crashes.len().saturating_sub(CRASHES_TO_WITHHOLD);
+        self.crashes.drain(..surplus);
         *self != before
     }
 }
@@ -98,15 +102,17 @@
 
     /// Adds what is newly known of a request, here or elsewhere. Says whether that changed anything.
     pub fn add(&mut self, content: u64, told: &Record, now: Moment) -> bool {
-        self.forget_old(now);
-        let is_old = told.last().is_none_or(|last| now - last >= KEPT);
+        self.evict_expired(now);
+        let is_old = told
+            .last_update()
+            .is_none_or(|last| now - last >= RECORD_TTL);
         match self.find(content) {
             _ if is_old => false,
             Ok(at) => self.0[at].1.merge(told),
             // that it was served says nothing of one that nobody suspects
-            Err(_) if told.ends.is_empty() => false,
+            Err(_) if told.crashes.is_empty() => false,
             Err(_) => {
-                self.make_room();
+                self.evict_if_full();
                 let at = self.find(content).unwrap_or_else(|at| at);
                 let mut record = Record::default();
                 let added = record.merge(told);
@@ -117,18 +123,23 @@
     }
 
     /// Forgets those of which nothing was known for a while.
-    pub fn forget_old(&mut self, now: Moment) {
-        let fresh = |record: &Record| record.last().is_some_and(|last| now - last < KEPT);
+    pub fn evict_expired(&mut self, now: Moment) {
+        let fresh = |record: &Record| {
+            record
+                .last_update()
+                .is_some_and(|last| now - last < RECORD_TTL)
+        };
         self.0.retain(|(_, record)| fresh(record));
     }
 
     /// Forgets the one that least is known of, if there are as many as may be.
-    fn make_room(&mut self) {
-        if self.0.len() < MOST {
+    fn evict_if_full(&mut self) {
+        if self.0.len() < MAX_RECORDS {
             return;
         }
         let records = self.0.iter().enumerate();
-        let least = records.min_by_key(|(_, (_, record))| (record.ends.len(), record.last()));
+        let least =
+            records.min_by_key(|(_, (_, record))| (record.crashes.len(), record.last_update()));
         if let Some((at, _)) = least {
             self.0.remove(at);
         }
--- a/components/policy/tests/fair.rs
+++ b/components/policy/tests/fair.rs
@@ -1,10 +1,10 @@
 //! The fair queue: shares, order, and what is lent.
 
-use policy::fair::{Group, Queue, Waiting};
+use policy::fair::{Group, Queue, QueuedRequest};
 use proptest::prelude::*;
 
-fn waiting(id: u64, priority: u8, work: u64) -> Waiting {
-    Waiting {
+fn waiting(id: u64, priority: u8, work: u64) -> QueuedRequest {
+    QueuedRequest {
         id,
         priority,
         work,
@@ -33,8 +33,8 @@
     }
     let mut taken = [0; 4];
     for _ in 0..800 {
-        let (next, _) = queue.heads(1)[0];
-        queue.take(next).expect("there is one");
+        let (next, _) = queue.peek(1)[0];
+        queue.pop(next).expect("there is one");
         taken[next] += 1;
     }
     assert_eq!(taken, [0, 300, 300, 200]);
@@ -47,17 +47,17 @@
         queue.push(0, waiting(id, 4, 10));
     }
     for _ in 0..50 {
-        let (next, _) = queue.heads(1)[0];
+        let (next, _) = queue.peek(1)[0];
         assert_eq!(next, 0);
-        queue.take(next);
+        queue.pop(next);
     }
     for id in 100..200 {
         queue.push(1, waiting(id, 4, 10));
     }
     let mut second = 0;
     for _ in 0..40 {
-        let (next, _) = queue.heads(1)[0];
-        queue.take(next);
+        let (next, _) = queue.peek(1)[0];
+        queue.pop(next);
         second += next;
     }
     assert!((19..=21).contains(&second), "{second} of 40");
@@ -69,7 +69,7 @@
     for (id, priority) in [(1, 4), (2, 9), (3, 4), (4, 9)] {
         queue.push(0, waiting(id, priority, 1));
     }
-    let order: Vec<u64> = std::iter::from_fn(|| queue.take(0)).map(|r| r.id).collect();
+    let order: Vec<u64> = std::iter::from_fn(|| queue.pop(0)).map(|r| r.id).collect();
     assert_eq!(order, [2, 4, 1, 3]);
 }
 
@@ -84,12 +84,12 @@
         let removed = queue.remove(pushes[0].0, 0);
         prop_assert!(removed);
         let mut seen = 1;
-        while let Some((next, _)) = queue.heads(3).first().copied() {
-            queue.take(next);
+        while let Some((next, _)) = queue.peek(3).first().copied() {
+            queue.pop(next);
             seen += 1;
         }
         prop_assert_eq!(seen, pushes.len());
         prop_assert!(queue.is_empty());
-        prop_assert_eq!(queue.queued(), 0);
+        prop_assert_eq!(queue.queued_work(), 0);
     }
 }
--- a/components/policy/tests/place.rs
+++ b/components/policy/tests/place.rs
@@ -1,8 +1,8 @@
 //! Where generations are placed, by what callers get of it.
 
 use policy::{
-    learn::Pace,
-    place::{Ask, Engine, Fetch, Late, Plan, Stage, Weights, choose, choose_late},
+    estimate::Latency,
+    place::{Deferred, Engine, Fetch, Placement, Request, Stage, Weights, choose, choose_deferred},
 };
 use proptest::prelude::*;
 
@@ -13,62 +13,62 @@
 fn writer(writing: u64) -> Engine {
     Engine {
         stage: Stage::Decode,
-        reading: 0,
-        late: 0,
-        late_prompts: 0,
-        writing,
-        long: 0,
-        slots: 64,
-        held: 0,
+        prefill_work: 0,
+        deferred_work: 0,
+        deferred_prompts: 0,
+        answers: writing,
+        long_answers: 0,
+        decode_slots: 64,
+        cached_tokens: 0,
         fetch: Fetch::default(),
-        pace: Pace {
-            start_us: 40.0 * MS,
-            read_us: 30.0,
-            step_us: 4.0 * MS,
-            ..Pace::of_writer()
+        latency: Latency {
+            overhead_us: 40.0 * MS,
+            prefill_token_us: 30.0,
+            decode_token_us: 4.0 * MS,
+            ..Latency::initial_decode()
         },
-        distance: 0,
-        failures: 0.0,
-        order: 0,
+        extra_round_trip: 0,
+        failure_ratio: 0.0,
+        rank: 0,
     }
 }
 
 fn reader(reading: u64) -> Engine {
-    let pace = Pace {
-        start_us: 3.0 * MS,
-        read_us: 15.0,
-        ..Pace::of_reader()
+    let pace = Latency {
+        overhead_us: 3.0 * MS,
+        prefill_token_us: 15.0,
+        ..Latency::initial_prefill()
     };
     Engine {
         stage: Stage::Prefill,
-        reading,
-        pace,
+        prefill_work: reading,
+        latency: pace,
         ..writer(0)
     }
 }
 
 /// A prompt of so many tokens whose answer comes in events of nine tokens, at most 200 ms apart.
-fn ask(prompt: u64) -> Ask {
-    Ask {
-        prompt,
-        output: 120,
-        within: 600_000,
-        pace: 50.0 * MS,
-        bearable: 22.0 * MS,
-        event: 9,
-        pause: 200.0 * MS,
+fn ask(prompt: u64) -> Request {
+    Request {
+        prompt_tokens: prompt,
+        expected_output_tokens: 120,
+        first_event_timeout: 600_000,
+        max_inter_token_latency_us: 50.0 * MS,
+        service_max_inter_token_latency_us: 22.0 * MS,
+        tokens_per_event: 9,
+        max_stall_us: 200.0 * MS,
     }
 }
 
-fn place(engines: &[Engine], ask: &Ask) -> Option<Plan> {
-    choose(engines, ask, &Weights::default()).map(|choice| choice.plan)
+fn place(engines: &[Engine], ask: &Request) -> Option<Placement> {
+    choose(engines, ask, &Weights::default()).map(|choice| choice.placement)
 }
 
 #[test]
 fn a_prompt_is_not_read_between_tokens_that_it_would_hold_up_for_too_long() {
     // 9,000 tokens take 270 ms: the answers there would pause for 306 ms
     let engines = [writer(1), reader(40_000)];
-    let split = Plan::Split {
+    let split = Placement::Split {
         prefill: 1,
         decode: 0,
     };
@@ -77,7 +77,7 @@
     // nobody is held up where nothing is written
     assert_eq!(
         place(&[writer(0)], &ask(9_000)),
-        Some(Plan::Whole { engine: 0 })
+        Some(Placement::Single { engine: 0 })
     );
 }
 
@@ -87,7 +87,7 @@
     let short = ask(1_000);
     assert!(place(&[writer(3)], &short).is_some());
     let busy = |ahead: u64| Engine {
-        reading: 1_000 * ahead,
+        prefill_work: 1_000 * ahead,
         ..writer(3)
     };
     assert!(place(&[busy(1)], &short).is_some());
@@ -97,13 +97,13 @@
 #[test]
 fn a_writer_that_reads_in_small_pieces_reads_as_much_as_comes() {
     // each token is held up by 3 ms, however much waits: 63 ms between events
-    let pace = Pace {
-        slowed_us: Some(7.0 * MS),
-        ..writer(0).pace
+    let pace = Latency {
+        contended_token_us: Some(7.0 * MS),
+        ..writer(0).latency
     };
     let fine = Engine {
-        pace,
-        reading: 20_000,
+        latency: pace,
+        prefill_work: 20_000,
         ..writer(20)
     };
     assert!(place(&[fine], &ask(9_000)).is_some());
@@ -112,12 +112,14 @@
 #[test]
 fn an_answer_is_expected_after_the_prompts_that_its_writer_reads() {
     let busy = Engine {
-        reading: 4_000,
+        prefill_work: 4_000,
         ..writer(3)
     };
     let first = |writer: Engine| {
         let choice = choose(&[writer, reader(0)], &ask(9_000), &Weights::default());
-        choice.expect("a reader and a writer are there").first
+        choice
+            .expect("a reader and a writer are there")
+            .first_event_us
     };
     let later = first(busy) - first(writer(3));
     assert!((later - 120.0 * MS).abs() < MS, "{later}");
@@ -125,30 +127,30 @@
 
 fn any_engine() -> impl Strategy<Value = Engine> {
     let pace = (0.0..100_000.0, 1.0..200.0, 100.0..20_000.0, 1.0..4.0).prop_map(
-        |(start_us, read_us, step_us, slower)| Pace {
-            start_us,
-            read_us,
-            step_us,
-            slowed_us: (slower > 1.5).then_some(step_us * slower),
-            ..Pace::of_writer()
+        |(start_us, read_us, step_us, slower)| Latency {
+            overhead_us: start_us,
+            prefill_token_us: read_us,
+            decode_token_us: step_us,
+            contended_token_us: (slower > 1.5).then_some(step_us * slower),
+            ..Latency::initial_decode()
         },
     );
     let load = (0_u64..200_000, 0_u64..50_000, 0_u64..80, 1_u64..100);
     (any::<bool>(), pace, load, 0_u64..30_000, 0.0..1.0).prop_map(
         |(reads, pace, (reading, late, writing, slots), held, failures)| Engine {
             stage: if reads { Stage::Prefill } else { Stage::Decode },
-            reading,
-            late,
-            late_prompts: late.div_ceil(10_000),
-            writing,
-            long: writing / 3,
-            slots,
-            held,
+            prefill_work: reading,
+            deferred_work: late,
+            deferred_prompts: late.div_ceil(10_000),
+            answers: writing,
+            long_answers: writing / 3,
+            decode_slots: slots,
+            cached_tokens: held,
             fetch: Fetch::default(),
-            pace,
-            distance: 0,
-            failures,
-            order: held,
+            latency: pace,
+            extra_round_trip: 0,
+            failure_ratio: failures,
+            rank: held,
         },
     )
 }
@@ -165,18 +167,18 @@
         let Some(choice) = choose(&engines, &ask, &Weights::default()) else {
             return Ok(());
         };
-        let (reads, writes) = match choice.plan {
-            Plan::Whole { engine } => (engine, engine),
-            Plan::Split { prefill, decode } => (prefill, decode),
+        let (reads, writes) = match choice.placement {
+            Placement::Single { engine } => (engine, engine),
+            Placement::Split { prefill, decode } => (prefill, decode),
         };
         let (reads, writes) = (&engines[reads], &engines[writes]);
         prop_assert_eq!(writes.stage, Stage::Decode);
-        prop_assert!(writes.writing < writes.slots);
+        prop_assert!(writes.answers < writes.decode_slots);
         if !std::ptr::eq(reads, writes) {
             prop_assert_eq!(reads.stage, Stage::Prefill);
         }
-        let unread = policy::real(prompt.saturating_sub(reads.held));
-        prop_assert!(choice.first >= unread * reads.pace.read_us);
+        let unread = policy::to_f64(prompt.saturating_sub(reads.cached_tokens));
+        prop_assert!(choice.first_event_us >= unread * reads.latency.prefill_token_us);
     }
 
     /// Work that others have takes nothing away from a caller for whom there was room without it elsewhere.
@@ -190,7 +192,7 @@
         let others = &engines[1..];
         let alone = place(others, &ask).is_some();
         let mut all = engines.clone();
-        all[0].reading += more;
+        all[0].prefill_work += more;
         prop_assert!(!alone || place(&all, &ask).is_some());
     }
 }
@@ -198,8 +200,8 @@
 /// An engine with so many prompts that give way, of 30,000 tokens each.
 fn late_reader(reading: u64, late_prompts: u64) -> Engine {
     Engine {
-        late: 30_000 * late_prompts,
-        late_prompts,
+        deferred_work: 30_000 * late_prompts,
+        deferred_prompts: late_prompts,
         ..reader(reading)
     }
 }
@@ -208,7 +210,7 @@
 fn a_prompt_that_gives_way_is_in_the_way_once_it_is_being_read() {
     // 5,000 tokens are read in 75 ms, and 30,000 in 450 ms, to whose end the engine reads
     let engines = [writer(0), late_reader(0, 1), reader(5_000)];
-    let split = Plan::Split {
+    let split = Placement::Split {
         prefill: 2,
         decode: 0,
     };
@@ -219,7 +221,7 @@
 fn prompts_that_give_way_count_as_one_however_many_wait() {
     let first = |engine| {
         let engines = [writer(0), engine];
-        choose(&engines, &ask(9_000), &Weights::default()).map(|choice| choice.first)
+        choose(&engines, &ask(9_000), &Weights::default()).map(|choice| choice.first_event_us)
     };
     assert_eq!(first(late_reader(0, 20)), first(late_reader(0, 1)));
     assert!(first(late_reader(0, 1)) > first(reader(0)));
@@ -228,9 +230,13 @@
 #[test]
 fn a_late_prompt_waits_for_all_others() {
     let engines = [late_reader(10_000, 2)];
-    let late = |time| choose_late(&engines, &ask(10_000), &Weights::default(), time);
+    let late = |time| choose_deferred(&engines, &ask(10_000), &Weights::default(), time);
     // 80,000 tokens ahead and with it take 1.2 s, 3 ms besides, and attention for the prompt's own length
-    let Some(Late { engine: 0, read }) = late(1_300.0 * MS) else {
+    let Some(Deferred {
+        engine: 0,
+        prefill_us: read,
+    }) = late(1_300.0 * MS)
+    else {
         panic!("it is read within 1.3 s");
     };
     assert!((1_200.0 * MS..1_260.0 * MS).contains(&read), "{read}");
--- a/components/policy/tests/retry.rs
+++ b/components/policy/tests/retry.rs
@@ -1,6 +1,6 @@
 //! The budget of repeats that several processes share.
 
-use policy::{Micros, real, retry::Window};
+use policy::{Micros, retry::Window, to_f64};
 use proptest::prelude::*;
 
 const SECOND: Micros = 1_000_000;
@@ -34,10 +34,10 @@
             windows.fill(Window::restarted(SPAN, now));
         }
         for window in &mut windows {
-            window.request(now);
+            window.record_request(now);
             seen.requests.push(now);
-            let slack = SLACK / real(PROCESSES as u64);
-            while fails.contains(&now) && window.spend(now, RATIO, slack).has_room() {
+            let slack = SLACK / to_f64(PROCESSES as u64);
+            while fails.contains(&now) && window.try_spend(now, RATIO, slack).allows_retry() {
                 seen.repeats.push(now);
             }
         }
@@ -57,9 +57,9 @@
             let before = [0, SPAN / 2, SPAN].map(|back| from.saturating_sub(back));
             let requests = before.map(|from| within(&seen.requests, from));
             let most = requests.into_iter().max().unwrap_or(0);
-            let allowed = real(most as u64) * RATIO + SLACK;
+            let allowed = to_f64(most as u64) * RATIO + SLACK;
             let repeats = within(&seen.repeats, from);
-            prop_assert!(real(repeats as u64) <= allowed, "{} repeats, {} allowed", repeats, allowed);
+            prop_assert!(to_f64(repeats as u64) <= allowed, "{} repeats, {} allowed", repeats, allowed);
         }
     }
 }
@@ -67,8 +67,8 @@
 #[test]
 fn a_repeat_that_is_given_back_may_be_taken_again() {
     let mut window = Window::new(SPAN);
-    assert!(window.spend(1, 0.0, 1.25).has_room());
-    assert!(!window.spend(2, 0.0, 1.25).has_room());
-    window.give_back(1);
-    assert!(window.spend(3, 0.0, 1.25).has_room());
+    assert!(window.try_spend(1, 0.0, 1.25).allows_retry());
+    assert!(!window.try_spend(2, 0.0, 1.25).allows_retry());
+    window.refund(1);
+    assert!(window.try_spend(3, 0.0, 1.25).allows_retry());
 }
--- a/examples/idle.rs
+++ b/examples/idle.rs
@@ -5,7 +5,7 @@
 
 use cloud::table::Transaction;
 use daemon::Running;
-use policy::real;
+use policy::to_f64;
 use settings::{
     process::Settings,
     tree::{Edit, Tree, resolve},
@@ -100,13 +100,13 @@
     let (before, table) = (spent(), platform.counts());
     tokio::time::sleep(WATCH).await;
     let (after, table_after) = (spent(), platform.counts());
-    let each = real(daemons as u64) * WATCH.as_secs_f64();
+    let each = to_f64(daemons as u64) * WATCH.as_secs_f64();
     println!(
         "{daemons} daemons, {engines} engines: {:.2} % of a core, {:.1} KB/s, {:.2} reads/s and {:.2} writes/s of the table, each daemon",
-        real(after.0 - before.0) / each / 1e4,
-        real(after.1 - before.1) / each / 1e3,
-        real(table_after.reads - table.reads) / each,
-        real(table_after.writes - table.writes) / each,
+        to_f64(after.0 - before.0) / each / 1e4,
+        to_f64(after.1 - before.1) / each / 1e3,
+        to_f64(table_after.reads - table.reads) / each,
+        to_f64(table_after.writes - table.writes) / each,
     );
 }
 
--- a/examples/mixshift_parts/decider.rs
+++ b/examples/mixshift_parts/decider.rs
@@ -1,12 +1,11 @@
 //! A decider: one daemon's queue and view, with the real decisions.
 
 use policy::{
-    count,
-    fair::{Group, Queue, Waiting},
-    learn::Rates,
-    real,
-    route::{self, Ask, Choice, Plan, Role, Weights},
-    view::{self, Reading, Sources, URGENT},
+    estimate::BatchLatency,
+    fair::{Group, Queue, QueuedRequest},
+    load::{self, Sources, TokensByClass, URGENT_PRIORITY},
+    route::{self, Choice, Placement, Role, Weights},
+    to_f64, to_u64,
 };
 use rand::{RngExt, rngs::StdRng};
 
@@ -19,9 +18,9 @@
 #[derive(Clone, Debug, Default)]
 pub struct Seen {
     /// Own dispatches.
-    pub own: (Reading, u64),
+    pub own: (TokensByClass, u64),
     /// Peers', as of their last digests.
-    pub peers: (Reading, u64),
+    pub peers: (TokensByClass, u64),
     /// The engine's report and when it was made.
     pub told: Option<(u64, u64, u64)>,
     /// Blocks that its cache likely holds, sorted.
@@ -64,20 +63,22 @@
 
     /// The expected length of an answer.
     pub fn expected(&self, request: &Request) -> u64 {
-        count(self.outputs[request.class.group()]).max(1)
+        to_u64(self.outputs[request.class.group()]).max(1)
     }
 
     /// Learns from an answer.
     pub fn finished(&mut self, request: &Request) {
         let mean = &mut self.outputs[request.class.group()];
-        *mean += OUTPUT_WEIGHT * (real(request.output) - *mean);
+        *mean += OUTPUT_WEIGHT * (to_f64(request.output) - *mean);
     }
 
     /// The work of a request, as the daemon estimates it.
     pub fn work(&self, request: &Request) -> u64 {
-        let rates = Rates::default();
-        let each = rates.between_tokens(16) / 16.0;
-        count(real(request.prompt) * rates.read_us + real(self.expected(request)) * each)
+        let rates = BatchLatency::default();
+        let each = rates.inter_token_us(16) / 16.0;
+        to_u64(
+            to_f64(request.prompt) * rates.prefill_token_us + to_f64(self.expected(request)) * each,
+        )
     }
 
     /// Adds a request to the queue, unless it can't meet its deadline.
@@ -85,16 +86,16 @@
         let deadline = request.at + request.class.deadline();
         let work = self.work(request);
         let group = request.class.group();
-        let alone = real(request.prompt) * Rates::default().read_us
-            + real(self.expected(request)) * Rates::default().between_tokens(1);
-        let wait = self.queue.wait(group, engines);
-        let late = now + wait + count(alone) > deadline || wait > request.class.longest_wait();
-        if request.class.priority() < URGENT && late {
+        let alone = to_f64(request.prompt) * BatchLatency::default().prefill_token_us
+            + to_f64(self.expected(request)) * BatchLatency::default().inter_token_us(1);
+        let wait = self.queue.estimate_wait(group, engines);
+        let late = now + wait + to_u64(alone) > deadline || wait > request.class.longest_wait();
+        if request.class.priority() < URGENT_PRIORITY && late {
             return false;
         }
         self.queue.push(
             group,
-            Waiting {
+            QueuedRequest {
                 id: id as u64,
                 priority: request.class.priority(),
                 work,
@@ -122,49 +123,52 @@
             .iter()
             .map(|at| self.engine(*at, engines[*at].0, request, now))
             .collect();
-        let ask = Ask {
-            prompt: request.prompt,
-            output: self.expected(request),
-            urgent: request.class.priority() >= URGENT,
-            paced: view::band(request.class.priority()) > 0,
+        let ask = route::Request {
+            prompt_tokens: request.prompt,
+            expected_output_tokens: self.expected(request),
+            urgent: request.class.priority() >= URGENT_PRIORITY,
+            interactive: load::priority_class(request.class.priority()) > 0,
         };
         let choice = route::choose(&view, &ask, weights, rng.random())?;
-        let plan = match choice.plan {
-            Plan::Whole { engine } => Plan::Whole {
+        let plan = match choice.placement {
+            Placement::Single { engine } => Placement::Single {
                 engine: open[engine],
             },
-            Plan::Split { prefill, decode } => Plan::Split {
+            Placement::Split { prefill, decode } => Placement::Split {
                 prefill: open[prefill],
                 decode: open[decode],
             },
         };
-        Some(Choice { plan, ..choice })
+        Some(Choice {
+            placement: plan,
+            ..choice
+        })
     }
 
     fn engine(&self, at: usize, role: Role, request: &Request, now: u64) -> route::Engine {
         let seen = &self.seen[at];
-        let rates = Rates::default();
+        let rates = BatchLatency::default();
         let sources = Sources {
             own: seen.own,
             peers: seen.peers,
-            told: seen
+            reported: seen
                 .told
                 .map(|(reading, writing, made)| (reading, writing, now.saturating_sub(made))),
         };
-        let band = view::band(request.class.priority());
-        let out = view::outstanding(&sources, &rates, band);
+        let band = load::priority_class(request.class.priority());
+        let out = load::estimate(&sources, &rates, band);
         let held = request
             .blocks
             .iter()
             .take_while(|block| seen.blocks.binary_search(block).is_ok());
         route::Engine {
             role,
-            ahead: out.ahead,
-            reading: out.reading,
-            writing: out.writing,
-            cached: 64 * held.count() as u64,
-            distance: 0,
-            rates,
+            prefill_tokens_ahead: out.prefill_tokens_ahead,
+            prefill_tokens: out.prefill_tokens,
+            decode_requests: out.decode_requests,
+            cached_tokens: 64 * held.count() as u64,
+            one_way_delay: 0,
+            latency: rates,
         }
     }
 
@@ -193,9 +197,9 @@
             }
         };
         Some(Choice {
-            plan: Plan::Whole { engine },
-            first: 0.0,
-            whole: 0.0,
+            placement: Placement::Single { engine },
+            first_token_us: 0.0,
+            last_token_us: 0.0,
         })
     }
 
--- a/examples/mixshift_parts/report.rs
+++ b/examples/mixshift_parts/report.rs
@@ -1,7 +1,7 @@
 //! What a run has shown, and the medians over its seeds.
 
 use hdrhistogram::Histogram;
-use policy::real;
+use policy::to_f64;
 use serde::Serialize;
 
 use super::{
@@ -30,7 +30,7 @@
 }
 
 fn work(request: &Request) -> f64 {
-    real(request.prompt) * 80.0 + real(request.output) * 350.0
+    to_f64(request.prompt) * 80.0 + to_f64(request.output) * 350.0
 }
 
 fn record(histogram: &mut Histogram<u64>, value: u64) {
@@ -89,7 +89,7 @@
 
     fn share(&self, class: Class) -> f64 {
         let group = class.group();
-        real(self.useful[group]) / real(self.arrived[group].max(1))
+        to_f64(self.useful[group]) / to_f64(self.arrived[group].max(1))
     }
 }
 
@@ -127,7 +127,7 @@
     /// Sums the runs of one case and policy up.
     pub fn new(case: Case, policy: Policy, results: &[Results]) -> Self {
         let goodput = |r: &Results| r.useful_work / r.arrived_work;
-        let ms = |us: u64| real(us) / 1e3;
+        let ms = |us: u64| to_f64(us) / 1e3;
         let first = |class: Class, at: f64| {
             median(
                 results,
@@ -143,14 +143,14 @@
             goodput: median(results, goodput),
             goodput_low: spread(f64::min, f64::MAX),
             goodput_high: spread(f64::max, 0.0),
-            answers: median(results, |r| real(r.useful.iter().sum()) / LENGTH),
+            answers: median(results, |r| to_f64(r.useful.iter().sum()) / LENGTH),
             long: median(results, |r| r.share(Class::Long)),
             short: median(results, |r| r.share(Class::Short)),
             flood: median(results, |r| r.share(Class::Flood)),
             alarm: median(results, |r| r.share(Class::Alarm)),
-            changes: median(results, |r| real(r.changes)),
+            changes: median(results, |r| to_f64(r.changes)),
             refused: median(results, |r| {
-                real(r.refused.iter().sum()) / real(r.arrived.iter().sum())
+                to_f64(r.refused.iter().sum()) / to_f64(r.arrived.iter().sum())
             }),
             first_p50_ms: first(Class::Short, 0.5),
             first_p99_ms: first(Class::Short, 0.99),
--- a/examples/mixshift_parts/run/mod.rs
+++ b/examples/mixshift_parts/run/mod.rs
@@ -6,12 +6,11 @@
 use std::{cmp::Reverse, collections::BinaryHeap};
 
 use policy::{
-    count,
-    learn::Rates,
-    real,
+    estimate::BatchLatency,
+    load::{self, TokensByClass},
     role::Demand,
-    route::{Plan, Role, Weights},
-    view::{self, Reading},
+    route::{Placement, Role, Weights},
+    to_f64, to_u64,
 };
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 use standin::batch::{Job, Speed, Token};
@@ -54,7 +53,7 @@
 
 struct Flight {
     decider: usize,
-    plan: Plan,
+    plan: Placement,
     first: Option<u64>,
     /// Whether the second engine of a split has it.
     writing: bool,
@@ -172,7 +171,7 @@
         let decider = id % self.deciders.len();
         let request = &self.requests[id];
         let work = self.deciders[decider].work(request);
-        let read = count(real(request.prompt) * Rates::default().read_us);
+        let read = to_u64(to_f64(request.prompt) * BatchLatency::default().prefill_token_us);
         self.arrived.0 += read;
         self.arrived.1 += work - read.min(work);
         // baselines have no queue: they send at once and refuse nothing
@@ -199,7 +198,7 @@
 
     /// Places the first request that fits; says whether there was one.
     fn place_one(&mut self, decider: usize, open: &[Open]) -> bool {
-        for (group, waiting) in self.deciders[decider].queue.heads(HEADS) {
+        for (group, waiting) in self.deciders[decider].queue.peek(HEADS) {
             let id = usize::try_from(waiting.id).expect("an index");
             if self.now > waiting.deadline {
                 self.deciders[decider].queue.remove(group, waiting.id);
@@ -207,7 +206,7 @@
                 return true;
             }
             if self.try_place(decider, id, open) {
-                self.deciders[decider].queue.take(group);
+                self.deciders[decider].queue.pop(group);
                 return true;
             }
         }
@@ -227,13 +226,13 @@
         let Some(choice) = choice else {
             return false;
         };
-        let first = choice.plan.first();
-        let last = match choice.plan {
-            Plan::Whole { engine } => engine,
-            Plan::Split { decode, .. } => decode,
+        let first = choice.placement.first_engine();
+        let last = match choice.placement {
+            Placement::Single { engine } => engine,
+            Placement::Split { decode, .. } => decode,
         };
         let seen = &mut self.deciders[decider].seen;
-        seen[first].own.0[view::band(request.class.priority())] += request.prompt;
+        seen[first].own.0[load::priority_class(request.class.priority())] += request.prompt;
         seen[last].own.1 += 1;
         let until = if first == last { request.output } else { 1 };
         let job = Job {
@@ -247,7 +246,7 @@
         };
         self.flights[id] = Some(Flight {
             decider,
-            plan: choice.plan,
+            plan: choice.placement,
             first: None,
             writing: first == last,
         });
@@ -286,13 +285,13 @@
         let request = &self.requests[id];
         if flight.first.is_none() {
             flight.first = Some(self.now);
-            let band = view::band(request.class.priority());
+            let band = load::priority_class(request.class.priority());
             self.deciders[decider].seen[engine].own.0[band] -= request.prompt;
             self.deciders[decider].read(engine, &request.blocks);
         }
         if token.offset + 1 >= request.output {
             self.finish(id);
-        } else if let (true, false, Plan::Split { decode, .. }) =
+        } else if let (true, false, Placement::Split { decode, .. }) =
             (token.last, flight.writing, flight.plan)
         {
             flight.writing = true;
@@ -315,8 +314,8 @@
         };
         let request = &self.requests[id];
         let last = match flight.plan {
-            Plan::Whole { engine } => engine,
-            Plan::Split { decode, .. } => decode,
+            Placement::Single { engine } => engine,
+            Placement::Split { decode, .. } => decode,
         };
         self.deciders[flight.decider].seen[last].own.1 -= 1;
         self.deciders[flight.decider].finished(request);
@@ -324,14 +323,14 @@
     }
 
     fn digests(&mut self) {
-        if self.now < count(LENGTH * 1e6) {
+        if self.now < to_u64(LENGTH * 1e6) {
             self.at(self.now + DIGEST_US, Event::Digests);
         }
         for engine in 0..self.engines.len() {
             let all: Vec<_> = self.deciders.iter().map(|d| d.seen[engine].own).collect();
             for (at, decider) in self.deciders.iter_mut().enumerate() {
                 let others = all.iter().enumerate().filter(|(other, _)| *other != at);
-                let none = (Reading::default(), 0);
+                let none = (TokensByClass::default(), 0);
                 decider.seen[engine].peers = others.fold(none, |mut sum, (_, own)| {
                     for (sum, reading) in sum.0.iter_mut().zip(own.0) {
                         *sum += reading;
@@ -343,7 +342,7 @@
     }
 
     fn reports(&mut self) {
-        if self.now < count(LENGTH * 1e6) {
+        if self.now < to_u64(LENGTH * 1e6) {
             self.at(self.now + REPORT_US, Event::Reports);
         }
         let late = self.now + self.options.lag_ms * 1_000;
@@ -380,8 +379,8 @@
                 continue;
             };
             let (first, last) = match flight.plan {
-                Plan::Whole { engine } => (engine, engine),
-                Plan::Split { prefill, decode } => (prefill, decode),
+                Placement::Single { engine } => (engine, engine),
+                Placement::Split { prefill, decode } => (prefill, decode),
             };
             if first != engine && last != engine {
                 continue;
@@ -392,7 +391,7 @@
             let seen = &mut self.deciders[decider].seen;
             seen[last].own.1 -= 1;
             if !read {
-                seen[first].own.0[view::band(request.class.priority())] -= request.prompt;
+                seen[first].own.0[load::priority_class(request.class.priority())] -= request.prompt;
             }
             for other in [first, last] {
                 self.engines[other].batch.cancel(id as u64);
--- a/examples/mixshift_parts/run/options.rs
+++ b/examples/mixshift_parts/run/options.rs
@@ -38,11 +38,11 @@
             site: Site::Association,
             deciders: 3,
             lag_ms: 300,
-            window_ms: Weights::default().window / 1_000,
-            disturbance: Weights::default().disturbance,
-            held: Weights::default().held,
-            most_writing: Weights::default().most_writing,
-            pace_ms: Weights::default().pace / 1_000,
+            window_ms: Weights::default().max_prefill_wait / 1_000,
+            disturbance: Weights::default().interference_weight,
+            held: Weights::default().stall_weight,
+            most_writing: Weights::default().max_decode_requests,
+            pace_ms: Weights::default().max_inter_token_latency / 1_000,
             horizon_s: 120,
             seed: 1,
         }
@@ -52,19 +52,19 @@
 /// The weights with which a policy routes.
 pub(super) fn weights(policy: Policy, options: Options) -> Weights {
     let usual = Weights {
-        window: options.window_ms * 1_000,
-        disturbance: options.disturbance,
-        held: options.held,
-        most_writing: options.most_writing,
-        pace: options.pace_ms * 1_000,
+        max_prefill_wait: options.window_ms * 1_000,
+        interference_weight: options.disturbance,
+        stall_weight: options.held,
+        max_decode_requests: options.most_writing,
+        max_inter_token_latency: options.pace_ms * 1_000,
         ..Weights::default()
     };
     match policy.routing {
         Routing::Plain => Weights {
-            disturbance: 0.0,
-            held: 0.0,
-            chunk: 0,
-            pace: u64::MAX,
+            interference_weight: 0.0,
+            stall_weight: 0.0,
+            max_chunk_stall: 0,
+            max_inter_token_latency: u64::MAX,
             ..usual
         },
         _ => usual,
--- a/examples/mixshift_parts/run/roles.rs
+++ b/examples/mixshift_parts/run/roles.rs
@@ -1,9 +1,9 @@
 //! Changes of engines' roles: when one is decided on, and how an engine goes through it.
 
 use policy::{
-    count,
-    role::{self, Bounds, Change, Split},
-    route::{Plan, Role},
+    role::{self, Bounds, Change, RoleCounts},
+    route::{Placement, Role},
+    to_u64,
 };
 use standin::batch::Speed;
 
@@ -19,7 +19,7 @@
 
 impl World {
     pub(super) fn roles(&mut self) {
-        if self.now < count(LENGTH * 1e6) {
+        if self.now < to_u64(LENGTH * 1e6) {
             self.at(self.now + ROLE_US, Event::Roles);
         }
         let (read, write) = std::mem::take(&mut self.arrived);
@@ -28,13 +28,13 @@
             Roles::Fixed => None,
             Roles::Forecast => {
                 let bounds = Bounds {
-                    reserve: 1,
+                    min_engines_per_role: 1,
                     horizon: self.options.horizon_s * 1_000_000,
-                    away: 10_000_000,
-                    spacing: SPACING_US,
+                    change_duration: 10_000_000,
+                    min_change_interval: SPACING_US,
                 };
                 let load = self.demand.forecast();
-                role::decide(self.split(), load, &bounds, self.now, self.changed)
+                role::choose_change(self.split(), load, &bounds, self.now, self.changed)
             }
             Roles::Threshold => self.threshold(),
         };
@@ -43,13 +43,13 @@
         }
     }
 
-    fn split(&self) -> Split {
+    fn split(&self) -> RoleCounts {
         let of = |role: Role| {
             let engines = self.engines.iter();
             let matching = engines.filter(|e| e.role == role && e.state == State::Open);
             u32::try_from(matching.count()).expect("a few")
         };
-        Split {
+        RoleCounts {
             prefill: of(Role::Prefill),
             decode: of(Role::Decode),
             mixed: of(Role::Mixed),
@@ -100,8 +100,8 @@
             .iter()
             .flatten()
             .any(|flight| match flight.plan {
-                Plan::Whole { engine: one } => one == engine,
-                Plan::Split { prefill, decode } => prefill == engine || decode == engine,
+                Placement::Single { engine: one } => one == engine,
+                Placement::Split { prefill, decode } => prefill == engine || decode == engine,
             });
         if let (State::Closing(to), false) = (self.engines[engine].state, expected) {
             self.engines[engine].state = State::Away(to);
--- a/examples/mixshift_parts/workload.rs
+++ b/examples/mixshift_parts/workload.rs
@@ -223,7 +223,7 @@
         _ => own.wrapping_add(block),
     });
     Request {
-        at: policy::count(at * 1e6),
+        at: policy::to_u64(at * 1e6),
         class,
         prompt,
         output,
--- a/examples/outcomes.rs
+++ b/examples/outcomes.rs
@@ -250,7 +250,7 @@
             "pause 50 90 99"
         )?;
         for (kind, outcome) in &self.outcomes {
-            let part = |count: u64| policy::real(count) / policy::real(outcome.answered);
+            let part = |count: u64| policy::to_f64(count) / policy::to_f64(outcome.answered);
             writeln!(
                 to,
                 "{:<26} {:>8} {:>6.2} {:>6.2}  {}  {}  {}",
--- a/examples/outcomes_parts/lines.rs
+++ b/examples/outcomes_parts/lines.rs
@@ -87,8 +87,8 @@
                 let Some(done_ms) = read.done_ms else {
                     continue;
                 };
-                let took_ms = policy::real(done_ms.saturating_sub(read.placed_ms));
-                let expected_ms = policy::real(read.expected_us) / 1_000.0;
+                let took_ms = policy::to_f64(done_ms.saturating_sub(read.placed_ms));
+                let expected_ms = policy::to_f64(read.expected_us) / 1_000.0;
                 let count = counts.entry(cause(reads, read, done_ms)).or_default();
                 count.0 += 1;
                 count.1 += u64::from(took_ms > expected_ms * SLOW_TIMES + SLOW_MS);
@@ -100,7 +100,7 @@
             "before a prompt", "prompts", "slow"
         )?;
         for (cause, (all, slow)) in counts {
-            let part = policy::real(slow) / policy::real(all);
+            let part = policy::to_f64(slow) / policy::to_f64(all);
             writeln!(to, "{:<44} {all:>8} {part:>6.2}", cause.to_string())?;
         }
         Ok(())
@@ -109,10 +109,10 @@
 
 /// What held a prompt up most likely, the first that applies.
 fn cause(reads: &[Read], read: &Read, done_ms: u64) -> Cause {
-    let much = policy::real(read.unread) * MUCH;
+    let much = policy::to_f64(read.unread) * MUCH;
     let work = |counts: &dyn Fn(&Read) -> bool| -> f64 {
         let others = reads.iter().filter(|other| !std::ptr::eq(*other, read));
-        policy::real(others.filter(|o| counts(o)).map(|o| o.unread).sum())
+        policy::to_f64(others.filter(|o| counts(o)).map(|o| o.unread).sum())
     };
     let ahead = |other: &Read| {
         let end_ms = other.done_ms.unwrap_or(other.placed_ms + GIVEN_UP_MS);
@@ -128,7 +128,7 @@
     match () {
         () if late > much => Cause::Late,
         () if new > much => Cause::Recent,
-        () if old > policy::real(read.believed) + much => Cause::More,
+        () if old > policy::to_f64(read.believed) + much => Cause::More,
         () if after > much => Cause::After,
         () => Cause::Nothing,
     }
--- a/examples/slopes.rs
+++ b/examples/slopes.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use cloud::table::Transaction;
-use policy::real;
+use policy::to_f64;
 use protocol::claim::{Row, Stage};
 use settings::tree::{Node, Tree, resolve};
 use wire::{Heartbeat, Load, Member, Usage};
@@ -17,15 +17,15 @@
 
 /// Least squares through the points: where it starts and how steep it is.
 fn fit(points: &[Point], of: impl Fn(&Point) -> f64) -> (f64, f64) {
-    let n = real(u64::try_from(points.len()).unwrap_or(0));
+    let n = to_f64(u64::try_from(points.len()).unwrap_or(0));
     let mean = |f: &dyn Fn(&Point) -> f64| points.iter().map(f).sum::<f64>() / n;
-    let x = mean(&|p| real(p.size));
+    let x = mean(&|p| to_f64(p.size));
     let y = mean(&|p| of(p));
     let up: f64 = points
         .iter()
-        .map(|p| (real(p.size) - x) * (of(p) - y))
+        .map(|p| (to_f64(p.size) - x) * (of(p) - y))
         .sum();
-    let down: f64 = points.iter().map(|p| (real(p.size) - x).powi(2)).sum();
+    let down: f64 = points.iter().map(|p| (to_f64(p.size) - x).powi(2)).sum();
     let slope = up / down;
     (y - slope * x, slope)
 }
@@ -76,7 +76,7 @@
         .nth(1)
         .and_then(|n| n.parse().ok())
         .unwrap_or(0);
-    real(pages * 4_096)
+    to_f64(pages * 4_096)
 }
 
 fn settings_tree() {
@@ -92,7 +92,7 @@
         whole.push(Point {
             size,
             us,
-            bytes: real(text.len() as u64),
+            bytes: to_f64(text.len() as u64),
         });
         let edit = [settings::tree::Edit::Set {
             path: "group/g00001".to_owned(),
@@ -105,7 +105,7 @@
         sent.push(Point {
             size,
             us,
-            bytes: real(serde_json::to_string(&edit).unwrap_or_default().len() as u64),
+            bytes: to_f64(serde_json::to_string(&edit).unwrap_or_default().len() as u64),
         });
         let before = resident();
         let kept: Vec<_> = (0..4)
@@ -152,7 +152,7 @@
     Point {
         size,
         us,
-        bytes: real(bytes.len() as u64),
+        bytes: to_f64(bytes.len() as u64),
     }
 }
 
@@ -209,7 +209,7 @@
         Point {
             size,
             us,
-            bytes: real(text.len() as u64),
+            bytes: to_f64(text.len() as u64),
         }
     });
     print("one transaction of claims, by claims", &points);
@@ -233,7 +233,7 @@
         Point {
             size,
             us,
-            bytes: real(size * text.len() as u64),
+            bytes: to_f64(size * text.len() as u64),
         }
     });
     print("load reports read, by engines (without HTTP)", &points);
