--- a/components/gateway/src/endpoint/target.rs
+++ b/components/gateway/src/endpoint/target.rs
@@ -10,7 +10,7 @@
 
 use clock::Instant;
 use parking_lot::Mutex;
-use policy::{backlog::Backlog, learn::Pace, memory::Memory, prompt::Part};
+use policy::{backlog::Backlog, estimate::Latency, prefix_cache::PrefixCache, prompt::Part};
 use tokio::sync::{Mutex as AsyncMutex, Notify};
 
 use super::{
@@ -60,9 +60,9 @@
     /// How it does.
     pub health: Health,
     /// How fast it is in its present stage; none before it has done anything in it.
-    pub pace: Option<Pace>,
+    pub pace: Option<Latency>,
     /// Which prompt parts it likely holds.
-    pub memory: Memory,
+    pub memory: PrefixCache,
     /// Idle connections, the longest idle first.
     idle: Vec<Idle>,
     /// Until when it is taken to be changing its stage.
@@ -85,15 +85,15 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Paces {
     /// Those that read.
-    pub prefill: Pace,
+    pub prefill: Latency,
     /// Those that write.
-    pub decode: Pace,
+    pub decode: Latency,
 }
 
 impl Paces {
     /// How fast engines are on average in a stage; an endpoint without one writes.
     #[must_use]
-    pub fn for_stage(&self, stage: Option<Stage>) -> Pace {
+    pub fn for_stage(&self, stage: Option<Stage>) -> Latency {
         match stage {
             Some(Stage::Prefill) => self.prefill,
             Some(Stage::Decode) | None => self.decode,
@@ -101,7 +101,7 @@
     }
 
     /// The same, to learn.
-    pub fn for_stage_mut(&mut self, stage: Stage) -> &mut Pace {
+    pub fn for_stage_mut(&mut self, stage: Stage) -> &mut Latency {
         match stage {
             Stage::Prefill => &mut self.prefill,
             Stage::Decode => &mut self.decode,
@@ -112,8 +112,8 @@
 impl Default for Paces {
     fn default() -> Self {
         Self {
-            prefill: Pace::of_reader(),
-            decode: Pace::of_writer(),
+            prefill: Latency::initial_prefill(),
+            decode: Latency::initial_decode(),
         }
     }
 }
@@ -138,7 +138,7 @@
     /// All that is under way there.
     pub load: Load,
     /// How fast it is in its present stage.
-    pub pace: Pace,
+    pub pace: Latency,
     /// Tokens of the prompt asked about that it likely holds.
     pub cached_tokens: u64,
     /// Tokens of it that other engines can likely fetch there.
@@ -154,12 +154,12 @@
     }
 
     /// Work that is left to read there, if it reads at this pace unless its own is known.
-    pub fn remaining_prefill(&self, now: Instant, default_pace: Pace) -> u64 {
-        let read_us = self.pace.unwrap_or(default_pace).read_us;
-        let remaining = self
-            .backlog
-            .left(self.age(now), read_us, self.total_load().prefill_work);
-        policy::count(remaining)
+    pub fn remaining_prefill(&self, now: Instant, default_pace: Latency) -> u64 {
+        let read_us = self.pace.unwrap_or(default_pace).prefill_token_us;
+        let remaining =
+            self.backlog
+                .remaining(self.age(now), read_us, self.total_load().prefill_work);
+        policy::to_u64(remaining)
     }
 
     /// The time that it still takes for the prompts under way there, in microseconds; none if there are none.
@@ -169,14 +169,14 @@
         defaults: &ServiceDefaults,
     ) -> Option<policy::Micros> {
         let default_pace = defaults.paces.for_stage(self.profile.stage);
-        let read_us = self.pace.unwrap_or(default_pace).read_us;
-        let time = policy::real(self.remaining_prefill(now, default_pace)) * read_us;
-        (self.total_load().prompts > 0).then(|| policy::count(time))
+        let read_us = self.pace.unwrap_or(default_pace).prefill_token_us;
+        let time = policy::to_f64(self.remaining_prefill(now, default_pace)) * read_us;
+        (self.total_load().prompts > 0).then(|| policy::to_u64(time))
     }
 
     /// Notes work that is about to be sent there, by this process or a peer.
-    pub fn record_prefill(&mut self, now: Instant, default_pace: Pace, work: u64) {
-        let read_us = self.pace.unwrap_or(default_pace).read_us;
+    pub fn record_prefill(&mut self, now: Instant, default_pace: Latency, work: u64) {
+        let read_us = self.pace.unwrap_or(default_pace).prefill_token_us;
         let (age, prefill_work) = (self.age(now), self.total_load().prefill_work);
         self.backlog.add(age, read_us, prefill_work, work);
     }
@@ -192,14 +192,14 @@
     ) {
         let default_pace = defaults.paces.for_stage(self.profile.stage);
         self.memory.resize(defaults.memory_tokens);
-        let read_us = self.pace.unwrap_or(default_pace).read_us;
+        let read_us = self.pace.unwrap_or(default_pace).prefill_token_us;
         let remaining = if fetched {
             0
         } else {
             self.remaining_prefill(now, default_pace)
         };
-        let read_at = self.age(now) + policy::count(policy::real(remaining) * read_us);
-        self.memory.used(parts, read_at);
+        let read_at = self.age(now) + policy::to_u64(policy::to_f64(remaining) * read_us);
+        self.memory.record_use(parts, read_at);
     }
 
     fn age(&self, now: Instant) -> policy::Micros {
@@ -227,7 +227,7 @@
                 peer_load: Load::default(),
                 health: Health::default(),
                 pace: None,
-                memory: Memory::default(),
+                memory: PrefixCache::default(),
                 idle: Vec::new(),
                 changing_until: None,
                 idle_timeout: None,
@@ -290,8 +290,8 @@
                     ..state.total_load()
                 },
                 pace: state.pace.unwrap_or(default_pace),
-                cached_tokens: state.memory.held(parts),
-                fetchable_tokens: state.memory.fetchable(parts, state.age(now)),
+                cached_tokens: state.memory.cached_tokens(parts),
+                fetchable_tokens: state.memory.fetchable_tokens(parts, state.age(now)),
                 failure_ratio: state.health.failure_ratio(),
             })
         })
--- a/components/gateway/src/peer/paces.rs
+++ b/components/gateway/src/peer/paces.rs
@@ -3,7 +3,7 @@
 
 use std::sync::Arc;
 
-use policy::learn::{Pace, Samples};
+use policy::estimate::{Latency, Samples};
 use wire::ServicePace;
 
 use crate::{
@@ -47,30 +47,30 @@
     }
 }
 
-fn encode(service: &str, stage: Stage, pace: &Pace) -> ServicePace {
+fn encode(service: &str, stage: Stage, pace: &Latency) -> ServicePace {
     ServicePace {
         service: short_id(service),
         prefill: stage == Stage::Prefill,
-        start_us: narrow(pace.start_us),
-        read_us: narrow(pace.read_us),
-        step_us: narrow(pace.step_us),
-        start_samples: pace.samples.start,
-        read_samples: pace.samples.read,
-        step_samples: pace.samples.step,
+        start_us: narrow(pace.overhead_us),
+        read_us: narrow(pace.prefill_token_us),
+        step_us: narrow(pace.decode_token_us),
+        start_samples: pace.samples.overhead,
+        read_samples: pace.samples.prefill,
+        step_samples: pace.samples.decode,
     }
 }
 
-fn decode(received: &ServicePace) -> Pace {
-    Pace {
-        start_us: received.start_us.into(),
-        read_us: received.read_us.into(),
-        step_us: received.step_us.into(),
+fn decode(received: &ServicePace) -> Latency {
+    Latency {
+        overhead_us: received.start_us.into(),
+        prefill_token_us: received.read_us.into(),
+        decode_token_us: received.step_us.into(),
         // one wrong sample of it would reach all gateways at once
-        slowed_us: None,
+        contended_token_us: None,
         samples: Samples {
-            start: received.start_samples,
-            read: received.read_samples,
-            step: received.step_samples,
+            overhead: received.start_samples,
+            prefill: received.read_samples,
+            decode: received.step_samples,
         },
     }
 }
--- a/components/gateway/src/process/suspects.rs
+++ b/components/gateway/src/process/suspects.rs
@@ -9,7 +9,7 @@
 use clock::Instant;
 use derive_more::Display;
 use parking_lot::Mutex;
-use policy::suspect::{self, End, Moment, Record};
+use policy::suspect::{self, Crash, Moment, Record};
 use tokio::sync::Notify;
 
 use super::Gateway;
@@ -90,12 +90,14 @@
     /// Whether an endpoint ended under a request since it was last served.
     pub fn is_suspect(&self, fingerprint: Fingerprint) -> bool {
         self.suspect(fingerprint)
-            .is_some_and(|record| !record.ends.is_empty())
+            .is_some_and(|record| !record.crashes.is_empty())
     }
 
     /// For how much longer a request gets to no endpoint; none if it may.
     pub fn withheld_for(&self, fingerprint: Fingerprint) -> Option<Duration> {
-        let left = self.suspect(fingerprint)?.withheld(self.moment())?;
+        let left = self
+            .suspect(fingerprint)?
+            .remaining_withhold(self.moment())?;
         u64::try_from(left).ok().map(Duration::from_micros)
     }
 
@@ -120,8 +122,8 @@
         let at = self.moment();
         for fingerprint in fingerprints {
             let record = Record {
-                ends: vec![End { endpoint, at }],
-                served: None,
+                crashes: vec![Crash { endpoint, at }],
+                last_served: None,
             };
             self.record_suspect(*fingerprint, &record);
         }
@@ -131,8 +133,8 @@
     pub fn record_served(&self, fingerprint: Fingerprint) {
         if self.is_suspect(fingerprint) {
             let record = Record {
-                ends: Vec::new(),
-                served: Some(self.moment()),
+                crashes: Vec::new(),
+                last_served: Some(self.moment()),
             };
             self.record_suspect(fingerprint, &record);
         }
@@ -162,7 +164,7 @@
             is_new
         };
         let after = self.suspect(fingerprint).unwrap_or_default();
-        match (before, after.withheld(now)) {
+        match (before, after.remaining_withhold(now)) {
             (false, Some(left)) => {
                 log::warn!(
                     content:% = fingerprint, source:%, ends = crash_list(&after), lapses_ms = left / 1_000;
@@ -195,7 +197,7 @@
     /// Forgets requests of which nothing was known for a while.
     pub fn forget_old_suspects(&self) {
         let mut known = self.suspects.known.lock();
-        known.forget_old(self.moment());
+        known.evict_expired(self.moment());
         let any = !known.records().is_empty();
         self.suspects.any.store(any, Ordering::Relaxed);
     }
@@ -222,11 +224,11 @@
         let mut records = self.all_suspects();
         let is_recent = |record: &Record| {
             record
-                .last()
+                .last_update()
                 .is_some_and(|last| now - last < SINGLE_CRASH_RESEND_PERIOD)
         };
-        records.retain(|(_, record)| record.ends.len() > 1 || is_recent(record));
-        records.sort_by_key(|(_, record)| std::cmp::Reverse(record.last()));
+        records.retain(|(_, record)| record.crashes.len() > 1 || is_recent(record));
+        records.sort_by_key(|(_, record)| std::cmp::Reverse(record.last_update()));
         records.truncate(MAX_RESENT);
         records
     }
@@ -240,7 +242,7 @@
 /// The endpoints of a record as a line of the log names them, by their short numbers.
 fn crash_list(record: &Record) -> String {
     let crashes: Vec<String> = record
-        .ends
+        .crashes
         .iter()
         .map(|end| format!("{:08x}", end.endpoint))
         .collect();
--- a/components/gateway/src/process/withheld.rs
+++ b/components/gateway/src/process/withheld.rs
@@ -5,7 +5,7 @@
 
 use clock::Instant;
 use cloud::table::{Read, Transaction};
-use policy::suspect::{End, Moment, Record};
+use policy::suspect::{Crash, Moment, Record};
 use serde::{Deserialize, Serialize};
 
 use super::{Gateway, Source};
@@ -27,12 +27,12 @@
 /// A withheld request's row.
 #[derive(Debug, Serialize, Deserialize)]
 struct Row {
-    ends: Vec<Crash>,
+    ends: Vec<StoredCrash>,
 }
 
 /// An endpoint that ended.
 #[derive(Debug, Serialize, Deserialize)]
-struct Crash {
+struct StoredCrash {
     endpoint: u32,
     /// The time of day, in Unix milliseconds: no steady clock goes on when all processes start anew, and a step of some
     /// seconds matters little beside the minutes for which a request is withheld.
@@ -145,7 +145,7 @@
 impl Row {
     fn new(record: &Record, now: Moment) -> Self {
         let unix_now = unix_millis();
-        let ends = record.ends.iter().map(|end| Crash {
+        let ends = record.crashes.iter().map(|end| StoredCrash {
             endpoint: end.endpoint,
             at_ms: unix_now - (now - end.at) / MICROS_PER_MILLI,
         });
@@ -156,17 +156,20 @@
 
     fn record(&self, now: Moment) -> Record {
         let unix_now = unix_millis();
-        let mut ends: Vec<End> = self
+        let mut ends: Vec<Crash> = self
             .ends
             .iter()
-            .map(|end| End {
+            .map(|end| Crash {
                 endpoint: end.endpoint,
                 // one that a clock puts into the future has just ended
                 at: now - (unix_now - end.at_ms).max(0) * MICROS_PER_MILLI,
             })
             .collect();
         ends.sort_unstable_by_key(|end| end.at);
-        Record { ends, served: None }
+        Record {
+            crashes: ends,
+            last_served: None,
+        }
     }
 }
 
--- a/components/gateway/src/request/attempt.rs
+++ b/components/gateway/src/request/attempt.rs
@@ -287,7 +287,7 @@
 /// The longest wait for the answer to a call of the gateway's own.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 /// The most of an answer to such a call that is read, in bytes: some 40 for each of the parts that an engine lists, of
-/// which as many are remembered as [`policy::memory`] keeps.
+/// which as many are remembered as [`policy::prefix_cache`] keeps.
 const MAX_CALL_RESPONSE_BYTES: usize = 256 << 10;
 /// Connections that calls of the gateway's own may hold to an endpoint.
 const MAX_CALL_CONNECTIONS: usize = 64;
--- a/components/gateway/src/request/generate/migrate.rs
+++ b/components/gateway/src/request/generate/migrate.rs
@@ -55,7 +55,7 @@
     let asked_at = Instant::now();
     let snapshot = Snapshot::new(job, std::slice::from_ref(from));
     let weights = Weights::default();
-    let at = place::choose_writer(&snapshot.engines, &placement_request(job), &weights)?;
+    let at = place::choose_decode_engine(&snapshot.engines, &placement_request(job), &weights)?;
     let to = &snapshot.targets[at];
     let address = |target: &Target| target.with(|state| state.profile.address);
     let dialect = &job.gateway.adapters.dialect;
--- a/components/gateway/src/request/generate/mod.rs
+++ b/components/gateway/src/request/generate/mod.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 
 use hyper::Response;
-use policy::place::{Choice, Plan};
+use policy::place::{Choice, Placement};
 
 use super::{
     attempt::{Answer, Cause},
@@ -42,17 +42,17 @@
             snapshot.log_placement(&job, &choice, "placed again");
             Timing::OnTime
         };
-        let outcome = match (timing, choice.plan) {
+        let outcome = match (timing, choice.placement) {
             (Timing::Deferred(deferred), _) => {
-                let mode = prefill::Mode::Deferred(deferred.read);
+                let mode = prefill::Mode::Deferred(deferred.prefill_us);
                 run::split(&job, &snapshot, deferred.engine, &attempts, mode).await
             }
-            (Timing::OnTime, Plan::Whole { engine }) => {
-                let timeout = timing::timeout(&job, &attempts, choice.first);
+            (Timing::OnTime, Placement::Single { engine }) => {
+                let timeout = timing::timeout(&job, &attempts, choice.first_event_us);
                 run::single_engine(&job, &snapshot, engine, timeout, None).await
             }
-            (Timing::OnTime, Plan::Split { prefill, .. }) => {
-                let mode = prefill::Mode::OnTime(choice.first);
+            (Timing::OnTime, Placement::Split { prefill, .. }) => {
+                let mode = prefill::Mode::OnTime(choice.first_event_us);
                 run::split(&job, &snapshot, prefill, &attempts, mode).await
             }
         };
@@ -61,7 +61,7 @@
                 if attempts.none_failed() && timing == Timing::OnTime {
                     let took = policy::micros(job.arrived.elapsed());
                     job.gateway
-                        .learn_margin(&job.service.name, choice.first, took);
+                        .learn_margin(&job.service.name, choice.first_event_us, took);
                 }
                 return Ok(relay::forward(job, answer, writing, attempts.runs() + 1));
             }
@@ -121,9 +121,9 @@
 ) -> Result<(Answer, DecodeGuard), Cause> {
     let snapshot = Snapshot::new(job, std::slice::from_ref(from));
     let choice = snapshot.choose(job).ok_or(Cause::TimedOut)?;
-    let engine = match choice.plan {
-        Plan::Whole { engine } => engine,
-        Plan::Split { decode, .. } => decode,
+    let engine = match choice.placement {
+        Placement::Single { engine } => engine,
+        Placement::Split { decode, .. } => decode,
     };
     let resumed =
         run::single_engine(job, &snapshot, engine, Timeout::at(job.deadline), after).await;
--- a/components/gateway/src/request/generate/prefill.rs
+++ b/components/gateway/src/request/generate/prefill.rs
@@ -4,7 +4,7 @@
 
 use clock::Instant;
 use http_body_util::{BodyExt, Collected, Limited};
-use policy::learn::Stretch;
+use policy::estimate::WaitFactor;
 
 use super::{
     run::failed,
@@ -38,15 +38,16 @@
 pub fn start(job: &Job, snapshot: &Snapshot, at: usize, deferred: bool) -> InFlight {
     let target = &snapshot.targets[at];
     let engine = &snapshot.engines[at];
-    let held = engine.held + engine.fetch.tokens;
-    let work = policy::prompt::work(placement_request(job).prompt, held);
+    let held = engine.cached_tokens + engine.fetch.tokens;
+    let work = policy::prompt::prefill_work(placement_request(job).prompt_tokens, held);
     let paces = job.gateway.paces(&job.service.name);
     let now = Instant::now();
     let ahead = target.with(|state| {
         let common = paces.for_stage(state.profile.stage);
         let load = state.total_load();
         let left = state.remaining_prefill(now, common);
-        let ahead = policy::place::ahead(left, load.low_priority_work, load.low_priority_prompts);
+        let ahead =
+            policy::place::work_ahead(left, load.low_priority_work, load.low_priority_prompts);
         if !deferred {
             state.record_prefill(now, common, work);
         }
@@ -113,10 +114,10 @@
 
     /// Takes that the prompt has been read.
     fn finish(&mut self) {
-        self.learn(Stretch::learn);
+        self.learn(WaitFactor::observe);
     }
 
-    fn learn(&mut self, learn: impl FnOnce(&mut Stretch, f64, policy::Micros)) {
+    fn learn(&mut self, learn: impl FnOnce(&mut WaitFactor, f64, policy::Micros)) {
         if let Some(expected) = self.expected.take() {
             let took = policy::micros(self.begun.elapsed());
             let gateway = &self.job.gateway;
@@ -129,7 +130,7 @@
 
 impl Drop for DeferredWait<'_> {
     fn drop(&mut self) {
-        self.learn(Stretch::give_up);
+        self.learn(WaitFactor::observe_cancelled);
     }
 }
 
@@ -215,7 +216,8 @@
 /// Learns from a prompt that was read, with all the work there was since it was sent.
 pub fn learn_pace(job: &Job, target: &Target, work: u64, begun: Instant) {
     let took = policy::micros(begun.elapsed());
-    job.gateway.learn_pace(target, |pace| pace.read(work, took));
+    job.gateway
+        .learn_pace(target, |pace| pace.observe_prefill(work, took));
 }
 
 /// A handle that is given back if nobody takes it.
--- a/components/gateway/src/request/generate/run.rs
+++ b/components/gateway/src/request/generate/run.rs
@@ -62,7 +62,7 @@
 async fn wait_for_decode_engine(job: &Job, attempts: &Attempts) -> Option<(Snapshot, usize)> {
     let try_choose = || {
         let snapshot = Snapshot::new(job, attempts.tried());
-        let at = place::choose_writer(
+        let at = place::choose_decode_engine(
             &snapshot.engines,
             &placement_request(job),
             &Weights::default(),
@@ -106,11 +106,12 @@
     };
     prefill::note_parts(job, decode, true);
     let begun = Instant::now();
-    let timeout = timing::timeout(job, attempts, snapshot.engines[at].pace.start_us);
+    let timeout = timing::timeout(job, attempts, snapshot.engines[at].latency.overhead_us);
     match attempt::send(job, decode, &directive, timeout).await {
         Ok(answer) => {
             let took = policy::micros(begun.elapsed());
-            job.gateway.learn_pace(decode, |pace| pace.began(took));
+            job.gateway
+                .learn_pace(decode, |pace| pace.observe_first_token(took));
             prefill.record_verdict(Verdict::Fine, &job.metadata.id);
             handle.mark_fetched();
             Ok((answer, writing))
--- a/components/gateway/src/request/generate/snapshot.rs
+++ b/components/gateway/src/request/generate/snapshot.rs
@@ -4,7 +4,7 @@
 
 use clock::Instant;
 use policy::{
-    place::{self, Ask, Choice, Plan, Weights},
+    place::{self, Choice, Placement, Request, Weights},
     prompt::Prompt,
 };
 
@@ -105,11 +105,11 @@
         };
         let token_us = engines.transfer_per_token.as_secs_f64() * MICROS_PER_SECOND;
         for engine in &mut self.engines {
-            let tokens = held.saturating_sub(engine.held);
+            let tokens = held.saturating_sub(engine.cached_tokens);
             if tokens >= MIN_FETCH_TOKENS {
                 engine.fetch = place::Fetch {
                     tokens,
-                    time: policy::real(tokens) * token_us * FETCH_TIME_FACTOR,
+                    time_us: policy::to_f64(tokens) * token_us * FETCH_TIME_FACTOR,
                 };
             }
         }
@@ -133,33 +133,36 @@
     pub fn may_get_slot(&self, waiting: usize) -> bool {
         let writers = self.engines.iter();
         let writers = writers.filter(|engine| engine.stage == place::Stage::Decode);
-        let slots: u64 = writers.map(|engine| engine.slots).sum();
+        let slots: u64 = writers.map(|engine| engine.decode_slots).sum();
         u64::try_from(waiting).is_ok_and(|waiting| waiting < slots)
     }
 
     /// Whether the plan reads a prompt so short where it is answered that it makes no difference to anybody: then
     /// a request that is late goes there too.
     pub fn has_negligible_prefill(&self, job: &Job, choice: &Choice) -> bool {
-        match choice.plan {
-            Plan::Whole { engine } => place::is_short(
+        match choice.placement {
+            Placement::Single { engine } => place::is_short_prefill(
                 &self.engines[engine],
                 &placement_request(job),
                 &Weights::default(),
             ),
-            Plan::Split { .. } => false,
+            Placement::Split { .. } => false,
         }
     }
 
     /// The work for an engine that reads; none if the prompt is short.
     fn prefill_work(&self, job: &Job) -> u64 {
-        let prompt = placement_request(job).prompt;
+        let prompt = placement_request(job).prompt_tokens;
         let readers = self
             .engines
             .iter()
             .filter(|engine| engine.stage == place::Stage::Prefill);
-        let held = readers.map(|engine| engine.held).max().unwrap_or(0);
-        if prompt.saturating_sub(held) > Weights::default().short_prompt {
-            policy::prompt::work(prompt, held)
+        let held = readers
+            .map(|engine| engine.cached_tokens)
+            .max()
+            .unwrap_or(0);
+        if prompt.saturating_sub(held) > Weights::default().short_prompt_max_tokens {
+            policy::prompt::prefill_work(prompt, held)
         } else {
             0
         }
@@ -167,23 +170,23 @@
 
     /// Says where a request is placed, and what that was decided by.
     pub fn log_placement(&self, job: &Job, choice: &Choice, how: &str) {
-        let (first, last) = match choice.plan {
-            Plan::Whole { engine } => (engine, engine),
-            Plan::Split { prefill, decode } => (prefill, decode),
+        let (first, last) = match choice.placement {
+            Placement::Single { engine } => (engine, engine),
+            Placement::Split { prefill, decode } => (prefill, decode),
         };
         let names = (&*self.targets[first].id.0, &*self.targets[last].id.0);
         let (reader, writer) = (&self.engines[first], &self.engines[last]);
         let request = placement_request(job);
         log::info!(
             request = job.metadata.id, reads = names.0, writes = names.1,
-            expected_us = policy::count(choice.first),
-            margin_us = policy::count(job.gateway.margin(&job.service.name)), left_us = request.within,
-            prompt = request.prompt, held = reader.held, fetched = reader.fetch.tokens, output = request.output,
-            content:% = job.fingerprint, parts = format_parts(job), reading = reader.reading, writing = writer.writing,
-            long = writer.long, start_us = policy::count(writer.pace.start_us),
-            read_ns = policy::count(reader.pace.read_us * NANOS_PER_MICRO),
-            step_us = policy::count(writer.pace.step_us), late = reader.late,
-            slowed_us = writer.pace.slowed_us.map(policy::count);
+            expected_us = policy::to_u64(choice.first_event_us),
+            margin_us = policy::to_u64(job.gateway.margin(&job.service.name)), left_us = request.first_event_timeout,
+            prompt = request.prompt_tokens, held = reader.cached_tokens, fetched = reader.fetch.tokens, output = request.expected_output_tokens,
+            content:% = job.fingerprint, parts = format_parts(job), reading = reader.prefill_work, writing = writer.answers,
+            long = writer.long_answers, start_us = policy::to_u64(writer.latency.overhead_us),
+            read_ns = policy::to_u64(reader.latency.prefill_token_us * NANOS_PER_MICRO),
+            step_us = policy::to_u64(writer.latency.decode_token_us), late = reader.deferred_work,
+            slowed_us = writer.latency.contended_token_us.map(policy::to_u64);
             "{how}"
         );
     }
@@ -222,41 +225,41 @@
             Stage::Prefill => place::Stage::Prefill,
             Stage::Decode => place::Stage::Decode,
         },
-        reading: seen.load.prefill_work,
-        late: seen.load.low_priority_work,
-        late_prompts: seen.load.low_priority_prompts,
-        writing: seen.load.decoding,
-        long: seen.load.long_answers,
-        slots: seen.profile.slots,
-        held: seen.cached_tokens,
+        prefill_work: seen.load.prefill_work,
+        deferred_work: seen.load.low_priority_work,
+        deferred_prompts: seen.load.low_priority_prompts,
+        answers: seen.load.decoding,
+        long_answers: seen.load.long_answers,
+        decode_slots: seen.profile.slots,
+        cached_tokens: seen.cached_tokens,
         fetch: place::Fetch::default(),
-        pace: seen.pace,
-        distance: if *seen.profile.data_centre == *near {
+        latency: seen.pace,
+        extra_round_trip: if *seen.profile.data_centre == *near {
             0
         } else {
             REMOTE_RTT_US
         },
-        failures: seen.failure_ratio,
-        order,
+        failure_ratio: seen.failure_ratio,
+        rank: order,
     }
 }
 
 /// What a request asks of placement.
-pub fn placement_request(job: &Job) -> Ask {
+pub fn placement_request(job: &Job) -> Request {
     let none = Prompt::default();
     let prompt = job.metadata.prompt.as_ref().unwrap_or(&none);
     let left = job.objective.saturating_duration_since(Instant::now());
-    Ask {
-        prompt: prompt.tokens,
-        output: prompt.expected_output(),
-        within: policy::micros(left),
-        pace: policy::real(policy::micros(job.time_left()))
-            / policy::real(prompt.most_output.max(1)),
-        bearable: max_inter_token_latency(job),
-        event: tokens_per_event(job),
-        pause: job
+    Request {
+        prompt_tokens: prompt.tokens,
+        expected_output_tokens: prompt.expected_output_tokens(),
+        first_event_timeout: policy::micros(left),
+        max_inter_token_latency_us: policy::to_f64(policy::micros(job.time_left()))
+            / policy::to_f64(prompt.max_output_tokens.max(1)),
+        service_max_inter_token_latency_us: max_inter_token_latency(job),
+        tokens_per_event: tokens_per_event(job),
+        max_stall_us: job
             .max_stall
-            .map_or(f64::MAX, |stall| policy::real(policy::micros(stall))),
+            .map_or(f64::MAX, |stall| policy::to_f64(policy::micros(stall))),
     }
 }
 
@@ -271,14 +274,14 @@
     let whole = job.gateway.max_inter_token_latency(&job.service.name);
     let event = tokens_per_event(job);
     let limit = job.max_stall.map_or(f64::MAX, |stall| {
-        policy::real(policy::micros(stall)) / policy::real(event)
+        policy::to_f64(policy::micros(stall)) / policy::to_f64(event)
     });
     whole.min(limit)
 }
 
 /// Whether a request's answer will be long.
 pub fn is_long_answer(job: &Job) -> bool {
-    placement_request(job).output > Weights::default().long_answer
+    placement_request(job).expected_output_tokens > Weights::default().short_answer_max_tokens
 }
 
 /// Counts what a request asks of its service.
@@ -286,7 +289,7 @@
     let gateway = &job.gateway;
     let service = &job.service.name;
     let writing = if is_long_answer(job) {
-        placement_request(job).output
+        placement_request(job).expected_output_tokens
     } else {
         0
     };
@@ -297,6 +300,6 @@
     gateway.count_demand(service, asked);
     if let Some(prompt) = job.metadata.prompt.as_ref().filter(|_| is_long_answer(job)) {
         let time = job.deadline - job.arrived;
-        gateway.record_long_answer(service, prompt.most_output, time);
+        gateway.record_long_answer(service, prompt.max_output_tokens, time);
     }
 }
--- a/components/gateway/src/request/generate/timing.rs
+++ b/components/gateway/src/request/generate/timing.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use clock::Instant;
-use policy::place::{self, Choice, Plan, Weights};
+use policy::place::{self, Choice, Placement, Weights};
 
 use super::snapshot::{Snapshot, placement_request};
 use crate::request::{
@@ -35,14 +35,14 @@
     /// It will.
     OnTime,
     /// It won't, but there is time for a late one; its prompt is read there when no other one waits.
-    Deferred(place::Late),
+    Deferred(place::Deferred),
 }
 
 /// Decides whether a request is served in time, late or not at all, which is said at once.
 pub fn decide(job: &Job, snapshot: &Snapshot, choice: &Choice) -> Result<Timing, Reason> {
     let left = policy::micros(job.objective.saturating_duration_since(Instant::now()));
     let margin = job.gateway.margin(&job.service.name);
-    let expected = policy::count(choice.first + margin);
+    let expected = policy::to_u64(choice.first_event_us + margin);
     if expected <= left {
         snapshot.log_placement(job, choice, "placed");
         return Ok(Timing::OnTime);
@@ -52,7 +52,7 @@
         return Ok(Timing::OnTime);
     }
     let request = placement_request(job);
-    if let Some(late) = place::choose_late(
+    if let Some(late) = place::choose_deferred(
         &snapshot.engines,
         &request,
         &Weights::default(),
@@ -71,9 +71,9 @@
 /// The time that the prompt of a late answer may be expected to take, in microseconds: its caller must not have
 /// left by then, and there must be time to write.
 fn max_deferred_prefill_us(job: &Job) -> f64 {
-    let begin = policy::real(policy::micros(job.first_event_timeout()));
-    let whole = policy::real(policy::micros(job.time_left())) * DEFERRED_PREFILL_RATIO;
-    let stretch = job.gateway.stretch(&job.service.name).times();
+    let begin = policy::to_f64(policy::micros(job.first_event_timeout()));
+    let whole = policy::to_f64(policy::micros(job.time_left())) * DEFERRED_PREFILL_RATIO;
+    let stretch = job.gateway.stretch(&job.service.name).factor();
     (begin * FIRST_EVENT_RATIO / stretch).min(whole)
 }
 
@@ -101,7 +101,7 @@
 /// The longest that an engine which works gets on with nothing.
 fn max_silence(job: &Job, expected: f64) -> Duration {
     let expected = expected + job.gateway.margin(&job.service.name);
-    let longest = Duration::from_micros(policy::count(expected)) * SILENCE_FACTOR;
+    let longest = Duration::from_micros(policy::to_u64(expected)) * SILENCE_FACTOR;
     longest.max(job.time_left() / MIN_WAIT_DIVISOR)
 }
 
@@ -110,13 +110,14 @@
 
 /// Whether an answer ends before this process does, if it stops.
 pub fn ends_before_stop(job: &Job, snapshot: &Snapshot, choice: &Choice) -> bool {
-    let writer = match choice.plan {
-        Plan::Whole { engine } => engine,
-        Plan::Split { decode, .. } => decode,
+    let writer = match choice.placement {
+        Placement::Single { engine } => engine,
+        Placement::Split { decode, .. } => decode,
     };
-    let step = snapshot.engines[writer].pace.step_us;
-    let us = choice.first + policy::real(placement_request(job).output) * step;
-    job.ends_before_stop(Duration::from_micros(policy::count(
+    let step = snapshot.engines[writer].latency.decode_token_us;
+    let us = choice.first_event_us
+        + policy::to_f64(placement_request(job).expected_output_tokens) * step;
+    job.ends_before_stop(Duration::from_micros(policy::to_u64(
         us * STOP_MARGIN_FACTOR,
     )))
 }
--- a/components/gateway/src/request/relay.rs
+++ b/components/gateway/src/request/relay.rs
@@ -239,7 +239,7 @@
         if let (Some(gap), Some(engines)) = (gap, engines) {
             let gap = policy::micros(gap);
             gateway.learn_pace(&source.target, |pace| {
-                pace.event(engines.tokens_per_event, gap, before, left);
+                pace.observe_event(engines.tokens_per_event, gap, before, left);
             });
         }
     }
--- a/components/gateway/src/steward/plan.rs
+++ b/components/gateway/src/steward/plan.rs
@@ -61,7 +61,7 @@
 }
 
 fn to_f64(count: usize) -> f64 {
-    policy::real(to_u64(count))
+    policy::to_f64(to_u64(count))
 }
 
 impl Planner {
@@ -103,11 +103,11 @@
             let readers = || engines.iter().filter(|e| e.stage == Stage::Prefill);
             let busy = readers().filter(|engine| engine.reading > 0);
             let sample = Sample {
-                reading: policy::real(new.prefill_work) * paces.prefill.read_us,
-                writing: policy::real(new.decode_tokens) * paces.decode.step_us,
-                taken: policy::real(taken),
-                busy: to_f64(busy.count()),
-                readers: to_f64(readers().count()),
+                prefill_us: policy::to_f64(new.prefill_work) * paces.prefill.prefill_token_us,
+                decode_slot_us: policy::to_f64(new.decode_tokens) * paces.decode.decode_token_us,
+                occupied_slots: policy::to_f64(taken),
+                busy_prefill_engines: to_f64(busy.count()),
+                prefill_engines: to_f64(readers().count()),
             };
             known.demand.observe(now, &sample);
         }
@@ -128,16 +128,18 @@
     let members = members(&engines, &changing);
     let fleet = Fleet {
         engines: to_u64(engines.len()),
-        reading: to_u64(members.iter().filter(|member| !member.writes).count()),
-        slots: engines.iter().map(|engine| engine.slots).max()?,
+        prefill_engines: to_u64(members.iter().filter(|member| !member.decodes).count()),
+        slots_per_engine: engines.iter().map(|engine| engine.slots).max()?,
     };
     let is_changing = |engine: &Engine| changing.contains(&engine.target.short_id);
     let away = to_u64(engines.iter().filter(|e| is_changing(e)).count());
     let weights = Weights::default();
-    if away >= stage::most_changing(fleet.engines) || stage::is_idle(&service.demand, &weights) {
+    if away >= stage::max_concurrent_changes(fleet.engines)
+        || stage::is_idle(&service.demand, &weights)
+    {
         return None;
     }
-    let wanted = stage::readers(&service.demand, &fleet, &weights);
+    let wanted = stage::plan_prefill_engines(&service.demand, &fleet, &weights);
     let free: Vec<(usize, &Engine)> = engines
         .iter()
         .enumerate()
@@ -146,13 +148,13 @@
     let (engine, stage) = uncovered_prefill_engine(gateway, &free, &members)
         .map(|engine| (engine, Stage::Decode))
         .or_else(|| {
-            let change = stage::change(&service.demand, wanted, &fleet, &weights)?;
+            let change = stage::choose_change(&service.demand, wanted, &fleet, &weights)?;
             cheapest(change, &free, &members)
         })?;
     log::info!(
         service = &*service.name, engine = &*engine.target.id.0, to:% = stage, wanted, away,
-        reading = fleet.reading, count = fleet.engines, demand_reading = service.demand.reading,
-        demand_lately = service.demand.reading_lately, demand_writing = service.demand.writing,
+        reading = fleet.prefill_engines, count = fleet.engines, demand_reading = service.demand.prefill_engines,
+        demand_lately = service.demand.recent_prefill_engines, demand_writing = service.demand.decode_slots,
         long = engine.long, data_centre = &*engine.data_centre;
         "an engine is to change its stage"
     );
@@ -171,7 +173,7 @@
             Member {
                 data_centre: &engine.data_centre,
                 // one that is changing will be the other kind
-                writes: writes != changing.contains(&engine.target.short_id),
+                decodes: writes != changing.contains(&engine.target.short_id),
             }
         })
         .collect()
@@ -186,7 +188,7 @@
 ) -> Option<&'a Engine> {
     let cut_off = gateway.peers.unreachable_data_centres();
     let uncovered = free.iter().filter(|(index, engine)| {
-        let lacks_decode = !stage::serves_alone(members, members[*index].data_centre);
+        let lacks_decode = !stage::can_serve_alone(members, members[*index].data_centre);
         lacks_decode && engine.stage == Stage::Prefill && !cut_off.contains(&engine.data_centre)
     });
     let engine = uncovered.min_by_key(|(_, engine)| engine.reading)?;
@@ -201,18 +203,18 @@
 ) -> Option<(&'a Engine, Stage)> {
     let local_readers = |engine: &Engine| {
         let is_local_reader =
-            |member: &&Member| !member.writes && *member.data_centre == *engine.data_centre;
+            |member: &&Member| !member.decodes && *member.data_centre == *engine.data_centre;
         members.iter().filter(is_local_reader).count()
     };
     let (found, stage) = match change {
-        Change::MoreReaders => {
+        Change::MorePrefill => {
             let writers = free.iter().filter(|(index, engine)| {
-                engine.stage == Stage::Decode && stage::may_read(members, *index)
+                engine.stage == Stage::Decode && stage::may_switch_to_prefill(members, *index)
             });
             let found = writers.min_by_key(|(_, e)| (e.long, local_readers(e), e.writing));
             (found, Stage::Prefill)
         }
-        Change::MoreWriters => {
+        Change::MoreDecode => {
             let readers = free.iter().filter(|(_, e)| e.stage == Stage::Prefill);
             let found = readers.min_by_key(|(_, e)| (Reverse(local_readers(e)), e.reading));
             (found, Stage::Decode)
