--- a/src/bin/wrenrampd.rs
+++ b/src/bin/wrenrampd.rs
@@ -125,7 +125,7 @@
 async fn run_gateway(file: &Path, settings: gateway::Settings) -> Ended {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut hangup = signal(SignalKind::hangup())?;
-    let edges = platform::edges(settings.store.address);
+    let edges = platform::adapters(settings.store.address);
     let mut seen = settings.clone();
     let mut readable = true;
     let mut running = ::gateway::start(settings, edges).await?;
