--- a/components/gateway/src/endpoint/busy.rs
+++ b/components/gateway/src/endpoint/busy.rs
@@ -1,7 +1,7 @@
-//! The endpoints at which this process has something under way.
+//! Endpoints at which this process has requests in flight.
 //!
-//! They are looked at many times a second to tell the peers, and are few among the thousands of a large
-//! fleet. See `docs/CAPACITY.md#gateways-on-a-platform`.
+//! Their loads are collected many times a second for the digests to the peers, and they are few
+//! among the thousands of a large fleet. See `docs/CAPACITY.md#gateways-on-a-platform`.
 
 use std::sync::Arc;
 
@@ -9,22 +9,23 @@
 
 use super::{Load, Target};
 
-/// Endpoints with something under way. One whose work has ended stays until the next look.
+/// Set of endpoints with requests in flight. One whose requests have all ended stays until the next
+/// call of [`Self::loads`].
 #[derive(Debug, Default)]
 pub struct BusySet(Mutex<Vec<Arc<Target>>>);
 
 impl BusySet {
-    /// Adds an endpoint that had nothing under way until now.
+    /// Adds an endpoint that had nothing in flight until now.
     pub(super) fn add(&self, target: &Arc<Target>) {
         self.0.lock().push(Arc::clone(target));
     }
 
-    /// What is under way, by the short number of the endpoint.
+    /// Returns this process's loads by the short id of the endpoint, sorted by id.
     #[must_use]
     pub fn loads(&self) -> Vec<(u32, Load)> {
         let mut busy = self.0.lock();
         let mut loads = Vec::with_capacity(busy.len());
-        // what begins now where everything had ended is added again
+        // an endpoint that becomes busy after its removal here is added again
         busy.retain(|target| {
             let load = target.with(|state| state.own_load);
             let in_flight = load != Load::default();
@@ -36,7 +37,7 @@
         busy.sort_unstable_by_key(|target| target.short_id);
         busy.dedup_by(|a, b| Arc::ptr_eq(a, b));
         loads.sort_unstable_by_key(|(short_id, _)| *short_id);
-        // one that is there twice, or two that share a number, which would only blur their loads
+        // an endpoint may be listed twice; two that share a short id only have their loads blended
         loads.dedup_by_key(|(short_id, _)| *short_id);
         loads
     }
--- a/components/gateway/src/endpoint/connection.rs
+++ b/components/gateway/src/endpoint/connection.rs
@@ -1,4 +1,4 @@
-//! A connection to an endpoint. It serves one request at a time and is closed when it is dropped.
+//! Connection to an endpoint. It serves one request at a time and is closed when dropped.
 
 use std::{
     net::SocketAddr,
@@ -18,37 +18,37 @@
 use socket2::{SockRef, TcpKeepalive};
 use tokio::{net::TcpStream, task::JoinHandle};
 
-/// The longest that a new connection may take. Data centres are a few milliseconds apart; a first
-/// packet that is lost is sent again after a second, by when another endpoint has served.
+/// Time-out of connecting. Data centres are a few milliseconds apart. A lost SYN is only
+/// retransmitted after a second, by when another endpoint has served the request.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// Data that stays unacknowledged this long breaks a connection: its peer is dark or cut off. Well
-/// above a few retransmissions on a link that loses packets.
+/// How long data may stay unacknowledged before the connection breaks, since the endpoint's host is
+/// down or cut off. Well above the time of a few retransmissions on a lossy link.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(3);
-/// After this silence the system asks the peer for a sign of life, and so often again.
+/// Idle time before the first TCP keep-alive probe, and the interval between probes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
-/// Probes without an answer that break a connection.
+/// Number of unanswered keep-alive probes after which the connection breaks.
 const KEEPALIVE_RETRIES: u32 = 3;
-/// An idle connection is dropped this long before its endpoint would close it, so that no request
-/// meets the close half way.
+/// An idle connection is dropped this long before the endpoint would close it, so that no request
+/// is sent while it is being closed.
 const CLOSE_MARGIN: Duration = Duration::from_millis(700);
-/// How long an idle connection is kept if the endpoint doesn't say how long it keeps it.
+/// Idle time-out of a connection if the endpoint does not report its own.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Why no connection was made. Nothing was sent.
+/// Reason why no connection was opened. Nothing was sent.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 pub enum ConnectError {
-    /// The endpoint did not answer in time.
+    /// The endpoint did not respond in time.
     #[display("the endpoint did not answer a new connection")]
     Silent,
-    /// Nothing listens there, or the connection was reset.
+    /// Nothing listens at the address, or the connection was reset.
     #[display("the endpoint refused a new connection")]
     Refused,
-    /// This process holds as many connections to the endpoint as it may.
+    /// The limit on this process's connections to the endpoint is reached.
     #[display("all connections to the endpoint are in use")]
     Full,
 }
 
-/// A connection.
+/// An open HTTP/1.1 connection.
 #[derive(Debug)]
 pub struct Connection {
     sender: SendRequest<Full<Bytes>>,
@@ -57,7 +57,7 @@
 }
 
 impl Connection {
-    /// The side that sends requests.
+    /// Returns the sender of requests.
     pub fn sender(&mut self) -> &mut SendRequest<Full<Bytes>> {
         &mut self.sender
     }
@@ -65,13 +65,13 @@
 
 impl Drop for Connection {
     fn drop(&mut self) {
-        // closes the socket at once, so that the endpoint stops work that nobody waits for
+        // closes the socket at once, so that the endpoint stops work on a cancelled request
         self.task.abort();
         self.open_count.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-/// Makes a connection; `open` counts it as long as it lives.
+/// Opens a connection. `open_count` counts it until it is dropped.
 pub(super) async fn open(
     address: SocketAddr,
     open_count: &Arc<AtomicUsize>,
@@ -86,7 +86,7 @@
     let handshake = http1::handshake(TokioIo::new(stream)).await;
     let (sender, connection) = handshake.map_err(|_| ConnectError::Refused)?;
     let task = tokio::spawn(async move {
-        // its request hears of a failure on its own
+        // the request in flight gets the error from its sender
         let _ = connection.await;
     });
     open_count.fetch_add(1, Ordering::Relaxed);
@@ -109,15 +109,15 @@
         socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT)),
     ];
     for error in options.into_iter().filter_map(Result::err) {
-        log::debug!(error:%; "a socket option was not set; a silent peer is noticed later");
+        log::debug!(error:%; "failed to set a socket option; an unresponsive endpoint will be detected later");
     }
 }
 
-/// A connection that waits for its next request.
+/// An idle connection.
 #[derive(Debug)]
 pub(super) struct Idle {
     pub(super) connection: Connection,
-    idle_since: Instant,
+    since: Instant,
     expires: Instant,
 }
 
@@ -132,7 +132,7 @@
         });
         Self {
             connection,
-            idle_since: now,
+            since: now,
             expires: now + ttl,
         }
     }
@@ -142,10 +142,10 @@
         self.expires > now && !self.connection.sender.is_closed()
     }
 
-    /// Whether it may take a request that wants one used within `fresh`.
+    /// Whether it can serve a request that accepts connections idle for at most `max_idle`.
     pub(super) fn is_usable(&self, now: Instant, max_idle: Duration) -> bool {
         self.is_open(now)
-            && now.duration_since(self.idle_since) <= max_idle
+            && now.duration_since(self.since) <= max_idle
             && self.connection.sender.is_ready()
     }
 }
--- a/components/gateway/src/endpoint/health.rs
+++ b/components/gateway/src/endpoint/health.rs
@@ -1,53 +1,53 @@
-//! How an endpoint does, told from the requests that it was sent. No probes: they cost a slot, and an
-//! endpoint that fails part of its requests may pass them all.
+//! Health of an endpoint, derived from the requests sent to it. There are no probes: a probe takes
+//! up a slot, and an endpoint that fails a fraction of its requests may pass every probe.
 
 use std::time::Duration;
 
 use clock::Instant;
 use derive_more::Display;
 
-/// How an attempt ended, as far as it tells of the endpoint.
+/// Outcome of an attempt, as far as it concerns the endpoint's health.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 #[display(rename_all = "kebab-case")]
 pub enum Verdict {
-    /// It answered as it should.
+    /// It answered correctly.
     Fine,
-    /// It said that it has no room or is not the one that was meant.
+    /// It reported that it has no free slot or is not the intended instance.
     Refused,
-    /// It failed the request: an error of its own, a broken or a senseless answer.
+    /// It failed the request: with an error of its own, a broken connection or an invalid answer.
     Failed,
-    /// It was not reached, or said nothing in the time in which it should have.
+    /// It could not be reached, or did not respond in time.
     Silent,
 }
 
-/// Weight of the newest attempt in the failure rate: a run of five failures takes a sound endpoint
-/// past [`SICK`], one failure in five doesn't.
+/// Weight of the latest attempt in the moving average of failures: five failures in a row take a
+/// healthy endpoint past [`UNHEALTHY_FAILURE_RATIO`], one failure in five does not.
 const FAILURE_WEIGHT: f64 = 0.25;
-/// Above this failure rate an endpoint is avoided where there is another one.
+/// Failure ratio from which an endpoint is avoided if there is another one.
 const UNHEALTHY_FAILURE_RATIO: f64 = 0.6;
-/// Silent attempts in a row after which an endpoint is taken to be away.
-const MAX_SILENT_ATTEMPTS: u32 = 2;
-/// How long an endpoint that is away gets nothing but one trial a span; it doubles up to
-/// [`LONGEST_AWAY`] while trials fail.
-const INITIAL_SILENT_BACKOFF: Duration = Duration::from_millis(400);
-/// The longest pause between two trials: within it a healed endpoint is found again.
+/// Number of consecutive silent attempts after which an endpoint counts as unavailable.
+const MAX_SILENT: u32 = 2;
+/// First backoff of an unavailable endpoint, which gets no requests until it has passed and is then
+/// tried again. Doubles up to [`MAX_BACKOFF`] while trials fail.
+const SILENT_BACKOFF: Duration = Duration::from_millis(400);
+/// Maximum backoff: bounds the time until a recovered endpoint is used again.
 const MAX_BACKOFF: Duration = Duration::from_millis(1_600);
 
-/// Refusals in a row after which an endpoint is left alone for a while: one alone may be a race for
-/// its last slot.
+/// Number of consecutive refusals after which an endpoint is backed off from. A single refusal may
+/// come from a race for its last slot.
 const MAX_REFUSALS: u32 = 2;
-/// How long an endpoint that refuses is left alone; it doubles up to [`LONGEST_AWAY`] while it goes on
-/// refusing. Each refusal is paid for like a repeat.
-const INITIAL_REFUSAL_BACKOFF: Duration = Duration::from_millis(100);
+/// First backoff after refusals. Doubles up to [`MAX_BACKOFF`] while the endpoint keeps refusing.
+/// Each refusal is charged to the retry budget like a retry.
+const REFUSAL_BACKOFF: Duration = Duration::from_millis(100);
 
-/// Failures, silences and refusals of an endpoint.
+/// Record of an endpoint's failures, silent attempts and refusals.
 #[derive(Clone, Debug, Default)]
 pub struct Health {
     /// Moving average of failures, from 0 to 1.
     failure_ratio: f64,
-    /// Silent attempts in a row.
+    /// Consecutive silent attempts.
     consecutive_silent: u32,
-    /// Refusals in a row.
+    /// Consecutive refusals.
     consecutive_refusals: u32,
     backoff: Option<Backoff>,
 }
@@ -59,13 +59,12 @@
 }
 
 impl Health {
-    /// Takes the end of an attempt. Says whether the endpoint was sound before and isn't now, or the
-    /// other way round.
+    /// Records the outcome of an attempt. Returns whether [`Self::is_healthy`] changed.
     pub fn record(&mut self, verdict: Verdict, now: Instant) -> bool {
         let before = self.is_healthy();
         let failed = match verdict {
             Verdict::Fine => 0.0,
-            // a full endpoint isn't a failing one
+            // a full endpoint is not a failing one
             Verdict::Refused => self.failure_ratio,
             Verdict::Failed | Verdict::Silent => 1.0,
         };
@@ -79,12 +78,8 @@
             Verdict::Fine | Verdict::Silent | Verdict::Failed => 0,
         };
         match () {
-            () if self.consecutive_silent >= MAX_SILENT_ATTEMPTS => {
-                self.back_off(INITIAL_SILENT_BACKOFF, now)
-            }
-            () if self.consecutive_refusals >= MAX_REFUSALS => {
-                self.back_off(INITIAL_REFUSAL_BACKOFF, now)
-            }
+            () if self.consecutive_silent >= MAX_SILENT => self.back_off(SILENT_BACKOFF, now),
+            () if self.consecutive_refusals >= MAX_REFUSALS => self.back_off(REFUSAL_BACKOFF, now),
             () if verdict == Verdict::Fine => self.backoff = None,
             () => {}
         }
@@ -101,27 +96,27 @@
         });
     }
 
-    /// Whether it should get a request: not while it is away, but for a trial when a pause is over.
+    /// Whether it may get a request: not during a backoff; after it, as a trial.
     #[must_use]
     pub fn accepts_requests(&self, now: Instant) -> bool {
         self.backoff.is_none_or(|backoff| backoff.until <= now)
     }
 
-    /// Puts the next trial off, so that one request at a time finds out whether it is back.
+    /// Postpones the next trial by another backoff, so that only one request at a time tests
+    /// whether the endpoint has recovered.
     pub fn postpone_trial(&mut self, now: Instant) {
         if let Some(backoff) = &mut self.backoff {
             backoff.until = now + backoff.delay;
         }
     }
 
-    /// Whether it answers, and mostly as it should.
+    /// Whether it responds, and mostly without failures.
     #[must_use]
     pub fn is_healthy(&self) -> bool {
-        self.consecutive_silent < MAX_SILENT_ATTEMPTS
-            && self.failure_ratio < UNHEALTHY_FAILURE_RATIO
+        self.consecutive_silent < MAX_SILENT && self.failure_ratio < UNHEALTHY_FAILURE_RATIO
     }
 
-    /// The part of its attempts that fail, from 0 to 1.
+    /// Returns the fraction of its recent attempts that failed, from 0 to 1.
     #[must_use]
     pub fn failure_ratio(&self) -> f64 {
         self.failure_ratio
--- a/components/gateway/src/endpoint/load.rs
+++ b/components/gateway/src/endpoint/load.rs
@@ -1,25 +1,26 @@
-//! What is under way at an endpoint: own requests exactly, peers' as of their last digests.
+//! Load of an endpoint. That of this process is exact, that of peers as of their last digests.
 
 use std::sync::Arc;
 
 use super::Target;
 
-/// Work under way at an endpoint.
+/// Work in flight at an endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Load {
-    /// Work of the prompts that are sent and not read yet, see [`policy::prompt::work`].
+    /// Work of the prompts sent and not prefilled yet, see [`policy::prompt::work`]. Excludes
+    /// low-priority prompts.
     pub prefill_work: u64,
-    /// Work of the prompts that give way to all others.
+    /// Work of the low-priority prompts, which yield to all others.
     pub low_priority_work: u64,
-    /// Prompts that are sent and not read yet.
+    /// Number of prompts sent and not prefilled yet.
     pub prompts: u64,
-    /// Those of them that give way to all others.
+    /// Number of these prompts that are low-priority.
     pub low_priority_prompts: u64,
-    /// Requests that are answered, or will be once their prompts are read.
+    /// Number of requests that are being decoded, or will be once their prompts are prefilled.
     pub decoding: u64,
-    /// Those of them whose answers are long.
+    /// Number of these requests with long answers.
     pub long_answers: u64,
-    /// Requests that endpoints have ended under.
+    /// Number of suspect requests: other endpoints have crashed during them.
     pub suspects: u64,
 }
 
@@ -32,7 +33,7 @@
         }
     }
 
-    /// Both together.
+    /// Returns the sum of two loads.
     #[must_use]
     pub fn plus(self, other: Self) -> Self {
         Self {
@@ -47,7 +48,7 @@
     }
 }
 
-/// A prompt that is being read at an endpoint; counted as long as this lives.
+/// Counts a prompt in the load of an endpoint until it is dropped.
 #[derive(Debug)]
 pub struct PrefillGuard {
     target: Arc<Target>,
@@ -56,7 +57,7 @@
 }
 
 impl PrefillGuard {
-    /// Counts a prompt of so much work, and whether it gives way to all others.
+    /// Counts a prompt with `work` at an endpoint. A low-priority prompt yields to all others.
     #[must_use]
     pub fn new(target: &Arc<Target>, work: u64, low_priority: bool) -> Self {
         target.add_load(|load| {
@@ -71,7 +72,7 @@
         }
     }
 
-    /// The work that is counted.
+    /// Returns the counted work.
     #[must_use]
     pub fn work(&self) -> u64 {
         self.work
@@ -88,7 +89,7 @@
     }
 }
 
-/// A request that an endpoint answers; counted as long as this lives.
+/// Counts a request that is decoded in the load of an endpoint until it is dropped.
 #[derive(Debug)]
 pub struct DecodeGuard {
     target: Arc<Target>,
@@ -96,7 +97,8 @@
 }
 
 impl DecodeGuard {
-    /// Counts a request, and whether its answer will be long.
+    /// Counts a request at an endpoint. `long_answer` tells whether its answer is expected to be
+    /// long.
     #[must_use]
     pub fn new(target: &Arc<Target>, long_answer: bool) -> Self {
         target.add_load(|load| {
--- a/components/gateway/src/endpoint/mod.rs
+++ b/components/gateway/src/endpoint/mod.rs
@@ -1,7 +1,8 @@
-//! Endpoints: what the platform says of them, what this process has sent them, and how they do.
+//! Endpoints: what the platform lists about them, what this process has sent them, and their
+//! health.
 //!
-//! An endpoint here is one incarnation of a back end. A restarted back end is another endpoint, even
-//! under the same name or at the same address, so nothing learnt of one is believed of the other.
+//! An endpoint here is one incarnation of a back end. A restarted back end is a new endpoint, even
+//! under the same name or at the same address, so nothing learnt about one is applied to the other.
 
 mod busy;
 mod connection;
@@ -24,74 +25,76 @@
 pub use requests::{RequestGuard, RequestTracker};
 pub use target::{Paces, ServiceDefaults, Snapshot, Target};
 
-/// The name of an endpoint. It may start again under the same name, see [`Profile::started`].
+/// Name of an endpoint. A restarted endpoint may keep its name, see [`Profile::started`].
 #[derive(Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord)]
 #[display("{_0}")]
 pub struct Id(pub Arc<str>);
 
-/// A short number for a name, the same in every process.
+/// Returns a short hash of a name, the same in every process.
 #[must_use]
 pub fn short_id(name: &str) -> u32 {
     let hash = xxhash_rust::xxh3::xxh3_64(name.as_bytes());
     u32::try_from(hash >> u32::BITS).unwrap_or_default()
 }
 
-/// What an engine does: it reads prompts, or it writes answers.
+/// Stage that an engine serves: prefill or decode.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord)]
 #[display(rename_all = "kebab-case")]
 pub enum Stage {
-    /// It reads prompts and keeps their KV caches for others to fetch.
+    /// It prefills prompts and keeps their KV caches for other engines to fetch.
     Prefill,
-    /// It writes answers, and reads prompts between them if it must.
+    /// It decodes answers, and prefills prompts between them if necessary.
     Decode,
 }
 
-/// Whether an endpoint takes requests.
+/// Whether an endpoint accepts requests.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 #[display(rename_all = "kebab-case")]
 pub enum State {
-    /// It does.
+    /// It accepts requests.
     Ready,
-    /// It is leaving and must get nothing new.
+    /// It is shutting down and must get no new requests.
     Draining,
 }
 
-/// What the platform says of an endpoint.
+/// An endpoint as the platform lists it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Profile {
     /// Its name.
     pub id: Id,
     /// The service that it belongs to.
     pub service: Arc<str>,
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
     /// Its data centre.
     pub data_centre: Arc<str>,
-    /// Whether it takes requests.
+    /// Whether it accepts requests.
     pub state: State,
-    /// Requests that it works on at once.
+    /// Number of requests that it processes concurrently.
     pub slots: u64,
-    /// What it does, if it is an engine.
+    /// Its stage, if it is an engine.
     pub stage: Option<Stage>,
-    /// When it was started, in Unix milliseconds by its own clock, if it says so. With its name it tells one
-    /// incarnation from the next.
+    /// Its start time in Unix milliseconds by its own clock, if it reports one. Together with the
+    /// name it tells incarnations apart.
     pub started: Option<u64>,
 }
 
-/// What an entry says of an endpoint that was known before.
+/// Incarnation of a list entry compared with that of the known endpoint of the same name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IncarnationOrder {
-    /// It is the same incarnation.
+    /// The same incarnation.
     Same,
-    /// It has started again: nothing that was known of it holds.
+    /// A newer incarnation: the endpoint has restarted, and nothing known about it applies any
+    /// more.
     Newer,
-    /// The entry is one of an earlier incarnation.
+    /// An earlier incarnation.
     Older,
 }
 
 impl Profile {
-    /// A short number for the incarnation, the same in every process. Two endpoints of a fleet of thousands
-    /// share one with a chance of about one in a thousand, which would only blur their loads.
+    /// Returns a short hash that identifies the incarnation, the same in every process. In a fleet
+    /// of thousands the chance that any two endpoints share one is about one in a thousand, and
+    /// would only blend their loads.
     #[must_use]
     pub fn short_id(&self) -> u32 {
         match self.started {
@@ -100,7 +103,7 @@
         }
     }
 
-    /// What a newer entry says of this incarnation.
+    /// Compares the incarnation of a later list entry with this one.
     #[must_use]
     pub fn compare_incarnation(&self, newer: &Self) -> IncarnationOrder {
         match (self.started, newer.started) {
--- a/components/gateway/src/endpoint/registry.rs
+++ b/components/gateway/src/endpoint/registry.rs
@@ -1,4 +1,4 @@
-//! All endpoints, by service, as the last update of the directory left them.
+//! Registry of all endpoints by service, as of the last update of the endpoint list.
 
 use std::sync::Arc;
 
@@ -7,8 +7,9 @@
 use super::{BusySet, Id, IncarnationOrder, Profile, State, Target, subset};
 use crate::edge::Change;
 
-/// The most endpoints that are new at once and have a line in the log each: the lists of the first
-/// deployments have 60. The thousands of a large one would push all other lines out of it at each start.
+/// Maximum number of changes in an update up to which each new endpoint gets a log line. The lists
+/// of the first deployments have 60 endpoints; at each start the thousands of a large fleet would
+/// push all other lines out of the log.
 const MAX_LOG_LINES: usize = 100;
 
 /// The endpoints of one service, sorted by name.
@@ -19,38 +20,39 @@
 }
 
 impl Fleet {
-    /// Its endpoints.
+    /// Returns all endpoints of the service.
     #[must_use]
     pub fn targets(&self) -> &[Arc<Target>] {
         &self.targets
     }
 
-    /// Those of them that this process sends requests to.
+    /// Returns the endpoints that this process sends requests to.
     #[must_use]
     pub fn subset(&self) -> &[Arc<Target>] {
         &self.subset
     }
 }
 
-/// All endpoints.
+/// Registry of all endpoints.
 #[derive(Debug, Default)]
 pub struct Registry {
     /// All listed endpoints, sorted by name.
     targets: RwLock<Arc<Vec<Arc<Target>>>>,
-    /// The same by service, sorted by its name. Services are few, endpoints many.
+    /// The same endpoints by service, sorted by the service's name. There are few services and many
+    /// endpoints.
     fleets: RwLock<Vec<(Arc<str>, Fleet)>>,
-    /// The same by their short numbers, sorted by these.
+    /// The same endpoints by short id, sorted by it.
     by_short_id: RwLock<Vec<(u32, Arc<Target>)>>,
-    /// Which endpoints of large fleets this process uses.
+    /// Selects the endpoints of large fleets that this process uses.
     selector: subset::Selector,
-    /// Those with something under way.
+    /// Endpoints at which this process has requests in flight.
     busy: Arc<BusySet>,
-    /// Only one update at a time.
+    /// Serializes updates.
     updating: Mutex<()>,
 }
 
 impl Registry {
-    /// No endpoints yet, for a process in a data centre.
+    /// Creates an empty registry for a process in a data centre.
     #[must_use]
     pub fn new(process: &str, data_centre: &str) -> Self {
         Self {
@@ -59,7 +61,7 @@
         }
     }
 
-    /// An endpoint by its short number.
+    /// Returns the endpoint with a short id.
     #[must_use]
     pub fn find(&self, short_id: u32) -> Option<Arc<Target>> {
         let by_short_id = self.by_short_id.read();
@@ -67,7 +69,7 @@
         at.ok().map(|at| Arc::clone(&by_short_id[at].1))
     }
 
-    /// The endpoints of a service.
+    /// Returns the endpoints of a service.
     #[must_use]
     pub fn fleet(&self, service: &str) -> Fleet {
         let fleets = self.fleets.read();
@@ -75,20 +77,22 @@
         at.map(|at| fleets[at].1.clone()).unwrap_or_default()
     }
 
-    /// All endpoints.
+    /// Returns all endpoints, sorted by name.
     #[must_use]
     pub fn all(&self) -> Arc<Vec<Arc<Target>>> {
         Arc::clone(&self.targets.read())
     }
 
-    /// The endpoints at which this process has something under way, also those that have left the list.
+    /// Returns the endpoints at which this process has requests in flight, including those no
+    /// longer listed.
     #[must_use]
     pub fn busy(&self) -> &BusySet {
         &self.busy
     }
 
-    /// Takes an update. With `whole` the changes are all that there is, and what isn't among them is
-    /// gone. Gives the endpoints that are gone and had not said that they leave.
+    /// Applies an update. With `whole` the changes are the complete list, and endpoints that are
+    /// not in it are removed. Returns the removed endpoints that had not announced that they were
+    /// draining.
     pub fn apply(&self, changes: &[Change], whole: bool) -> Vec<Arc<Target>> {
         let _updating = self.updating.lock();
         let mut targets: Vec<Arc<Target>> = self.targets.read().as_ref().clone();
@@ -101,13 +105,11 @@
         }
         let log_each = changes.len() <= MAX_LOG_LINES;
         if !log_each {
-            log::info!(changes = changes.len(), whole, before = targets.len(); "many endpoints changed");
+            log::info!(changes = changes.len(), whole, before = targets.len(); "many endpoints changed; new ones are not logged individually");
         }
         for change in changes {
             match change {
-                Change::Present(profile) => {
-                    gone.extend(self.upsert(&mut targets, profile, log_each))
-                }
+                Change::Present(profile) => gone.extend(self.put(&mut targets, profile, log_each)),
                 Change::Gone(id) | Change::Unusable(id) => gone.extend(remove(&mut targets, id)),
             }
         }
@@ -121,8 +123,9 @@
         gone
     }
 
-    /// Takes an entry. Gives the incarnation in whose place it comes.
-    fn upsert(
+    /// Adds or updates an endpoint from a list entry. Returns the former incarnation if the entry
+    /// replaces it.
+    fn put(
         &self,
         targets: &mut Vec<Arc<Target>>,
         profile: &Profile,
@@ -133,13 +136,13 @@
                 IncarnationOrder::Same => update(&targets[at], profile),
                 IncarnationOrder::Older => log::info!(
                     endpoint = &*profile.id.0, started = profile.started;
-                    "an entry of an earlier incarnation is passed over"
+                    "ignoring a list entry of an earlier incarnation"
                 ),
                 IncarnationOrder::Newer => {
                     let former = std::mem::replace(&mut targets[at], self.new_target(profile));
                     log::info!(
                         endpoint = &*profile.id.0, started = profile.started, address:% = profile.address;
-                        "an endpoint has started again"
+                        "endpoint restarted"
                     );
                     former.mark_terminated();
                     return Some(former);
@@ -150,7 +153,7 @@
                     log::info!(
                         endpoint = &*profile.id.0, service = &*profile.service, state:% = profile.state,
                         address:% = profile.address, data_centre = &*profile.data_centre;
-                        "an endpoint is listed"
+                        "endpoint listed"
                     );
                 }
                 targets.insert(at, self.new_target(profile));
@@ -159,7 +162,7 @@
         None
     }
 
-    /// An incarnation of which nothing is known yet.
+    /// Creates a target without any history.
     fn new_target(&self, profile: &Profile) -> Arc<Target> {
         Arc::new(Target::new(profile.clone(), Arc::clone(&self.busy)))
     }
@@ -201,13 +204,13 @@
     if before.state != profile.state {
         log::info!(
             endpoint = &*profile.id.0, before:% = before.state, now:% = profile.state;
-            "an endpoint changed its state"
+            "endpoint state changed"
         );
     }
     if let (Some(before), Some(now)) = (before.stage, profile.stage)
         && before != now
     {
-        log::info!(endpoint = &*profile.id.0, before:%, now:%; "an engine changed its stage");
+        log::info!(endpoint = &*profile.id.0, before:%, now:%; "engine stage changed");
     }
 }
 
@@ -219,5 +222,5 @@
 fn unlist(target: &Target) {
     target.with(|state| state.listed = false);
     target.drop_idle_connections();
-    log::info!(endpoint = &*target.id.0; "an endpoint is no longer listed");
+    log::info!(endpoint = &*target.id.0; "endpoint is no longer listed");
 }
--- a/components/gateway/src/endpoint/requests.rs
+++ b/components/gateway/src/endpoint/requests.rs
@@ -1,5 +1,5 @@
-//! Requests under way at an endpoint, by what they ask for: when it ends, one of them may have ended it. See
-//! `docs/DESIGN.md#requests-that-end-endpoints`.
+//! Fingerprints of the requests in flight at an endpoint: when the endpoint crashes, one of them
+//! may be the cause. See `docs/DESIGN.md#requests-that-end-endpoints`.
 
 use std::{collections::VecDeque, sync::Arc, time::Duration};
 
@@ -8,19 +8,19 @@
 use super::Target;
 use crate::request::Content;
 
-/// How long a request that was given up on may still be what ends its endpoint: an engine notices late that nobody
-/// waits any more.
+/// How long a cancelled request may still be the cause of a crash: an engine notices a cancellation
+/// with a delay.
 const CANCELLED_TTL: Duration = Duration::from_secs(1);
-/// How long a request whose connection broke is kept: an endpoint that ended is listed until several of its heartbeats
-/// are missing.
+/// How long a request whose connection broke is kept: a crashed endpoint stays listed until several
+/// of its heartbeats are missing.
 const BROKEN_TTL: Duration = Duration::from_secs(6);
-/// The most requests without an answer that are kept for an endpoint.
+/// Maximum number of unanswered requests that are kept for an endpoint.
 const MAX_UNANSWERED: usize = 256;
 
-/// How a request was left without an answer.
+/// Why a request got no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Interruption {
-    /// Nobody waits for it any more.
+    /// It was cancelled.
     Cancelled,
     /// Its connection broke.
     ConnectionBroken,
@@ -43,13 +43,13 @@
     }
 }
 
-/// Requests under way at an endpoint, and those that lately got no answer.
+/// Requests in flight at an endpoint, and those that recently ended without an answer.
 #[derive(Debug, Default)]
 pub struct RequestTracker {
     in_flight: Vec<(u64, Content)>,
-    /// The oldest first.
+    /// Oldest first.
     unanswered: VecDeque<Unanswered>,
-    /// Requests so far.
+    /// Number of requests so far.
     total: u64,
 }
 
@@ -84,7 +84,8 @@
         });
     }
 
-    /// Takes what was under way when the endpoint ended just now, sorted.
+    /// Takes the fingerprints of all requests that may have caused a crash at `now`, sorted: those
+    /// in flight and those recently left unanswered.
     pub fn take_all(&mut self, now: Instant) -> Vec<Content> {
         let unanswered = self
             .unanswered
@@ -98,7 +99,8 @@
         )
     }
 
-    /// Takes what the endpoint broke off lately, sorted.
+    /// Takes the fingerprints of the requests whose connections recently broke, sorted, and
+    /// discards the other unanswered ones.
     pub fn take_broken(&mut self, now: Instant) -> Vec<Content> {
         let broken = |request: &Unanswered| {
             request.interruption == Interruption::ConnectionBroken && !request.is_expired(now)
@@ -115,7 +117,7 @@
     fingerprints
 }
 
-/// A request under way at an endpoint. One that is dropped was given up on.
+/// A request in flight at an endpoint. Dropping it records a cancellation.
 #[derive(Debug)]
 pub struct RequestGuard {
     target: Arc<Target>,
@@ -124,7 +126,8 @@
 }
 
 impl RequestGuard {
-    /// Notes a request that is about to be sent to an endpoint, and whether other endpoints have ended under it.
+    /// Records a request that is about to be sent to an endpoint. `suspect` tells whether other
+    /// endpoints have crashed during it.
     #[must_use]
     pub fn new(target: &Arc<Target>, fingerprint: Content, suspect: bool) -> Self {
         target.add_load(|load| load.suspects += u64::from(suspect));
@@ -135,12 +138,12 @@
         }
     }
 
-    /// Notes that the endpoint gave a whole answer, or never began to work on it.
+    /// Records that the endpoint gave a complete answer, or never began to process the request.
     pub fn finish(self) {
         self.target.with(|state| state.requests.remove(self.number));
     }
 
-    /// Notes that the connection broke.
+    /// Records that the connection broke.
     pub fn connection_broke(self) {
         self.interrupt(Interruption::ConnectionBroken);
     }
--- a/components/gateway/src/endpoint/subset.rs
+++ b/components/gateway/src/endpoint/subset.rs
@@ -1,9 +1,10 @@
-//! Which endpoints of a large fleet a process uses.
+//! Selects the endpoints of a large fleet that this process uses.
 //!
-//! With some thousand endpoints and some hundred processes, a process that weighed all of them for each
-//! request, and had connections to all, would spend more on choosing than it gains. It uses a part that is
-//! drawn by rendezvous hashing: each process another one, and little changes when an endpoint comes or
-//! goes. See `docs/CAPACITY.md#gateways-on-a-platform`.
+//! With thousands of endpoints and hundreds of processes, a process that considered every endpoint
+//! for each request, and kept connections to all of them, would spend more on the choice than it
+//! gains. Instead it uses a subset selected by rendezvous hashing: each process uses a different
+//! one, and it changes little when an endpoint is added or removed. See
+//! `docs/CAPACITY.md#gateways-on-a-platform`.
 
 use std::sync::Arc;
 
@@ -11,13 +12,15 @@
 
 use super::Target;
 
-/// Endpoints of the own data centre that are used: placement among this many finds nearly what it would
-/// find among all, and fleets of the first deployments (57 engines at most) are used whole.
+/// Number of endpoints in the own data centre that are used. Placement among this many is nearly as
+/// good as among all, and the fleets of the first deployments (57 engines at most) are used
+/// completely.
 const MAX_LOCAL: usize = 64;
-/// Endpoints of other data centres that are used besides, for when the own one has none left.
+/// Number of endpoints in other data centres that are used besides, for when none is left in the
+/// own one.
 const MAX_REMOTE: usize = 32;
 
-/// How a process draws the endpoints that it uses.
+/// Selection of endpoints by a process.
 #[derive(Debug, Default)]
 pub struct Selector {
     seed: u64,
@@ -25,7 +28,7 @@
 }
 
 impl Selector {
-    /// The choice of a process with a name, in a data centre.
+    /// Creates the selection of a named process in a data centre.
     pub fn new(process: &str, data_centre: &str) -> Self {
         Self {
             seed: xxh3_64_with_seed(process.as_bytes(), 0),
@@ -33,7 +36,7 @@
         }
     }
 
-    /// The endpoints of a fleet that are used, in the order of the fleet; none if all of them are.
+    /// Returns the selected endpoints, in the order of the fleet; `None` if all of them are used.
     pub fn select(&self, fleet: &[Arc<Target>]) -> Option<Vec<Arc<Target>>> {
         if fleet.len() <= MAX_LOCAL + MAX_REMOTE {
             return None;
@@ -48,7 +51,7 @@
         Some(selected)
     }
 
-    /// So many of some endpoints, those with the highest hashes.
+    /// Returns the `count` endpoints with the highest hashes.
     fn take_highest(&self, mut targets: Vec<&Arc<Target>>, count: usize) -> Vec<Arc<Target>> {
         let hash = |target: &Arc<Target>| xxh3_64_with_seed(target.id.0.as_bytes(), self.seed);
         targets.sort_by_cached_key(|target| std::cmp::Reverse(hash(target)));
--- a/components/gateway/src/endpoint/target.rs
+++ b/components/gateway/src/endpoint/target.rs
@@ -1,4 +1,4 @@
-//! One endpoint as this process sees it.
+//! State of one endpoint in this process.
 
 use std::{
     sync::{
@@ -20,78 +20,79 @@
 };
 use crate::request::Content;
 
-/// How long it is taken to be known whether an endpoint still listens: its connections break within some milliseconds
-/// of each other when it ends.
+/// How long a check whether an endpoint still listens stays valid: when an endpoint crashes, its
+/// connections break within some milliseconds of each other.
 const LISTEN_CHECK_TTL: Duration = Duration::from_millis(100);
 
-/// An endpoint: lives as long as anything is under way there, also after it has left the list.
+/// An endpoint. It lives as long as anything is in flight there, also after it is no longer listed.
 #[derive(Debug)]
 pub struct Target {
     /// Its name.
     pub id: Id,
-    /// The short number by which peers name it.
+    /// Short id by which peers refer to it.
     pub short_id: u32,
     state: Mutex<Inner>,
-    /// Told when long answers should go on elsewhere.
+    /// Notified when long answers should migrate to another engine.
     migration: Notify,
-    /// Told when this incarnation has ended.
+    /// Notified when this incarnation has terminated.
     termination: Notify,
-    /// Open connections, idle or in use.
+    /// Number of open connections, idle or in use.
     open_connections: Arc<AtomicUsize>,
-    /// Where it is noted while it has something under way.
+    /// Set that it is added to while it has requests in flight.
     busy: Arc<BusySet>,
-    /// Held while it is found out whether it still listens.
+    /// Held during a check whether it still listens.
     listen_check: AsyncMutex<()>,
 }
 
-/// What changes about an endpoint.
+/// Mutable state of an endpoint.
 #[derive(Debug)]
 pub struct Inner {
-    /// What the platform says.
+    /// What the platform lists about it.
     pub profile: Profile,
     /// Whether it is still listed.
     pub listed: bool,
-    /// Whether this incarnation has certainly ended, as a later one is listed.
+    /// Whether this incarnation has certainly terminated, since a later one is listed.
     terminated: bool,
-    /// This process's requests.
+    /// Load from this process.
     pub own_load: Load,
-    /// Peers' requests, as of their last digests.
+    /// Load from peers, as of their last digests.
     pub peer_load: Load,
-    /// How it does.
+    /// Its health.
     pub health: Health,
-    /// How fast it is in its present stage; none before it has done anything in it.
+    /// Its pace in its current stage; `None` until it has been measured.
     pub pace: Option<Pace>,
-    /// Which prompt parts it likely holds.
+    /// Prompt parts that it likely has cached.
     pub memory: Memory,
-    /// Idle connections, the longest idle first.
+    /// Idle connections, longest idle first.
     idle: Vec<Idle>,
-    /// Until when it is taken to be changing its stage.
+    /// Until when it counts as changing its stage.
     pub changing_until: Option<Instant>,
-    /// How long it keeps an idle connection, as last told.
+    /// Idle time-out of its connections, as last reported by the endpoint.
     idle_timeout: Option<Duration>,
-    /// When it was last seen to get on with something, for this process or for a peer.
+    /// When a request of this process or of a peer last progressed there.
     last_progress: Instant,
-    /// What is left to read of the prompts under way.
+    /// Estimate of the prefill work that remains of the prompts in flight.
     backlog: Backlog,
-    /// When this process first knew of it: its own time starts there.
+    /// When this process first listed it: the origin of the clock that `age` reads.
     known_since: Instant,
-    /// This process's requests by what they ask for.
+    /// This process's requests, by fingerprint.
     pub requests: RequestTracker,
-    /// When it was last found out whether it still listens.
+    /// When it was last checked whether it still listens.
     last_checked: Option<Instant>,
 }
 
-/// How fast the engines of a service are on average.
+/// Average paces of the engines of a service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Paces {
-    /// Those that read.
+    /// Pace of prefill engines.
     pub prefill: Pace,
-    /// Those that write.
+    /// Pace of decode engines.
     pub decode: Pace,
 }
 
 impl Paces {
-    /// How fast engines are on average in a stage; an endpoint without one writes.
+    /// Returns the average pace of engines in a stage; endpoints without a stage count as decode
+    /// engines.
     #[must_use]
     pub fn for_stage(&self, stage: Option<Stage>) -> Pace {
         match stage {
@@ -100,7 +101,7 @@
         }
     }
 
-    /// The same, to learn.
+    /// Returns the average pace of engines in a stage for updates.
     pub fn for_stage_mut(&mut self, stage: Stage) -> &mut Pace {
         match stage {
             Stage::Prefill => &mut self.prefill,
@@ -118,42 +119,44 @@
     }
 }
 
-/// What is known of all engines of a service alike.
+/// Values common to all engines of a service.
 ///
-/// The size of their memory is that of the configuration in force, and comes with each look and each use: an
-/// endpoint may be listed before the first configuration is known, and a later one may change it.
+/// The size of their caches is that of the current configuration and is passed in with each
+/// snapshot and each recorded prompt: an endpoint may be listed before the first configuration is
+/// known, and a later configuration may change it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ServiceDefaults {
-    /// How fast they are.
+    /// Their average paces.
     pub paces: Paces,
-    /// Tokens that the memory of each holds; zero for plain services.
+    /// Number of tokens that the cache of each engine holds; 0 for plain services.
     pub memory_tokens: u64,
 }
 
-/// An endpoint at one moment, for a decision.
+/// Snapshot of an endpoint for a placement decision.
 #[derive(Clone, Debug)]
 pub struct Snapshot {
-    /// What the platform says.
+    /// What the platform lists about it.
     pub profile: Profile,
-    /// All that is under way there.
+    /// All load there, of this process and of peers.
     pub load: Load,
-    /// How fast it is in its present stage.
+    /// Its pace in its current stage.
     pub pace: Pace,
-    /// Tokens of the prompt asked about that it likely holds.
+    /// Number of tokens of the given prompt that it likely has cached.
     pub cached_tokens: u64,
-    /// Tokens of it that other engines can likely fetch there.
+    /// Number of tokens of the prompt that other engines can likely fetch from it.
     pub fetchable_tokens: u64,
-    /// Part of its attempts that fail.
+    /// Fraction of its recent attempts that failed.
     pub failure_ratio: f64,
 }
 
 impl Inner {
-    /// All that is under way there.
+    /// Returns all load there, of this process and of peers.
     pub fn total_load(&self) -> Load {
         self.own_load.plus(self.peer_load)
     }
 
-    /// Work that is left to read there, if it reads at this pace unless its own is known.
+    /// Returns the prefill work that remains there. `default_pace` applies until its own pace is
+    /// known.
     pub fn remaining_prefill(&self, now: Instant, default_pace: Pace) -> u64 {
         let read_us = self.pace.unwrap_or(default_pace).read_us;
         let remaining = self
@@ -162,7 +165,8 @@
         policy::count(remaining)
     }
 
-    /// The time that it still takes for the prompts under way there, in microseconds; none if there are none.
+    /// Returns the time in microseconds until the prompts in flight there are prefilled; `None` if
+    /// there are none.
     pub fn remaining_prefill_time(
         &self,
         now: Instant,
@@ -174,15 +178,15 @@
         (self.total_load().prompts > 0).then(|| policy::count(time))
     }
 
-    /// Notes work that is about to be sent there, by this process or a peer.
+    /// Records prefill work that this process or a peer is about to send there.
     pub fn record_prefill(&mut self, now: Instant, default_pace: Pace, work: u64) {
         let read_us = self.pace.unwrap_or(default_pace).read_us;
         let (age, prefill_work) = (self.age(now), self.total_load().prefill_work);
         self.backlog.add(age, read_us, prefill_work, work);
     }
 
-    /// Notes that it uses a prompt, which it reads after what it has left to read, or holds at once if it is
-    /// `fetched`.
+    /// Records that it will have the parts of a prompt cached: at once if they are `fetched`, else
+    /// after the remaining prefill work.
     pub fn record_prompt(
         &mut self,
         now: Instant,
@@ -208,7 +212,7 @@
 }
 
 impl Target {
-    /// An endpoint that is new on the list.
+    /// Creates the target of a newly listed endpoint.
     #[must_use]
     pub fn new(profile: Profile, busy: Arc<BusySet>) -> Self {
         Self {
@@ -240,23 +244,23 @@
         }
     }
 
-    /// Notes that it got on with something.
+    /// Records that a request progressed there.
     pub fn record_progress(&self) {
         self.with(|state| state.last_progress = Instant::now());
     }
 
-    /// When it was last seen to get on with something.
+    /// Returns when a request last progressed there.
     #[must_use]
     pub fn last_progress(&self) -> Instant {
         self.with(|state| state.last_progress)
     }
 
-    /// Reads or changes its state; the lock is held only for this.
+    /// Reads or changes its state. The lock is held only during `f`.
     pub fn with<T>(&self, f: impl FnOnce(&mut Inner) -> T) -> T {
         f(&mut self.state.lock())
     }
 
-    /// Counts something that begins.
+    /// Adds to this process's load there, and adds the endpoint to the busy set if it was idle.
     pub(super) fn add_load(self: &Arc<Self>, count: impl FnOnce(&mut Load)) {
         let was_idle = self.with(|state| {
             let was_idle = state.own_load == Load::default();
@@ -268,7 +272,7 @@
         }
     }
 
-    /// It as a decision sees it; none while it takes nothing new.
+    /// Returns a snapshot for a placement decision, or `None` while it accepts no new requests.
     #[must_use]
     pub fn snapshot(
         &self,
@@ -297,13 +301,13 @@
         })
     }
 
-    /// What it does, as last told.
+    /// Returns its stage, as last reported.
     #[must_use]
     pub fn stage(&self) -> Option<Stage> {
         self.with(|state| state.profile.stage)
     }
 
-    /// Takes the stage that the engine itself told.
+    /// Sets the stage that the engine itself reported, and ends a pending change of stage.
     pub fn set_stage(&self, stage: Stage) {
         self.with(|state| {
             if state.profile.stage != Some(stage) {
@@ -314,7 +318,8 @@
         });
     }
 
-    /// Whether answers that take long should go on elsewhere: it leaves, or will do something else.
+    /// Whether long answers should migrate to another engine: it is draining, or about to change
+    /// its stage.
     #[must_use]
     pub fn should_migrate(&self) -> bool {
         let now = Instant::now();
@@ -325,7 +330,7 @@
         })
     }
 
-    /// Waits until answers that take long should go on elsewhere.
+    /// Waits until long answers should migrate to another engine.
     pub async fn migration_needed(&self) {
         loop {
             let notified = self.migration.notified();
@@ -336,13 +341,13 @@
         }
     }
 
-    /// Notes that this incarnation has ended: what was under way there is over.
+    /// Records that this incarnation has terminated, which ends everything in flight there.
     pub fn mark_terminated(&self) {
         self.with(|state| state.terminated = true);
         self.termination.notify_waiters();
     }
 
-    /// Waits until this incarnation has ended.
+    /// Waits until this incarnation has terminated.
     pub async fn terminated(&self) {
         loop {
             let notified = self.termination.notified();
@@ -353,7 +358,7 @@
         }
     }
 
-    /// Leaves it alone until then, as it is changing its stage.
+    /// Sends nothing new there until then, since it is changing its stage.
     pub fn mark_changing(&self, until: Instant) {
         let now = Instant::now();
         let before = self.with(|state| state.changing_until.replace(until));
@@ -362,7 +367,7 @@
         }
     }
 
-    /// Takes what the platform now says of it, and gives what it said before.
+    /// Updates the profile from the platform's list and returns the former one.
     pub fn update(&self, profile: &Profile) -> Profile {
         let before = self.with(|state| {
             if state.profile.stage != profile.stage {
@@ -377,7 +382,7 @@
         before
     }
 
-    /// Notes how an attempt ended.
+    /// Records the outcome of an attempt.
     pub fn record_verdict(&self, verdict: Verdict, request: &str) {
         let now = Instant::now();
         let (changed, failures, sound) = self.with(|state| {
@@ -394,16 +399,17 @@
         if changed {
             log::info!(
                 request, endpoint = &*self.id.0, verdict:%, failures, sound;
-                "changed its mind about an endpoint"
+                "endpoint health changed"
             );
         }
     }
 
-    /// Takes a connection: an idle one that was used within `fresh`, or a new one.
+    /// Returns an idle connection if one has been idle for at most `max_idle`, else opens one. At
+    /// most `max_open` connections are open at a time.
     ///
     /// # Errors
     ///
-    /// [`NotOpened`]: nothing was sent.
+    /// [`ConnectError`]: no connection is available, and nothing was sent.
     pub async fn connect(
         &self,
         max_idle: Duration,
@@ -421,7 +427,7 @@
             return Ok(idle.connection);
         }
         if self.open_connections.load(Ordering::Relaxed) >= max_open {
-            // an idle connection that is too old for this request still counts
+            // an idle connection that is too old for this request still counts towards the limit
             let removed = self.with(|state| state.idle.pop().is_some());
             if !removed {
                 return Err(ConnectError::Full);
@@ -431,9 +437,12 @@
         connection::open(address, &self.open_connections).await
     }
 
-    /// Takes what was under way there lately if it no longer listens; nothing if it does, if it is leaving anyway, or
-    /// if that has been found out since `broke`. An endpoint that resets connections still takes new ones, one that
-    /// has ended refuses them.
+    /// Checks whether the endpoint still listens after a connection broke at `broke`. If it does
+    /// not, takes the fingerprints of the requests that may have caused the crash.
+    ///
+    /// Returns nothing if it still listens, if it is draining or no longer listed, or if the last
+    /// check is later than `broke` or shortly before it. An endpoint that merely resets connections
+    /// still accepts new ones, one that has crashed refuses them.
     pub async fn take_requests_if_terminated(&self, broke: Instant) -> Vec<Content> {
         let _listen_check = self.listen_check.lock().await;
         let (address, due) = self.with(|state| {
@@ -458,7 +467,7 @@
         })
     }
 
-    /// Takes a connection back that may serve another request.
+    /// Returns a connection that can serve another request.
     pub fn return_connection(&self, connection: Connection) {
         let now = Instant::now();
         self.with(|state| {
@@ -470,14 +479,14 @@
         });
     }
 
-    /// Notes how long the endpoint keeps idle connections.
+    /// Records how long the endpoint keeps idle connections open, if it reports it.
     pub fn set_idle_timeout(&self, idle_timeout: Option<Duration>) {
         if idle_timeout.is_some() {
             self.with(|state| state.idle_timeout = idle_timeout);
         }
     }
 
-    /// Drops idle connections, once the endpoint is no longer listed.
+    /// Drops all idle connections, since the endpoint is no longer listed.
     pub fn drop_idle_connections(&self) {
         self.with(|state| state.idle.clear());
     }
--- a/components/gateway/src/peer/cache_listing.rs
+++ b/components/gateway/src/peer/cache_listing.rs
@@ -1,7 +1,9 @@
-//! What engines hold when a process starts: asked of the engines, as all gateways may have started at once.
+//! Queries engines for their cached prompt parts when this process starts.
 //!
-//! A list delays its engine's work, so each engine is asked by one of the processes that start, which tells its peers.
-//! From then on what is placed tells what engines hold. See `docs/PLATFORM.md#what-engines-hold`.
+//! All gateways may have started at once, so peers may not know either. Listing its cache delays an
+//! engine's work, so each engine is queried by only one of the starting processes, which passes the
+//! result to its peers. From then on recorded placements tell what engines have cached. See
+//! `docs/PLATFORM.md#what-engines-hold`.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -17,14 +19,16 @@
     request::call,
 };
 
-/// Between two looks at whether this process knows the configuration and the endpoints.
+/// Interval between checks whether the configuration and the endpoints are known.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// After so long peers are told again: some of those that start at the same time have not heard the first time.
+/// Delay before the parts are sent to the peers a second time, for those that start at the same
+/// time and missed the first.
 const REPEAT_DELAY: Duration = Duration::from_secs(1);
-/// Parts that are told together, so that a digest stays within a packet or two.
+/// Maximum number of parts in one placement, so that a digest fits into a packet or two.
 const MAX_PARTS_PER_PLACEMENT: usize = 96;
 
-/// Asks this process's share of the engines what they hold, and tells the peers.
+/// Queries the engines assigned to this process for their cached parts and passes these to the
+/// peers.
 pub(super) async fn query_engines(gateway: &Gateway) {
     while !gateway.is_ready() {
         clock::sleep(READY_POLL_INTERVAL).await;
@@ -45,14 +49,15 @@
     }
 }
 
-/// Tells the peers what an engine holds.
+/// Queues an engine's cached parts for the peers.
 fn advertise_parts(gateway: &Gateway, target: &Target, parts: &[Part]) {
     for parts in parts.chunks(MAX_PARTS_PER_PLACEMENT) {
         gateway.peers.record_placement(target.short_id, parts);
     }
 }
 
-/// Asks an engine what it holds, and notes it; none if it does not say.
+/// Queries an engine for its cached parts and records them. Returns `None` if it does not list
+/// them.
 async fn query_engine(gateway: &Gateway, target: &Arc<Target>) -> Option<Vec<Part>> {
     let answer = call(target, gateway.edges.dialect.listing()).await;
     let cached = answer
@@ -61,18 +66,18 @@
     let label = if cached.is_some() { "yes" } else { "no" };
     gateway.metrics.listings.with_label_values(&[label]).inc();
     let Some(parts) = cached else {
-        log::info!(endpoint = &*target.id.0; "an engine did not tell what it holds");
+        log::info!(endpoint = &*target.id.0; "engine did not list its cached prompt parts");
         return None;
     };
     let tokens: u64 = parts.iter().map(|part| part.tokens).sum();
-    log::info!(endpoint = &*target.id.0, parts = parts.len(), tokens; "an engine told what it holds");
+    log::info!(endpoint = &*target.id.0, parts = parts.len(), tokens; "engine listed its cached prompt parts");
     let service = target.with(|state| Arc::clone(&state.profile.service));
     let defaults = gateway.common(&service);
     target.with(|state| state.record_prompt(Instant::now(), &defaults, &parts, true));
     Some(parts)
 }
 
-/// Whether this process asks an engine.
+/// Whether a target is a ready engine that this process is to query.
 fn is_assigned_here(gateway: &Gateway, target: &Target) -> bool {
     let (is_engine, data_centre) = target.with(|state| {
         let is_engine = state.profile.stage.is_some() && state.profile.state == State::Ready;
@@ -88,8 +93,10 @@
 }
 
 impl Peers {
-    /// Whether a process is the one of all known that an engine falls to: of those in its data centre, or of all
-    /// where none is there. A process that is away leaves its share unasked; what is placed tells it in time.
+    /// Whether an engine is assigned to this process, by rendezvous hashing over all known
+    /// processes in the engine's data centre, or over all known processes if there is none.
+    ///
+    /// Engines assigned to an unreachable process are not queried; later placements make up for it.
     fn is_assigned_engine(&self, engine: u32, data_centre: &str, own: (SocketAddr, &str)) -> bool {
         let known = self.known.lock();
         let others = known.iter().filter(|peer| !peer.data_centre.is_empty());
--- a/components/gateway/src/peer/changes.rs
+++ b/components/gateway/src/peer/changes.rs
@@ -1,4 +1,4 @@
-//! Changes of the endpoints as gateways tell them to each other.
+//! Messages in which gateways pass endpoint changes to each other.
 
 use std::sync::Arc;
 
@@ -9,21 +9,21 @@
     endpoint::{Id, Profile, Stage, State},
 };
 
-/// Changes of the endpoints that a reader of the list has just read.
+/// Endpoint changes that a peer has just read from the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Advertisement {
-    /// They are all that changed after this revision.
+    /// Revision before the first change: all changes after it are included.
     pub after_revision: u64,
-    /// They are all that changed up to this one.
+    /// Revision of the last change: all changes up to it are included.
     pub to_revision: u64,
-    /// Whether the store was away before they were read.
+    /// Whether the reader's previous store calls had failed: the changes were read after an outage.
     pub after_outage: bool,
-    /// The changes, in their order.
+    /// The changes, in the order of the list.
     pub changes: Vec<Change>,
 }
 
 impl Advertisement {
-    /// The message.
+    /// Encodes the changes as a message.
     pub fn encode(&self) -> EndpointChanges {
         EndpointChanges {
             after: self.after_revision,
@@ -33,7 +33,8 @@
         }
     }
 
-    /// Reads a message; none if any of it makes no sense, as a part would look whole.
+    /// Decodes a message. Returns `None` if any change in it is invalid, since the remaining ones
+    /// would pass for the complete set.
     pub fn decode(message: &EndpointChanges) -> Option<Self> {
         let changes: Option<Vec<Change>> = message.changes.iter().map(decode).collect();
         Some(Self {
--- a/components/gateway/src/peer/discovery.rs
+++ b/components/gateway/src/peer/discovery.rs
@@ -1,5 +1,8 @@
-//! How gateways find each other: each writes a row of its own and reads the others'. Of two that
-//! start together at least one sees the other's row, and says so in its digests.
+//! Peer discovery: each gateway writes a registration row to the store and reads those of the
+//! others.
+//!
+//! Of two gateways that start at the same time at least one sees the other's row and sends it
+//! digests, by which the other learns of it.
 
 use std::{net::SocketAddr, sync::atomic::Ordering, time::Duration};
 
@@ -10,30 +13,33 @@
 use super::cache_listing;
 use crate::process::Gateway;
 
-/// Rows of gateways begin so.
+/// Key prefix of registration rows.
 const PREFIX: &str = "gateway/";
-/// Between the first two tries to register; each further one comes after twice the time, up to [`MOST_AGAIN`]. Gateways that
-/// start together would else keep the store so busy that each answer comes later than it is waited for.
+/// Delay before the first retry of a registration; doubled for each further retry, up to
+/// [`MAX_RETRY_DELAY`]. Without this, gateways that start together would keep the store so busy
+/// that each answer comes after its time-out.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(400);
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(10);
-/// The part of a pause by which it may be shorter or longer, so that gateways spread.
+/// Fraction by which a retry delay is randomly shortened or lengthened, so that the gateways'
+/// retries spread.
 const JITTER_RATIO: f64 = 0.5;
-/// Between two reads of all rows, for peers that were cut off when both started.
+/// Interval between reads of all rows, which finds peers that were cut off when both started.
 const REFRESH_INTERVAL: Duration = Duration::from_secs(20);
 
-/// A gateway's row.
+/// Registration row of a gateway.
 #[derive(Debug, Serialize, Deserialize)]
 struct Row {
     address: SocketAddr,
     data_centre: String,
 }
 
-/// Registers this process and reads the others' rows from time to time.
+/// Registers this process, keeps reading the others' rows, and queries engines for their caches
+/// once the peers are known.
 pub async fn run(gateway: &Gateway) {
     gateway.peers.add_seeds(&gateway.settings);
     let (known, discovered) = oneshot::channel();
     let query = async {
-        // the others are known then, and so is which engines fall to this process
+        // the assignment of engines to processes depends on the known peers
         if discovered.await.is_ok() {
             cache_listing::query_engines(gateway).await;
         }
@@ -41,7 +47,8 @@
     tokio::join!(refresh(gateway, known), query);
 }
 
-/// Writes the own row, and reads all rows as long as the process lives; says when they are `known` first.
+/// Writes this process's row and reads all rows at intervals. Signals `known` after the first
+/// successful read.
 async fn refresh(gateway: &Gateway, known: oneshot::Sender<()>) {
     let mut known = Some(known);
     let mut retry_delay = MIN_RETRY_DELAY;
@@ -51,7 +58,7 @@
         let registered = written && read_rows(gateway, &mut written).await;
         if registered {
             if let Some(known) = known.take() {
-                // nobody waits any more if the process ends
+                // the receiver is gone if the process is stopping
                 let _ = known.send(());
             }
             retry_delay = MIN_RETRY_DELAY;
@@ -64,14 +71,15 @@
     }
 }
 
-/// Writes the own row. Says whether it may be there: an answer that was lost is no reason to write again.
+/// Writes this process's row. Returns whether it may be in the store: if the answer was lost, the
+/// row need not be written again until a read shows that it is missing.
 async fn write_own_row(gateway: &Gateway) -> bool {
     let row = Row {
         address: gateway.settings.gateway.peers,
         data_centre: gateway.settings.gateway.data_centre.clone(),
     };
     let key = format!("{PREFIX}{}", gateway.settings.gateway.name);
-    // a row of plain fields always has a JSON form
+    // a row of plain fields always serializes
     let value = serde_json::to_string(&row).unwrap_or_default();
     let transaction = Transaction::default().write(&key, value);
     match gateway.edges.table.commit(transaction).await {
@@ -81,13 +89,14 @@
         }
         Err(error) => {
             gateway.count_call("register", false);
-            log::warn!(error:%; "this gateway is not registered yet");
+            log::warn!(error:%; "failed to register this gateway; retrying");
             error == Error::Unclear
         }
     }
 }
 
-/// Reads all rows. Says whether it is known who is registered, this process among them; notes whether the own row is there.
+/// Reads all rows and adds the gateways in them. Sets `written` to whether this process's row is
+/// among them, and returns the same; returns `false` if the read failed.
 async fn read_rows(gateway: &Gateway, written: &mut bool) -> bool {
     let read = Read {
         keys: Vec::new(),
@@ -101,7 +110,7 @@
         }
         Err(error) => {
             gateway.count_call("peers", false);
-            log::warn!(error:%; "the other gateways' rows were not read");
+            log::warn!(error:%; "failed to read the gateways' registration rows; retrying");
             return false;
         }
     };
@@ -110,7 +119,7 @@
         match serde_json::from_str::<Row>(&row.value) {
             Ok(peer) if peer.address == gateway.settings.gateway.peers => *written = true,
             Ok(peer) => gateway.peers.add(peer.address, &peer.data_centre),
-            Err(error) => log::warn!(key = row.key, error:%; "a gateway's row can't be read"),
+            Err(error) => log::warn!(key = row.key, error:%; "could not parse a registration row"),
         }
     }
     if *written {
--- a/components/gateway/src/peer/fan_out.rs
+++ b/components/gateway/src/peer/fan_out.rs
@@ -1,9 +1,9 @@
-//! Which peers this process tells of itself, and how often.
+//! Which peers this process sends digests to, and how often.
 //!
-//! Each process telling each other one grows with the square of their number. In a data centre with many,
-//! a process tells a few of them often, its neighbours, which is what choices depend on; all others hear
-//! seldom that it lives, and at once what must be told to all. See
-//! `docs/CAPACITY.md#gateways-on-a-platform`.
+//! If each process sent its digests to every other one, traffic would grow with the square of their
+//! number. In a large data centre a process therefore sends frequent digests only to a few peers,
+//! its neighbours, which is enough for good placement. All others get a heartbeat at longer
+//! intervals, and urgent updates at once. See `docs/CAPACITY.md#gateways-on-a-platform`.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -11,55 +11,61 @@
 
 use super::{Peer, Peers};
 
-/// The shortest time between two digests: twice the way between two data centres, and well below the
-/// time that a prompt takes to be read.
+/// Minimum interval between two digests: twice the one-way delay between two data centres, and well
+/// below the duration of a prefill.
 pub(super) const MIN_DIGEST_INTERVAL: Duration = Duration::from_millis(10);
-/// What each peer adds to that time: a process then takes in some 600 digests a second from its data
-/// centre and as many from all others. One gateway of many matters less to the others' choices, so what it
-/// tells may be older.
+/// Added to the minimum interval for each peer. A process then receives some 600 digests a second
+/// from its data centre and as many from all others. The more gateways there are, the less each one
+/// matters to the others' placement, so its reports may be older.
 const MIN_INTERVAL_PER_PEER: Duration = Duration::from_micros(1_600);
-/// A digest is sent to neighbours at least this often, so that they know that this process lives.
+/// Maximum interval between two digests to neighbours, so that they know that this process is
+/// alive.
 pub(super) const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
-/// The shortest time between two digests to the others, and what each of them adds: a process takes in
-/// some 125 of them a second, however many there are. They show who shares the budgets, and where engines
-/// are busy on the whole.
+/// Minimum interval between two digests to peers that are not neighbours, and the time added for
+/// each of them: a process receives some 125 such digests a second, however many peers there are.
+/// They show who shares the budgets, and roughly where engines are busy.
 const OTHERS_INTERVAL: Duration = Duration::from_secs(1);
 const OTHERS_INTERVAL_PER_PEER: Duration = Duration::from_millis(8);
-/// Peers in a data centre up to which all of them are neighbours: above the first large deployments' 22, where
-/// fewer neighbours in other data centres were measured to serve less (`docs/MEASUREMENTS.md#on-the-platform`).
+/// Number of peers in a data centre up to which all of them are neighbours. It is above the 22 of
+/// the first large deployments, where having fewer neighbours in other data centres was measured to
+/// reduce throughput (`docs/MEASUREMENTS.md#on-the-platform`).
 const MAX_FULL_MESH: usize = 32;
-/// Neighbours in the own data centre where there are more: what they have under way is heard of some 160 times a
-/// second, a quarter of what is taken in from 32. Not swept.
+/// Neighbours in the own data centre if it has more than [`MAX_FULL_MESH`] peers: their loads are
+/// received some 160 times a second, a quarter of the rate with 32 neighbours. Other values were
+/// not measured.
 const LOCAL_NEIGHBOURS: usize = 16;
-/// Neighbours in each other data centre where there are more: one that is cut off is noticed by the silence
-/// of all of them, and bytes between data centres are paid for. Not swept.
+/// Neighbours in each other data centre that has more than [`MAX_FULL_MESH`] peers. Several, since
+/// a data centre is found unreachable when all of them are silent; few, since traffic between data
+/// centres is paid for. Other values were not measured.
 const REMOTE_NEIGHBOURS: usize = 4;
 
-/// Some of the peers.
+/// Peers that get digests at the same intervals.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum PeerGroup {
     /// Neighbours in the same data centre.
     LocalNeighbours,
-    /// Neighbours in other ones: what goes there is paid for, and what they have under way matters less here.
+    /// Neighbours in other data centres. Traffic to them is paid for, and their load matters less
+    /// here.
     RemoteNeighbours,
-    /// All others.
+    /// All other peers.
     Others,
 }
 
-/// Peers that are told alike.
+/// The peers of a group, with the intervals of their digests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Recipients {
-    /// Where they listen.
+    /// Their addresses.
     pub peers: Vec<SocketAddr>,
-    /// The shortest time between two digests, unless there is something urgent.
+    /// Minimum interval between two digests, unless there is something urgent.
     pub min_interval: Duration,
-    /// The longest time between two digests.
+    /// Maximum interval between two digests.
     pub max_interval: Duration,
 }
 
 impl Peers {
-    /// The circle of a reach around a process. A `prompt` one must be missed soon when it ends, since others
-    /// depend on it: all of its circles hear it as often as neighbours.
+    /// Returns the peers of `group` around a process. The failure of a `critical` process must be
+    /// noticed soon, since others depend on it: all groups then get heartbeats as often as
+    /// neighbours do.
     pub(super) fn recipients(
         &self,
         group: PeerGroup,
@@ -105,8 +111,9 @@
     }
 }
 
-/// The neighbours among the peers of a data centre, and the others. They are drawn by a hash that is the same
-/// for both of a pair, so who tells a process is likely told by it.
+/// Splits the peers of a data centre into neighbours and others. The hash by which they are drawn
+/// is the same for both of a pair, so a process most likely gets digests from those that it sends
+/// them to.
 fn neighbours<'a>(
     own: SocketAddr,
     peers: impl Iterator<Item = &'a Peer>,
@@ -124,7 +131,8 @@
     (peers, others)
 }
 
-/// The shortest and the longest time between two digests to so many peers; `whole` if there are no others.
+/// Returns the minimum and maximum interval between two digests to so many peers. With `full_mesh`
+/// all peers in the data centres of the group are neighbours.
 fn digest_intervals(
     group: PeerGroup,
     peers: usize,
--- a/components/gateway/src/peer/mod.rs
+++ b/components/gateway/src/peer/mod.rs
@@ -1,5 +1,6 @@
-//! The other gateways: what they have under way, which prompts they placed, and whether they are
-//! heard at all. Soft state in datagrams; only the quality of choices depends on it.
+//! The other gateways: their loads, their placements of prompts, and whether they are alive.
+//!
+//! This is soft state, exchanged in datagrams. Only the quality of placement depends on it.
 
 mod cache_listing;
 mod changes;
@@ -33,60 +34,65 @@
     process::{Asked, Gateway, List},
 };
 
-/// A peer that was not heard for so many of its heartbeats is taken to be away: what it had under way is
-/// no longer counted. Datagrams are lost now and then.
+/// Missed heartbeat intervals after which a peer is unreachable and its load is no longer counted.
+/// More than one, since datagrams are lost now and then.
 const MAX_MISSED_HEARTBEATS: u32 = 4;
-/// A peer that was not heard for this long is forgotten. It sends a digest itself when it is back.
+/// How long a peer stays known without a digest from it. A peer that recovers sends a digest on its
+/// own.
 const PEER_TTL: Duration = Duration::from_secs(60);
-/// A peer is new for this long: a few heartbeats also of peers that are not neighbours.
+/// How long after its start a peer counts as new: a few heartbeat intervals, also of peers that are
+/// not neighbours.
 const NEW_PEER_PERIOD: Duration = Duration::from_secs(3);
-/// Peers that look for a store that is away as often as they can, in each data centre: as many as read the
-/// lists at least, so that one may be cut off for longer than the store is away.
+/// Gateways in each data centre that retry an unavailable store at the shortest interval. At least
+/// as many as read the operators' lists, since one of them may be cut off for longer than the
+/// outage lasts.
 const STORE_PROBERS: usize = 2;
-/// The most placements that wait for the next digest; a hint that is lost costs little.
+/// Maximum number of placements that wait for the next digest. Placements are hints, so losing one
+/// costs little.
 const MAX_PENDING_PLACEMENTS: usize = 64;
-/// The most changes of the endpoints in one message: it then stays within a datagram.
+/// Maximum number of endpoint changes in one message, so that it fits into a datagram.
 const MAX_CHANGES: usize = 32;
-/// The most messages of changes that wait to be taken; those that are lost are read at the store.
+/// Maximum number of received advertisements that wait for processing. Changes in dropped ones are
+/// read from the store.
 const MAX_ADVERTISEMENTS: usize = 256;
 
-/// A gateway that was heard of.
+/// A known gateway.
 #[derive(Clone, Debug)]
 struct Peer {
     address: SocketAddr,
     incarnation: u64,
     data_centre: Arc<str>,
-    /// The number of its last digest.
+    /// Sequence number of its last digest.
     digest_number: u64,
-    /// When it was last heard; none if it is known only by name.
+    /// When its last digest was received; `None` if only its address is known.
     last_received: Option<Instant>,
-    /// When it was first heard of.
+    /// When it became known.
     first_known: Instant,
-    /// When its present incarnation was first heard.
+    /// When the first digest of its current incarnation was received.
     incarnation_since: Instant,
-    /// How often it says that it lives.
+    /// Its heartbeat interval, as it reported it.
     heartbeat_interval: Duration,
-    /// Whether it reads the operators' lists itself.
+    /// Whether it reads the operators' lists from the store itself.
     reads_lists: bool,
-    /// The revisions of the last changes that it knows of the endpoints and of the configuration.
+    /// Latest revisions that it knows of the endpoint list and of the configuration.
     revisions: [u64; 2],
-    /// What it has under way, sorted by endpoint.
+    /// Its load at each endpoint, sorted by endpoint.
     loads: Vec<(u32, Load)>,
-    /// Whether it says that it is the steward.
+    /// Whether it reports that it is the steward.
     is_steward: bool,
-    /// What its callers asked of services since it started, sorted by service.
+    /// Demand of its callers by service since it started, sorted by service.
     demands: Vec<(u32, Asked)>,
-    /// Whether the store answered its last call.
+    /// Whether its last call to the store succeeded.
     store_available: bool,
-    /// Since when the store has answered each of its calls, if it reads the operators' lists.
+    /// Since when all its calls to the store have succeeded, if it reads the operators' lists.
     store_available_since: Option<Instant>,
-    /// An epoch in which it was the steward and gives no more orders.
+    /// The epoch that it ceded: it was the steward in it and issues no more orders.
     ceded_epoch: u64,
-    /// When it gave its last order, if it has told that it gave one.
+    /// When it issued its last order, if it reported one.
     last_order: Option<Instant>,
 }
 
-/// One incarnation of a peer that reads the operators' lists.
+/// One incarnation of a peer that reads the operators' lists from the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Reader {
     /// Whether it is in this process's data centre.
@@ -95,25 +101,26 @@
     incarnation: u64,
 }
 
-/// The gateways that are known, sorted by address.
+/// The known gateways, sorted by address.
 #[derive(Debug, Default)]
 pub struct Peers {
     known: Mutex<Vec<Peer>>,
     pending_placements: Mutex<Vec<Placed>>,
-    /// Changes of the endpoints that wait for the next digest.
+    /// Encoded endpoint changes that wait for the next digest.
     pending_changes: Mutex<Vec<EndpointChanges>>,
-    /// Changes of the endpoints that peers told, until they are taken.
+    /// Endpoint changes received from peers that have not been processed yet.
     advertisements: Mutex<Vec<Advertisement>>,
-    /// Wakes who takes them.
+    /// Notified when `advertisements` grows.
     advertisement_received: Notify,
-    /// What peers' callers asked of services since the peers were first heard, sorted by service.
+    /// Demand of peers' callers by service, counted from the first digest of each peer; sorted by
+    /// service.
     demands: Mutex<Vec<(u32, Asked)>>,
-    /// Whether the register of all gateways has been read.
+    /// Whether the registration rows of all gateways have been read.
     membership_known: AtomicBool,
 }
 
 impl Peers {
-    /// How many live peers there are.
+    /// Returns the number of peers that are alive.
     pub fn count_alive(&self) -> u64 {
         let now = Instant::now();
         let known = self.known.lock();
@@ -121,11 +128,13 @@
         u64::try_from(alive).unwrap_or(0)
     }
 
-    /// How many peers share with this process what is allowed to all of them together; none while it can't know.
+    /// Returns the number of peers that share fleet-wide budgets with this process, or `None` while
+    /// it is unknown.
     ///
-    /// Peers that fell silent count until they are forgotten. A process that has just started may not have received
-    /// a digest of peers that are cut off from it, so for as long as a peer takes to be forgotten it also counts
-    /// those that are only known by name, and knows them once it has read the register.
+    /// Unreachable peers count until [`PEER_TTL`] has passed. A process that has just started may
+    /// not have received digests from peers that are cut off from it. Until its uptime reaches
+    /// [`PEER_TTL`] it therefore also counts peers known only by address, and needs to have read
+    /// the registration rows to know them.
     pub fn budget_sharers(&self, uptime: Duration) -> Option<u64> {
         let starting = uptime < PEER_TTL;
         if starting && !self.is_membership_known() {
@@ -138,12 +147,12 @@
         u64::try_from(sharers.count()).ok()
     }
 
-    /// Whether the register of all gateways has been read.
+    /// Whether the registration rows of all gateways have been read.
     pub fn is_membership_known(&self) -> bool {
         self.membership_known.load(Ordering::Relaxed)
     }
 
-    /// Whether a live peer has started lately, and may not know yet what others have learnt.
+    /// Whether a live peer has started recently and may lack what the others have learnt.
     fn has_new_peer(&self) -> bool {
         let now = Instant::now();
         let known = self.known.lock();
@@ -152,7 +161,7 @@
         known.iter().any(is_new)
     }
 
-    /// Notes a prompt that was placed on an engine, to be told to the peers.
+    /// Records a prompt placed on an engine, to be sent to the peers.
     pub fn record_placement(&self, endpoint: u32, parts: &[Part]) {
         let mut pending = self.pending_placements.lock();
         if pending.len() < MAX_PENDING_PLACEMENTS {
@@ -167,7 +176,7 @@
         }
     }
 
-    /// Whether the store answers any live peer.
+    /// Whether the store is available to any live peer.
     pub fn is_store_available(&self) -> bool {
         let now = Instant::now();
         let known = self.known.lock();
@@ -176,8 +185,10 @@
             .any(|peer| peer.store_available && peer.is_alive(now))
     }
 
-    /// Whether enough live peers of a data centre come before this process, by address, to look for a store
-    /// that fails all of them: one may be cut off for longer.
+    /// Whether at least [`STORE_PROBERS`] live peers in `data_centre` precede this process by
+    /// address. They retry a store that is unavailable to all gateways at the shortest interval, so
+    /// that this process need not. There are several since one may be cut off for longer than the
+    /// outage lasts.
     pub fn has_preceding_store_probers(&self, own: SocketAddr, data_centre: &str) -> bool {
         let now = Instant::now();
         let known = self.known.lock();
@@ -188,7 +199,8 @@
         before.count() >= STORE_PROBERS
     }
 
-    /// Since when the store has answered each call of some live peer that reads the operators' lists.
+    /// Returns the earliest time since which all store calls of some live peer that reads the
+    /// operators' lists have succeeded.
     pub fn store_available_since(&self) -> Option<Instant> {
         let now = Instant::now();
         let known = self.known.lock();
@@ -196,23 +208,24 @@
         alive.filter_map(|peer| peer.store_available_since).min()
     }
 
-    /// The last epoch that a steward has given up.
+    /// Returns the highest epoch that a steward has ceded.
     pub fn ceded_epoch(&self) -> u64 {
         let known = self.known.lock();
         known.iter().map(|peer| peer.ceded_epoch).max().unwrap_or(0)
     }
 
-    /// How long ago the peer that gave up the last epoch gave its last order, if it said so.
+    /// Returns the time since the last order of the peer that ceded the highest epoch, if one ceded
+    /// an epoch.
     pub fn time_since_last_order(&self) -> Option<Duration> {
         let known = self.known.lock();
         let last = known.iter().max_by_key(|peer| peer.ceded_epoch)?;
-        // one that never gave an order has given none that could matter
+        // a steward without any order reports none; an hour is longer than any order can matter
         let never = Duration::from_secs(3600);
         (last.ceded_epoch > 0).then(|| last.last_order.map_or(never, Instant::elapsed))
     }
 
-    /// The live peers that read the operators' lists and are answered: in a data centre those with lower
-    /// addresses, and all in others.
+    /// Returns the live peers that read the operators' lists and can reach the store: in this data
+    /// centre those with lower addresses, in others all.
     pub fn readers(&self, own: SocketAddr, data_centre: &str) -> Vec<Reader> {
         let now = Instant::now();
         let known = self.known.lock();
@@ -228,7 +241,7 @@
             .collect()
     }
 
-    /// The revision of the last change of a list that any live peer knows.
+    /// Returns the latest revision of a list that any live peer knows.
     pub fn latest_revision(&self, list: List) -> u64 {
         let now = Instant::now();
         let known = self.known.lock();
@@ -237,7 +250,9 @@
         revisions.max().unwrap_or(0)
     }
 
-    /// Tells the peers changes of the endpoints. Too many are left for them to read.
+    /// Queues endpoint changes for the peers. Batches of more than [`MAX_CHANGES`] are dropped, and
+    /// so are batches while [`MAX_CHANGES`] of them are queued; peers then read the list from the
+    /// store.
     pub fn advertise(&self, changes: &Advertisement) {
         let mut pending_changes = self.pending_changes.lock();
         if changes.changes.len() <= MAX_CHANGES && pending_changes.len() < MAX_CHANGES {
@@ -245,7 +260,7 @@
         }
     }
 
-    /// Waits for changes of the endpoints that peers tell, and takes them.
+    /// Waits for endpoint changes from peers and takes them.
     pub async fn receive_advertisements(&self) -> Vec<Advertisement> {
         loop {
             let received = self.advertisement_received.notified();
@@ -257,11 +272,12 @@
         }
     }
 
-    /// The data centres that are cut off from here: peers there were heard once and none is now, while
-    /// others still are. A process that hears nobody is cut off itself, and knows nothing of others.
+    /// Returns the data centres that are unreachable from here: at least one peer there has been
+    /// alive, none is now, while peers elsewhere are. If no peer is reachable at all, this process
+    /// itself is cut off and knows nothing about others, so the result is empty.
     ///
-    /// Some of a data centre's peers say often that they live, and those show it; the others are silent for
-    /// longer anyway.
+    /// In each data centre the peers with the shortest heartbeat interval decide; others may be
+    /// silent for longer anyway.
     pub fn unreachable_data_centres(&self) -> Vec<Arc<str>> {
         let now = Instant::now();
         let known = self.known.lock();
@@ -294,13 +310,13 @@
         unreachable.map(|(name, ..)| Arc::clone(name)).collect()
     }
 
-    /// How many live peers come before this process, by address, of those that the store answers and that
-    /// aren't the steward.
+    /// Returns how many live peers precede this process by address, counting those that can reach
+    /// the store and are not the steward.
     pub fn store_rank(&self, own: SocketAddr) -> usize {
         self.count_preceding(own, |peer| peer.store_available)
     }
 
-    /// The same whether or not the store answers them.
+    /// Like [`Self::store_rank`], but also counts peers that cannot reach the store.
     pub fn address_rank(&self, own: SocketAddr) -> usize {
         self.count_preceding(own, |_| true)
     }
@@ -314,7 +330,8 @@
             .count()
     }
 
-    /// What peers' callers asked of a service since the peers were first heard.
+    /// Returns the demand of peers' callers for a service, counted from the first digest of each
+    /// peer.
     pub fn demand(&self, service: &str) -> Asked {
         let demands = self.demands.lock();
         let at = demands.binary_search_by_key(&short_id(service), |(service, _)| *service);
@@ -329,7 +346,7 @@
         }
     }
 
-    /// Adds the VMs on which peers may be found.
+    /// Adds the seed VMs, on which gateways may be running.
     pub fn add_seeds(&self, settings: &Settings) {
         let own = settings.gateway.peers;
         for seed in &settings.gateway.seeds {
@@ -340,7 +357,7 @@
         }
     }
 
-    /// Adds a peer that was heard of.
+    /// Adds a peer unless it is known.
     fn add(&self, address: SocketAddr, data_centre: &str) {
         let mut known = self.known.lock();
         if let Err(at) = known.binary_search_by_key(&address, |peer| peer.address) {
@@ -379,12 +396,13 @@
     }
 }
 
-/// Whether who says so often that it lives, and was last heard then, is taken to live.
+/// Whether a peer with this heartbeat interval, whose last digest came at `last_received`, counts
+/// as alive.
 fn is_heartbeat_recent(last_received: Instant, heartbeat_interval: Duration, now: Instant) -> bool {
     now - last_received < heartbeat_interval * MAX_MISSED_HEARTBEATS
 }
 
-/// Talks with the peers as long as the process lives.
+/// Runs peer discovery and the exchange of digests until the process ends.
 pub async fn run(gateway: Arc<Gateway>, socket: UdpSocket) {
     tokio::join!(
         discovery::run(&gateway),
@@ -420,20 +438,21 @@
     }
 }
 
-/// How long ago something was, in milliseconds as digests tell it: zero stands for never.
+/// Returns the age of `at` in milliseconds as digests encode it: at least 1, since 0 stands for
+/// "never".
 fn age_ms(at: Instant) -> u32 {
     u32::try_from(at.elapsed().as_millis())
         .unwrap_or(u32::MAX)
         .max(1)
 }
 
-/// The moment that lies so many milliseconds back; none for zero.
+/// Decodes an age from a digest; 0 gives `None`.
 fn instant_before(now: Instant, age_ms: u32) -> Option<Instant> {
     let age = Duration::from_millis(u64::from(age_ms));
     now.checked_sub(age).filter(|_| age_ms > 0)
 }
 
-/// An empty digest of this process.
+/// Returns a digest of this process without loads, placements, changes, paces and suspects.
 fn own_digest(gateway: &Gateway, number: u64) -> Digest {
     Digest {
         incarnation: gateway.incarnation,
--- a/components/gateway/src/peer/paces.rs
+++ b/components/gateway/src/peer/paces.rs
@@ -1,5 +1,7 @@
-//! How fast engines are, as peers tell each other: what one has learnt in the first moments of a service spares the
-//! others the same mistakes, and a process that starts knows at once what the others know.
+//! Exchange of learnt engine paces between peers.
+//!
+//! What one process learns in the first moments of a service spares the others the same wrong
+//! estimates, and a process that starts knows at once what the others know.
 
 use std::sync::Arc;
 
@@ -11,7 +13,8 @@
     process::Gateway,
 };
 
-/// What this process has learnt, as digests tell it; with `all` also what only a new peer wants to know.
+/// Returns the paces that this process has learnt, encoded for a digest. With `all`, paces that
+/// only a new peer lacks are included.
 pub(super) fn collect(gateway: &Gateway, all: bool) -> Vec<ServicePace> {
     let services = gateway.own_paces(all);
     services
@@ -25,7 +28,7 @@
         .collect()
 }
 
-/// Takes what a peer has learnt of services that the configuration in force knows.
+/// Adopts paces learnt by a peer, for services of the current configuration.
 pub(super) fn apply(gateway: &Gateway, received: &[ServicePace]) {
     if received.is_empty() {
         return;
@@ -65,7 +68,7 @@
         start_us: received.start_us.into(),
         read_us: received.read_us.into(),
         step_us: received.step_us.into(),
-        // one wrong sample of it would reach all gateways at once
+        // not exchanged: one wrong sample would reach all gateways at once
         slowed_us: None,
         samples: Samples {
             start: received.start_samples,
@@ -77,7 +80,7 @@
 
 #[expect(
     clippy::cast_possible_truncation,
-    reason = "learnt times are known to a few percent"
+    reason = "learnt times are only accurate to a few percent"
 )]
 fn narrow(time: f64) -> f32 {
     time as f32
--- a/components/gateway/src/peer/receive.rs
+++ b/components/gateway/src/peer/receive.rs
@@ -1,4 +1,5 @@
-//! Digests as they come: what peers have under way, placed, changed and know.
+//! Receives digests and applies them: the loads, placements, endpoint changes and other state that
+//! peers report.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -16,12 +17,13 @@
     process::{Asked, Gateway},
 };
 
-/// How long an engine is left alone after the steward's last word that it is changing: a few
-/// heartbeats.
+/// How long an engine gets no new requests after the steward last reported that it is changing its
+/// stage: a few heartbeat intervals.
 const CHANGING_TTL: Duration = Duration::from_millis(600);
-/// The largest datagram that is taken.
+/// Size of the receive buffer.
 const MAX_DATAGRAM_BYTES: usize = 64 << 10;
-/// Takes digests in as long as the process lives.
+
+/// Receives and applies digests until the process ends, and drops unreachable peers.
 pub async fn run(gateway: &Gateway, socket: &UdpSocket) {
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     let mut swept = Instant::now();
@@ -30,9 +32,9 @@
         match received {
             Ok(Ok((length, _))) => match Digest::decode(&buffer[..length]) {
                 Ok(digest) => apply(gateway, &digest),
-                Err(error) => log::warn!(error:%; "a digest can't be read"),
+                Err(error) => log::warn!(error:%; "could not decode a digest"),
             },
-            Ok(Err(error)) => log::debug!(error:%; "no digest was received"),
+            Ok(Err(error)) => log::debug!(error:%; "failed to receive a digest"),
             Err(_) => {}
         }
         if swept.elapsed() >= HEARTBEAT_INTERVAL {
@@ -44,7 +46,7 @@
 
 fn apply(gateway: &Gateway, digest: &Digest) {
     let Ok(address) = digest.address.parse::<SocketAddr>() else {
-        log::warn!(peer = digest.name; "a digest names no address");
+        log::warn!(peer = digest.name; "digest contains no valid address; ignoring it");
         return;
     };
     let now = Instant::now();
@@ -63,7 +65,7 @@
         return;
     }
     if !peer.is_alive(now) {
-        log::info!(peer = digest.name, data_centre = digest.data_centre; "a peer is heard");
+        log::info!(peer = digest.name, data_centre = digest.data_centre; "peer is reachable");
     }
     if restarted {
         peer.incarnation_since = now;
@@ -98,7 +100,7 @@
     apply_stage_changes(gateway, &digest.changing, &digest.stages);
 }
 
-/// Keeps the changes of the endpoints that a peer tells for the loop that follows their list.
+/// Queues endpoint changes from a peer for the task that follows the endpoint list.
 fn queue_changes(gateway: &Gateway, digest: &Digest) {
     if digest.changes.is_empty() {
         return;
@@ -109,7 +111,7 @@
         .filter_map(Advertisement::decode)
         .collect();
     if changes.len() < digest.changes.len() {
-        log::warn!(peer = digest.name; "changes of the endpoints can't be read");
+        log::warn!(peer = digest.name; "could not decode endpoint changes in a digest");
     }
     let mut advertisements = gateway.peers.advertisements.lock();
     if advertisements.len() < MAX_ADVERTISEMENTS {
@@ -119,7 +121,8 @@
     gateway.peers.advertisement_received.notify_one();
 }
 
-/// What was asked since the digest before; a peer that is new counts from now on.
+/// Returns the growth of a peer's demand since its previous digest, and stores the new totals in
+/// `known`. A new peer or incarnation only sets the totals from which later growth is counted.
 fn demand_growth(
     known: &mut Vec<(u32, Asked)>,
     received: &[ServiceDemand],
@@ -150,8 +153,9 @@
         .collect()
 }
 
-/// Does as a steward says, also one that has just lost its lease and sees a change through: sends
-/// nothing new to engines that are changing, and takes the stages that they told.
+/// Applies what a steward reports: sends nothing new to engines that are changing their stage, and
+/// adopts the stages that engines have reported to it. This includes reports from a steward that
+/// has just lost its lease and completes a change.
 pub fn apply_stage_changes(gateway: &Gateway, changing: &[u32], stages: &[StageTold]) {
     let until = Instant::now() + CHANGING_TTL;
     for changed in stages {
@@ -171,7 +175,7 @@
     }
 }
 
-/// Counts a peer's loads anew; both lists are sorted by endpoint.
+/// Replaces a peer's former loads by its new ones; both lists are sorted by endpoint.
 fn update_peer_loads(gateway: &Gateway, before: &[(u32, Load)], after: &[(u32, Load)]) {
     let find = |loads: &[(u32, Load)], short_id: u32| {
         let at = loads.binary_search_by_key(&short_id, |(short_id, _)| *short_id);
@@ -207,7 +211,7 @@
     }
 }
 
-/// Notes which engines have got on with what a peer has under way there: some of it has ended. Both lists are
+/// Records progress of the engines at which some of a peer's requests have ended. Both lists are
 /// sorted by endpoint.
 fn record_progress(gateway: &Gateway, before: &[(u32, Load)], after: &[(u32, Load)]) {
     for (short_id, old) in before {
@@ -220,8 +224,8 @@
     }
 }
 
-/// A sum in which one part is replaced. An endpoint that was listed after a peer told of it starts
-/// at nothing, so a part may be missing in the sum.
+/// Replaces one peer's contribution in a sum. An endpoint listed after a peer reported a load for
+/// it starts at zero, so the sum may lack the old contribution.
 fn replace_part(sum: Load, old: Load, new: Load) -> Load {
     Load {
         prefill_work: sum.prefill_work.saturating_sub(old.prefill_work) + new.prefill_work,
@@ -238,7 +242,7 @@
     }
 }
 
-/// Notes which engines likely hold what peers placed there.
+/// Records the prompt parts that engines likely cache because peers placed prompts there.
 fn record_placements(gateway: &Gateway, placed: &[Placed]) {
     for placed in placed {
         if let Some(target) = gateway.registry.find(placed.endpoint) {
@@ -260,13 +264,13 @@
     let service = target.with(|state| Arc::clone(&state.profile.service));
     let defaults = gateway.common(&service);
     target.with(|state| {
-        // an engine that writes has mostly fetched it
+        // a decode engine has usually fetched the KV cache from a prefill engine
         let fetched = state.profile.stage == Some(Stage::Decode);
         state.record_prompt(Instant::now(), &defaults, &parts, fetched);
     });
 }
 
-/// Counts no longer what peers had under way that are not heard any more.
+/// Stops counting the loads of unreachable peers, and drops peers whose TTL has passed.
 fn drop_unreachable(gateway: &Gateway) {
     let now = Instant::now();
     let mut unreachable = Vec::new();
@@ -279,7 +283,7 @@
     known.retain(|peer| now - peer.last_received.unwrap_or(peer.first_known) < PEER_TTL);
     drop(known);
     for loads in unreachable {
-        log::info!(loads = loads.len(); "a peer is no longer heard");
+        log::info!(loads = loads.len(); "peer is unreachable");
         update_peer_loads(gateway, &loads, &[]);
     }
 }
--- a/components/gateway/src/peer/send.rs
+++ b/components/gateway/src/peer/send.rs
@@ -1,4 +1,4 @@
-//! Digests as they go: while there is something to tell, and as a heartbeat.
+//! Sends digests: when there is something to report, and as heartbeats.
 
 use std::time::Duration;
 
@@ -20,16 +20,18 @@
     steward,
 };
 
-/// Placements in one digest; a datagram then stays below the usual size of a packet or two.
+/// Maximum number of placements in one digest, so that a datagram usually fits into a packet or
+/// two.
 const MAX_PLACEMENTS_PER_DIGEST: usize = 24;
 
-/// Requests that endpoints ended under in one digest, for the same reason.
+/// Maximum number of suspect requests in one digest, for the same reason.
 const MAX_SUSPECTS_PER_DIGEST: usize = 24;
 
-/// Between two digests of a stream that tell how fast engines are: it takes several prompts to learn more.
+/// Minimum interval between two digests of a stream that contain paces; learning more takes several
+/// prompts.
 const PACES_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Sends digests as long as the process lives.
+/// Sends digests until the process ends.
 pub async fn run(gateway: &Gateway, socket: &UdpSocket) {
     let mut number = 0;
     let mut streams = [
@@ -60,20 +62,20 @@
             let bytes = stream.next_digest(gateway, &update, number).encode_to_vec();
             for address in recipients.peers {
                 if let Err(error) = socket.send_to(&bytes, address).await {
-                    log::debug!(peer:% = address, error:%; "a digest was not sent");
+                    log::debug!(peer:% = address, error:%; "failed to send a digest");
                 }
             }
         }
     }
 }
 
-/// Whether others depend on this process and must notice its end soon.
+/// Whether others depend on this process and must notice its failure soon.
 fn is_critical(gateway: &Gateway, update: &Update) -> bool {
-    // while the store answers nobody all would read
+    // during an outage all processes would read the lists, and all would be critical
     (update.reads_lists && gateway.store_answers()) || steward::is_near(gateway)
 }
 
-/// What there is to tell at one moment.
+/// State to report at one moment.
 #[derive(Debug)]
 struct Update {
     loads: Vec<(u32, Load)>,
@@ -81,7 +83,7 @@
     changing: Vec<u32>,
     changes: Vec<EndpointChanges>,
     revisions: [u64; 2],
-    /// Whether this process reads the operators' lists itself.
+    /// Whether this process reads the operators' lists from the store itself.
     reads_lists: bool,
     suspects: Vec<Suspect>,
 }
@@ -104,25 +106,25 @@
     }
 }
 
-/// Digests to some of the peers.
+/// Digests to one group of peers.
 #[derive(Debug)]
 struct Stream {
     group: PeerGroup,
-    /// When the last one was sent.
+    /// When the last digest was sent.
     last_sent: Instant,
-    /// The shortest time until the next one.
+    /// Minimum interval until the next one.
     min_interval: Duration,
-    /// The longest time until the next one.
+    /// Maximum interval until the next one.
     max_interval: Duration,
-    /// What the last one told.
+    /// Loads in the last digest.
     loads: Vec<(u32, Load)>,
     changing: Vec<u32>,
     revisions: [u64; 2],
-    /// What none has told yet.
+    /// Placements that no digest has contained yet.
     placed: Vec<Placed>,
     changes: Vec<EndpointChanges>,
     suspects: Vec<Suspect>,
-    /// When one last told how fast engines are.
+    /// When a digest last contained paces.
     paces_sent: Instant,
 }
 
@@ -143,7 +145,8 @@
         }
     }
 
-    /// Keeps what must be told once. Placements are hints, of use to those that are told of loads in time.
+    /// Queues what must be sent exactly once. Placements are hints, of use only to peers that get
+    /// the loads in time, so peers that are not neighbours get none.
     fn enqueue(&mut self, update: &Update) {
         if self.group != PeerGroup::Others {
             let remaining = MAX_PENDING_PLACEMENTS.saturating_sub(self.placed.len());
@@ -154,10 +157,11 @@
         self.suspects.extend_from_slice(&update.suspects);
     }
 
-    /// Whether a digest is to be sent now.
+    /// Whether a digest is due.
     fn is_due(&self, update: &Update) -> bool {
         let since = self.last_sent.elapsed();
-        // what a follower knows its readers have told
+        // revisions that this process got from peers that read the lists have reached the others,
+        // too
         let urgent = !self.changes.is_empty()
             || !self.suspects.is_empty()
             || update.changing != self.changing
@@ -166,7 +170,7 @@
         urgent || (changed && since >= self.min_interval) || since >= self.max_interval
     }
 
-    /// The digest that tells the news.
+    /// Builds the next digest from queued items and `update`.
     fn next_digest(&mut self, gateway: &Gateway, update: &Update, number: u64) -> Digest {
         self.last_sent = Instant::now();
         self.loads.clone_from(&update.loads);
--- a/components/gateway/src/peer/suspects.rs
+++ b/components/gateway/src/peer/suspects.rs
@@ -1,4 +1,4 @@
-//! Requests that endpoints ended under, as peers tell each other.
+//! Exchange of suspect requests between peers: requests during which endpoints crashed.
 
 use policy::suspect::{End, Moment, Record};
 use wire::{EndpointEnd, Suspect};
@@ -8,10 +8,9 @@
     request::Content,
 };
 
-/// Microseconds in a millisecond.
 const MICROS_PER_MILLI: Moment = 1_000;
 
-/// The message for a request.
+/// Encodes the record of a request.
 pub(super) fn encode(content: Content, record: &Record, now: Moment) -> Suspect {
     let ends = record.ends.iter().map(|end| EndpointEnd {
         endpoint: end.endpoint,
@@ -24,7 +23,7 @@
     }
 }
 
-/// Takes what a peer tells.
+/// Adds the suspect requests that a peer reported.
 pub(super) fn apply(gateway: &Gateway, received: &[Suspect], peer: &str) {
     for suspect in received {
         let record = decode(suspect, gateway.moment());
@@ -49,7 +48,7 @@
     }
 }
 
-/// How long ago something was, in milliseconds; at least one, as zero stands for never.
+/// Returns the age of `at` in milliseconds: at least 1, since 0 stands for "never".
 fn age_ms(at: Moment, now: Moment) -> u32 {
     u32::try_from((now - at) / MICROS_PER_MILLI)
         .unwrap_or(u32::MAX)
