--- a/components/policy/src/backlog.rs
+++ b/components/policy/src/backlog.rs
@@ -1,35 +1,37 @@
-//! What an engine still has to read, between the words of those who sent it there.
+//! Estimates the prefill work that an engine has left between the start and end of each prompt.
 //!
-//! Who sends a prompt knows when it begins and when it has ended, and nothing between. Counting all of it
-//! until its end shows an engine that has nearly read a long prompt as full as one that has just begun,
-//! and an engine with a long queue as a fast one, since little of what was counted was left.
+//! The sender of a prompt knows when its prefill starts and ends, and nothing in between. Counting the
+//! whole prompt until its end would rate an engine that has almost finished a long prompt as loaded as
+//! one that has just begun it. It would also make an engine with a long queue look fast, because little
+//! of the counted work is in fact left.
 
 use crate::{Micros, to_f64};
 
-/// The work that is left at an engine, as of one moment.
+/// The remaining prefill work of an engine at one point in time.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Backlog {
     work: f64,
     updated_at: Micros,
 }
 
-/// The part of what is under way that is left when it should have ended and nobody has said so.
+/// Fraction of the work in flight that counts as remaining once it is overdue but not reported as done.
 const OVERDUE_RATIO: f64 = 0.3;
 
 impl Backlog {
-    /// The work that is left now: what was left before, less what the engine has read since at its pace.
-    /// Never more than what is under way there by all that is known, and never less than a part of it: what
-    /// should have ended and hasn't is behind.
+    /// Returns the remaining work at `now`: the last value less what the engine has prefilled since.
+    /// It is at most the work in flight, and at least `OVERDUE_RATIO` of it: an engine with overdue
+    /// work is behind its estimate.
     #[must_use]
-    pub fn remaining(&self, now: Micros, read_us: f64, under_way: u64) -> f64 {
-        let read = to_f64(now.saturating_sub(self.updated_at)) / read_us.max(f64::MIN_POSITIVE);
-        let under_way = to_f64(under_way);
-        (self.work - read).clamp(under_way * OVERDUE_RATIO, under_way)
+    pub fn remaining(&self, now: Micros, prefill_token_us: f64, in_flight: u64) -> f64 {
+        let prefilled =
+            to_f64(now.saturating_sub(self.updated_at)) / prefill_token_us.max(f64::MIN_POSITIVE);
+        let in_flight = to_f64(in_flight);
+        (self.work - prefilled).clamp(in_flight * OVERDUE_RATIO, in_flight)
     }
 
-    /// Adds work that is sent there now, besides what was under way before.
-    pub fn add(&mut self, now: Micros, read_us: f64, under_way: u64, work: u64) {
-        self.work = self.remaining(now, read_us, under_way) + to_f64(work);
+    /// Adds work that is sent to the engine at `now`; `in_flight` is the work in flight before it.
+    pub fn add(&mut self, now: Micros, prefill_token_us: f64, in_flight: u64, work: u64) {
+        self.work = self.remaining(now, prefill_token_us, in_flight) + to_f64(work);
         self.updated_at = now;
     }
 }
--- a/components/policy/src/estimate.rs
+++ b/components/policy/src/estimate.rs
@@ -1,20 +1,20 @@
-//! Rates of an engine, learnt from what it did.
+//! Latency estimates of engines, learnt from measured times.
 
 use crate::{Micros, to_f64, to_u64};
 
-/// What is known of an engine's speed.
+/// Latencies of an engine whose decode step takes longer with each request in its batch.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BatchLatency {
-    /// Time to read one prompt token.
+    /// Time to prefill one prompt token.
     pub prefill_token_us: f64,
-    /// Time of a step in which one request writes.
+    /// Time of a decode step with one request.
     pub decode_step_us: f64,
-    /// What each further request adds to a step.
+    /// Increase of the step time per further request.
     pub added_request_us: f64,
 }
 
 impl Default for BatchLatency {
-    /// A guess that is corrected within a few requests.
+    /// Initial estimates, which are corrected within a few requests.
     fn default() -> Self {
         Self {
             prefill_token_us: 80.0,
@@ -24,84 +24,88 @@
     }
 }
 
-/// Weight of a new sample in the averages. A fifth of the way each: a wrong guess is gone after some
-/// twenty requests, and one odd request moves the choice little.
+/// Weight of a new sample in the averages of [`BatchLatency`]. At a fifth, a wrong initial estimate is
+/// gone after some twenty requests, while a single outlier hardly changes a placement.
 const BATCH_SAMPLE_WEIGHT: f64 = 0.2;
-/// A sample counts as at most this many times the present rate, so that one stall is not learnt.
+/// A sample is limited to this many times the present estimate, and its inverse, so that one stall is
+/// not learnt.
 const MAX_SAMPLE_RATIO: f64 = 4.0;
 
 impl BatchLatency {
-    /// Learns from a first token that came after so long, with so many prompt tokens read before it.
-    pub fn observe_first_token(&mut self, tokens_read: u64, took: Micros) {
-        if tokens_read >= MIN_SAMPLE_TOKENS {
-            let sample = (to_f64(took) - self.decode_step_us).max(0.0) / to_f64(tokens_read);
+    /// Learns from the time to the first token of a request of which so many prompt tokens were
+    /// prefilled.
+    pub fn observe_first_token(&mut self, prefilled_tokens: u64, took: Micros) {
+        if prefilled_tokens >= MIN_SAMPLE_TOKENS {
+            let sample = (to_f64(took) - self.decode_step_us).max(0.0) / to_f64(prefilled_tokens);
             update_average(&mut self.prefill_token_us, sample);
         }
     }
 
-    /// Learns from a time between tokens, while so many requests wrote and nothing was read.
-    pub fn observe_step(&mut self, writing: u64, took: Micros) {
-        let expected = self.inter_token_us(writing);
+    /// Learns from an inter-token latency with so many requests in the batch and no prefill.
+    pub fn observe_step(&mut self, requests: u64, took: Micros) {
+        let expected = self.inter_token_us(requests);
         let ratio = (to_f64(took) / expected).clamp(1.0 / MAX_SAMPLE_RATIO, MAX_SAMPLE_RATIO);
         let scale = 1.0 + BATCH_SAMPLE_WEIGHT * (ratio - 1.0);
-        // a lone writer tells of the step, a crowd of what each one adds
-        if writing <= SMALL_BATCH_REQUESTS {
+        // A small batch shows the time of the step itself, a large one the increase per request.
+        if requests <= SMALL_BATCH_REQUESTS {
             self.decode_step_us *= scale;
         } else {
             self.added_request_us *= scale;
         }
     }
 
-    /// The time between tokens while so many requests write.
+    /// Returns the inter-token latency with so many requests in the batch.
     #[must_use]
-    pub fn inter_token_us(&self, writing: u64) -> f64 {
-        self.decode_step_us + self.added_request_us * to_f64(writing.saturating_sub(1))
+    pub fn inter_token_us(&self, requests: u64) -> f64 {
+        self.decode_step_us + self.added_request_us * to_f64(requests.saturating_sub(1))
     }
 }
 
+/// Fewest prefilled tokens from which the time per token is learnt.
 const MIN_SAMPLE_TOKENS: u64 = 64;
+/// Largest batch whose step time is attributed to [`BatchLatency::decode_step_us`].
 const SMALL_BATCH_REQUESTS: u64 = 4;
 
-fn update_average(rate: &mut f64, sample: f64) {
-    update_average_by(BATCH_SAMPLE_WEIGHT, rate, sample);
+fn update_average(estimate: &mut f64, sample: f64) {
+    update_average_by(BATCH_SAMPLE_WEIGHT, estimate, sample);
 }
 
-fn update_average_by(weight: f64, rate: &mut f64, sample: f64) {
-    let sample = sample.clamp(*rate / MAX_SAMPLE_RATIO, *rate * MAX_SAMPLE_RATIO);
-    *rate += weight * (sample - *rate);
+fn update_average_by(weight: f64, estimate: &mut f64, sample: f64) {
+    let sample = sample.clamp(*estimate / MAX_SAMPLE_RATIO, *estimate * MAX_SAMPLE_RATIO);
+    *estimate += weight * (sample - *estimate);
 }
 
-/// How fast an engine is in its present stage, where nobody has told: learnt from what it does.
+/// Latencies of an engine in its present stage, learnt because the engine does not report them.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Latency {
-    /// Time to the first token, or to the handle of a read prompt, besides reading.
+    /// Time to the first token, or to the handle of a prefilled prompt, besides the prefill itself.
     pub overhead_us: f64,
-    /// Time to read one prompt token at the beginning of a prompt.
+    /// Time to prefill one token at the beginning of a prompt.
     pub prefill_token_us: f64,
-    /// Time between two tokens of an answer while no prompt is read.
+    /// Inter-token latency of an answer while no prompt is prefilled.
     pub decode_token_us: f64,
-    /// The longest that this lately was while prompts were read all the time, see [`SLOWED_UP`]. None before that
-    /// was seen.
+    /// Recent peak of the inter-token latency while prompts are prefilled without a break, see
+    /// `CONTENDED_RISE_WEIGHT`. `None` until it has been observed.
     pub contended_token_us: Option<f64>,
-    /// How many samples each of the first three was learnt from.
+    /// Number of samples behind each of the first three estimates.
     pub samples: Samples,
 }
 
-/// Numbers of samples; what has few of them is still a guess.
+/// Numbers of samples; an estimate with few samples is unreliable.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Samples {
-    /// Of the time besides reading.
+    /// Samples of [`Latency::overhead_us`].
     pub overhead: u32,
-    /// Of the time to read a token.
+    /// Samples of [`Latency::prefill_token_us`].
     pub prefill: u32,
-    /// Of the time between tokens.
+    /// Samples of [`Latency::decode_token_us`].
     pub decode: u32,
 }
 
 impl Latency {
-    /// A guess for an engine that only reads, until the first prompt has been read somewhere: faster than
-    /// any engine known. One that looks fast is tried, and one that looks too slow for every request would
-    /// never be.
+    /// Returns the initial estimate for a prefill engine, used until the first prompt has been
+    /// prefilled on any. It is faster than any known engine: an engine that looks fast is tried and its
+    /// estimate corrected, while one that looks too slow for every request would never be tried.
     #[must_use]
     pub fn initial_prefill() -> Self {
         Self {
@@ -113,7 +117,8 @@
         }
     }
 
-    /// A guess for an engine that writes: it reads at half the speed, and between its tokens.
+    /// Returns the initial estimate for a decode engine, which prefills between its decode steps and at
+    /// half the speed.
     #[must_use]
     pub fn initial_decode() -> Self {
         Self {
@@ -123,30 +128,35 @@
     }
 }
 
-/// The shortest time to read a token, in microseconds, below that of any engine known. What seems to be read
-/// faster was held by the engine already: a pace of nothing would make every line look short, and never grow.
+/// Lower bound of the prefill time per token, below that of any known engine. A prompt that seems to be
+/// prefilled faster was already cached. An estimate near zero would make every queue look short, and
+/// would never grow again.
 const MIN_PREFILL_TOKEN_US: f64 = 2.0;
-/// Least weight of a new sample of a pace. Samples are noisy, as the work ahead is known only roughly.
+/// Minimum weight of a new sample in the estimates of [`Latency`]. Samples are noisy, as the work ahead
+/// of a prompt is known only roughly.
 const MIN_SAMPLE_WEIGHT: f64 = 0.1;
-/// Samples from which on one that is far off is not believed whole.
+/// Number of samples from which on an outlier is limited by [`MAX_SAMPLE_RATIO`], and the most samples
+/// that an estimate adopted from a peer counts for.
 const SETTLED_SAMPLES: u32 = 4;
-/// The part of the way that [`Pace::slowed_us`] goes up to an event that took longer, and down with one that did not.
-/// Most events beside which a prompt is thought to be read are not held up, as the prompt is held already or has not
-/// come yet. As the time that nine of ten stay below it was 1 to 6 ms a token where reading makes it 36.
+/// Weights of a sample in [`Latency::contended_token_us`]: of one above the estimate, and of one below.
+/// Most events that are assumed to coincide with a prefill are not delayed by it, because the prompt is
+/// cached or has not arrived yet. So a 90th percentile gave 1 to 6 ms per token on engines where
+/// prefill in fact raises it to 36 ms.
 const CONTENDED_RISE_WEIGHT: f64 = 0.5;
 const CONTENDED_FALL_WEIGHT: f64 = 0.005;
-/// Samples from which on others are not told unless they are new: a rate has then moved by all that a wrong guess
-/// was off, see [`PACE_WEIGHT`].
+/// Number of samples from which on an estimate is only advertised to new peers: by then a wrong initial
+/// estimate has been replaced entirely, see [`MIN_SAMPLE_WEIGHT`].
 const CONVERGED_SAMPLES: u32 = 32;
-/// Prompts up to this many tokens tell of the time besides reading, longer ones of reading.
+/// Largest prompt, in work, that is a sample of the overhead. Larger ones are samples of the prefill
+/// time per token.
 const SHORT_PROMPT_WORK: u64 = 512;
 
 impl Latency {
-    /// Learns from a prompt that was read, with so much work in all since it was sent.
+    /// Learns from a prompt that was prefilled; `work` includes the work ahead of it when it was sent.
     pub fn observe_prefill(&mut self, work: u64, took: Micros) {
-        let reading = to_f64(work) * self.prefill_token_us;
+        let expected = to_f64(work) * self.prefill_token_us;
         if work <= SHORT_PROMPT_WORK {
-            let sample = (to_f64(took) - reading).max(0.0);
+            let sample = (to_f64(took) - expected).max(0.0);
             update_mean(&mut self.samples.overhead, &mut self.overhead_us, sample);
         } else {
             let sample = (to_f64(took) - self.overhead_us).max(0.0) / to_f64(work);
@@ -160,43 +170,45 @@
         }
     }
 
-    /// Takes what another decider has learnt, as far as it has seen more and this one little. Says whether anything
-    /// was taken.
+    /// Adopts those estimates of another process that rest on more samples than the own ones, where the
+    /// own ones have few. Returns whether anything changed.
     ///
-    /// What is taken counts as a few samples, so that own ones soon show whether it holds here.
-    pub fn adopt(&mut self, told: &Self) -> bool {
+    /// An adopted estimate counts as a few samples only, so that own samples soon correct it if it does
+    /// not hold here.
+    pub fn adopt(&mut self, other: &Self) -> bool {
         let before = *self;
-        adopt_sample(
+        adopt_estimate(
             (&mut self.samples.overhead, &mut self.overhead_us),
-            (told.samples.overhead, told.overhead_us),
+            (other.samples.overhead, other.overhead_us),
         );
-        adopt_sample(
+        adopt_estimate(
             (&mut self.samples.prefill, &mut self.prefill_token_us),
             (
-                told.samples.prefill,
-                told.prefill_token_us.max(MIN_PREFILL_TOKEN_US),
+                other.samples.prefill,
+                other.prefill_token_us.max(MIN_PREFILL_TOKEN_US),
             ),
         );
-        adopt_sample(
+        adopt_estimate(
             (&mut self.samples.decode, &mut self.decode_token_us),
-            (told.samples.decode, told.decode_token_us),
+            (other.samples.decode, other.decode_token_us),
         );
         *self != before
     }
 
-    /// Whether it is still being learnt, so that what one decider sees is news to others. The rate with the most samples
-    /// tells: engines that read give no answers to learn from.
+    /// Whether the estimates are still converging, so that each change is worth advertising to peers.
+    /// The estimate with the most samples decides, because prefill engines give no answers from which
+    /// the inter-token latency could be learnt.
     #[must_use]
     pub fn is_converging(&self) -> bool {
         let Samples {
-            overhead: start,
-            prefill: read,
-            decode: step,
+            overhead,
+            prefill,
+            decode,
         } = self.samples;
-        (1..CONVERGED_SAMPLES).contains(&start.max(read).max(step))
+        (1..CONVERGED_SAMPLES).contains(&overhead.max(prefill).max(decode))
     }
 
-    /// Learns from an answer that began after so long, its prompt having been read elsewhere.
+    /// Learns from the time to the first token of an answer whose prompt was prefilled elsewhere.
     pub fn observe_first_token(&mut self, took: Micros) {
         update_mean(
             &mut self.samples.overhead,
@@ -205,14 +217,16 @@
         );
     }
 
-    /// Learns from an event of so many tokens that came so long after the one before it. `before` and `after` are
-    /// the times that the prompts under way at the two would still take; none where no prompt was.
+    /// Learns from an event of so many tokens that came `gap` after the previous one. `before` and
+    /// `after` are the remaining times of the prefills in flight at the previous event and at this one;
+    /// `None` if there were none.
     ///
-    /// What reading does to answers shows only where there was enough to read for the whole time, or for as long as
-    /// such an event is thought to take. A time in which a short prompt was read for a moment made engines look as
-    /// if their answers bore any reading: with such samples 55 % of the answers beside 10,000 tokens or more paused
-    /// for over 200 ms. Where only what filled the whole time counted, the events that reading held up most were
-    /// left out, and engines with 15 answers were sent prompts of 5,000 to 20,000 tokens one after the other.
+    /// The effect of prefill on answers shows only if there was enough to prefill for the whole gap, or
+    /// for as long as such an event is expected to take. Gaps with a short prefill made it look as if
+    /// prefill did not delay answers: with such samples, 55 % of the answers beside prompts of 10,000
+    /// tokens or more stalled for over 200 ms. Counting only gaps filled entirely left out the events
+    /// that were delayed most, and engines with 15 answers were sent prompts of 5,000 to 20,000 tokens
+    /// one after the other.
     pub fn observe_event(
         &mut self,
         tokens: u64,
@@ -228,85 +242,87 @@
             (None, None) => {
                 update_mean(&mut self.samples.decode, &mut self.decode_token_us, sample);
             }
-            (Some(left), _) if left >= gap.min(self.contended_event(tokens)) => {
+            (Some(remaining), _) if remaining >= gap.min(self.contended_event(tokens)) => {
                 self.observe_contended(sample);
             }
             _ => {}
         }
     }
 
-    /// The time that an event of so many tokens is thought to take while prompts are read.
+    /// Returns the expected time of an event of so many tokens while prompts are prefilled.
     fn contended_event(&self, tokens: u64) -> Micros {
         self.contended_token_us
-            .map_or(Micros::MAX, |slowed| to_u64(slowed * to_f64(tokens)))
+            .map_or(Micros::MAX, |token_us| to_u64(token_us * to_f64(tokens)))
     }
 
     fn observe_contended(&mut self, sample: f64) {
-        let slowed = self.contended_token_us.get_or_insert(sample);
-        let sample = sample.min(*slowed * MAX_SAMPLE_RATIO);
-        let part = if sample > *slowed {
+        let estimate = self.contended_token_us.get_or_insert(sample);
+        let sample = sample.min(*estimate * MAX_SAMPLE_RATIO);
+        let weight = if sample > *estimate {
             CONTENDED_RISE_WEIGHT
         } else {
             CONTENDED_FALL_WEIGHT
         };
-        *slowed += part * (sample - *slowed);
+        *estimate += weight * (sample - *estimate);
     }
 }
 
-/// Takes a rate that is told with the number of its samples, if it has more of them and the own one few.
-fn adopt_sample((seen, rate): (&mut u32, &mut f64), (told, other): (u32, f64)) {
-    let told = told.min(SETTLED_SAMPLES);
-    if told > *seen && other.is_finite() && other > 0.0 {
-        *seen = told;
-        *rate = other;
+/// Replaces an estimate by another process's if that one rests on more samples, of which at most
+/// [`SETTLED_SAMPLES`] count.
+fn adopt_estimate((samples, estimate): (&mut u32, &mut f64), (other_samples, other): (u32, f64)) {
+    let other_samples = other_samples.min(SETTLED_SAMPLES);
+    if other_samples > *samples && other.is_finite() && other > 0.0 {
+        *samples = other_samples;
+        *estimate = other;
     }
 }
 
-/// Moves a median that starts at a guess: the first sample replaces it, and each further one moves it by a
-/// part of itself. A prompt that waited behind work that nobody here knew of took several times its time,
-/// which says nothing of the pace; an average would follow it.
-fn update_median(seen: &mut u32, rate: &mut f64, sample: f64) {
-    let weight = (MIN_SAMPLE_WEIGHT / 2.0).max(1.0 / (f64::from(*seen) + 2.0));
-    *rate = match *seen {
+/// Updates a running median. The first sample replaces the initial estimate, and each later one moves it
+/// by at most a fraction of itself. A mean would follow prompts that took several times as long because
+/// they waited for work unknown to this process, which says nothing about the engine's speed.
+fn update_median(samples: &mut u32, estimate: &mut f64, sample: f64) {
+    let weight = (MIN_SAMPLE_WEIGHT / 2.0).max(1.0 / (f64::from(*samples) + 2.0));
+    *estimate = match *samples {
         0 => sample,
-        _ if sample > *rate => sample.min(*rate * (1.0 + weight)),
-        _ => sample.max(*rate / (1.0 + weight)),
+        _ if sample > *estimate => sample.min(*estimate * (1.0 + weight)),
+        _ => sample.max(*estimate / (1.0 + weight)),
     };
-    *seen = seen.saturating_add(1);
+    *samples = samples.saturating_add(1);
 }
 
-/// Takes a sample into an average that starts at a guess: the first sample replaces it, the next ones count
-/// alike, and later ones at least [`PACE_WEIGHT`], so that it follows what changes.
-fn update_mean(seen: &mut u32, rate: &mut f64, sample: f64) {
-    let weight = MIN_SAMPLE_WEIGHT.max(1.0 / (f64::from(*seen) + 1.0));
-    if *seen < SETTLED_SAMPLES {
-        *rate += weight * (sample - *rate);
+/// Updates a running mean. The first sample replaces the initial estimate, the next ones count alike, and
+/// later ones with at least [`MIN_SAMPLE_WEIGHT`], so that the mean follows changes.
+fn update_mean(samples: &mut u32, estimate: &mut f64, sample: f64) {
+    let weight = MIN_SAMPLE_WEIGHT.max(1.0 / (f64::from(*samples) + 1.0));
+    if *samples < SETTLED_SAMPLES {
+        *estimate += weight * (sample - *estimate);
     } else {
-        update_average_by(weight, rate, sample);
+        update_average_by(weight, estimate, sample);
     }
-    *seen = seen.saturating_add(1);
+    *samples = samples.saturating_add(1);
 }
 
-/// The time by which most things happen that were expected at another time: how far beyond the
-/// expectation all but one in [`ONE_IN`] are there.
+/// Safety margin on an expected time: the lateness that all but one in `MARGIN_EXCEEDED_ONE_IN` events
+/// stay below.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Margin {
     us: f64,
 }
 
-/// One in so many may be later than the margin says.
+/// One in so many events may be later than the margin.
 const MARGIN_EXCEEDED_ONE_IN: f64 = 7.0;
-/// How far the margin moves with a sample that is beyond it, in microseconds: some ten such samples
-/// take it from nothing to where it was found to lie in overload, some 30 ms.
+/// Increase of the margin per event that exceeds it, in microseconds. Some ten such events take it from
+/// zero to some 30 ms, which is where it lies in overload.
 const MARGIN_STEP_US: f64 = 3_000.0;
-/// The largest margin, in microseconds. A larger one would refuse what an idle fleet can serve.
+/// Upper bound of the margin, in microseconds. A larger one would refuse requests that an idle fleet can
+/// serve.
 const MAX_MARGIN_US: f64 = 80_000.0;
 
 impl Margin {
-    /// Learns from something that was expected after one time and happened after another.
-    pub fn observe(&mut self, expected: f64, took: Micros) {
-        let beyond = to_f64(took) - expected > self.us;
-        let step = if beyond {
+    /// Learns from an event that was expected after `expected_us` and happened after `took`.
+    pub fn observe(&mut self, expected_us: f64, took: Micros) {
+        let exceeded = to_f64(took) - expected_us > self.us;
+        let step = if exceeded {
             MARGIN_STEP_US
         } else {
             -MARGIN_STEP_US / (MARGIN_EXCEEDED_ONE_IN - 1.0)
@@ -314,25 +330,26 @@
         self.us = (self.us + step).clamp(0.0, MAX_MARGIN_US);
     }
 
-    /// The margin in microseconds.
+    /// Returns the margin in microseconds.
     #[must_use]
     pub fn us(&self) -> f64 {
         self.us
     }
 }
 
-/// How many times as long as expected most things take that wait behind others: what is expected of a long line
-/// is off by a factor rather than by a time.
+/// Safety factor on an expected waiting time. The estimate for a long queue is off by a factor rather
+/// than by a constant.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WaitFactor {
     factor: f64,
 }
 
-/// One in so many may take longer than the stretch says.
+/// One in so many waits may exceed the expected time by more than the factor.
 const FACTOR_EXCEEDED_ONE_IN: f64 = 4.0;
-/// How far the stretch moves, as a part of itself, with a sample that is beyond it: it doubles with seven.
+/// Relative increase of the factor per wait that exceeds it: seven such waits double it.
 const FACTOR_STEP_RATIO: f64 = 0.1;
-/// The largest stretch. With a larger one nothing would be let in that could show that it is too large.
+/// Upper bound of the factor. With a larger one, no request would be admitted whose wait could show that
+/// the factor is too large.
 const MAX_FACTOR: f64 = 4.0;
 
 impl Default for WaitFactor {
@@ -342,9 +359,9 @@
 }
 
 impl WaitFactor {
-    /// Learns from something that was expected to take one time and took another.
-    pub fn observe(&mut self, expected: f64, took: Micros) {
-        if to_f64(took) > expected * self.factor {
+    /// Learns from a wait that was expected to take `expected_us` and took `took`.
+    pub fn observe(&mut self, expected_us: f64, took: Micros) {
+        if to_f64(took) > expected_us * self.factor {
             self.increase();
         } else {
             self.factor =
@@ -352,9 +369,9 @@
         }
     }
 
-    /// Learns from something that was given up after a time, and would have taken longer.
-    pub fn observe_cancelled(&mut self, expected: f64, after: Micros) {
-        if to_f64(after) > expected * self.factor {
+    /// Learns from a wait that was cancelled after a time and would have taken longer.
+    pub fn observe_cancelled(&mut self, expected_us: f64, after: Micros) {
+        if to_f64(after) > expected_us * self.factor {
             self.increase();
         }
     }
@@ -363,7 +380,7 @@
         self.factor = (self.factor * (1.0 + FACTOR_STEP_RATIO)).min(MAX_FACTOR);
     }
 
-    /// How many times as long.
+    /// Returns the factor, which is at least 1.
     #[must_use]
     pub fn factor(&self) -> f64 {
         self.factor
--- a/components/policy/src/fair.rs
+++ b/components/policy/src/fair.rs
@@ -1,30 +1,30 @@
-//! Fair share over the tree of groups: who goes next, and who can't make its deadline.
+//! Weighted fair queueing over the tree of groups: which request goes next, and how long one would wait.
 //!
-//! Each group has a virtual time that advances by the work it was given, divided by its share. Of
-//! the groups with waiting requests the one that is furthest behind goes first, level by level. A
-//! share that is not used is lent at once and never saved up. See `docs/DESIGN.md#fair-share`.
+//! Each group has a virtual time that advances by the work it was given, divided by its share. At each
+//! level of the tree, the group with waiting requests and the lowest virtual time goes first. An unused
+//! share is lent to others at once and is never saved up. See `docs/DESIGN.md#fair-share`.
 
 use crate::{Micros, to_f64, to_u64};
 
 /// A group as the queue needs it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Group {
-    /// Index of the parent; none at the top. Parents come before their children.
+    /// Index of the parent; `None` at the top level. Parents come before their children.
     pub parent: Option<usize>,
-    /// Share against its siblings.
+    /// Share relative to its siblings.
     pub share: u32,
 }
 
-/// A request that waits.
+/// A request that waits in the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QueuedRequest {
     /// Its number.
     pub id: u64,
-    /// 9 goes first within its group.
+    /// From 0 to 9; the highest goes first within its group.
     pub priority: u8,
-    /// The work that it will likely take, in microseconds of an engine.
+    /// Expected work, in microseconds of an engine.
     pub work: Micros,
-    /// When it must be done.
+    /// When it must have left the queue.
     pub deadline: Micros,
 }
 
@@ -33,13 +33,13 @@
     parent: usize,
     share: f64,
     virtual_time: f64,
-    /// The lowest time of a child that went, so that a child that wakes starts from there.
+    /// Highest virtual time at which a child was charged. A child that becomes active starts from here.
     virtual_time_floor: f64,
-    /// Children with something to do, sorted by virtual time.
+    /// Children with waiting requests of their own or below them, sorted by virtual time.
     active: Vec<(f64, usize)>,
-    /// Own waiting requests, the highest priority first.
+    /// Waiting requests of this group itself, the highest priority first.
     waiting: Vec<QueuedRequest>,
-    /// Work of the own waiting requests and those below.
+    /// Work of all waiting requests in this subtree.
     queued_work: Micros,
 }
 
@@ -54,7 +54,7 @@
 const ROOT: usize = 0;
 
 impl Queue {
-    /// A queue for these groups.
+    /// Creates an empty queue for these groups.
     #[must_use]
     pub fn new(groups: &[Group]) -> Self {
         let mut queue = Self {
@@ -65,19 +65,19 @@
         queue
     }
 
-    /// How many requests wait.
+    /// Returns the number of waiting requests.
     #[must_use]
     pub fn len(&self) -> usize {
         self.length
     }
 
-    /// Whether none waits.
+    /// Whether no request waits.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.length == 0
     }
 
-    /// Work that waits, over all groups.
+    /// Returns the work of all waiting requests.
     #[must_use]
     pub fn queued_work(&self) -> Micros {
         self.nodes[ROOT].queued_work
@@ -94,7 +94,8 @@
         self.activate(at);
     }
 
-    /// Takes a request away that has hung up or run out of time.
+    /// Removes a request whose caller has disconnected or whose deadline has passed. Returns whether it
+    /// was there.
     pub fn remove(&mut self, group: usize, id: u64) -> bool {
         let at = group + 1;
         let Some(place) = self.nodes[at].waiting.iter().position(|r| r.id == id) else {
@@ -105,31 +106,31 @@
         true
     }
 
-    /// The groups that go next, in their order, each with its first request; at most `most`.
+    /// Returns up to `limit` groups in the order in which they go next, each with its first request.
     ///
-    /// Several are given because the first one's request may need what is full just now, while
-    /// another's doesn't: a long prompt that waits for an engine holds nobody else up.
+    /// There are several because the first group's request may need a resource that is exhausted just
+    /// now while another's doesn't: a long prompt that waits for an engine must not block the others.
     #[must_use]
-    pub fn peek(&self, most: usize) -> Vec<(usize, QueuedRequest)> {
+    pub fn peek(&self, limit: usize) -> Vec<(usize, QueuedRequest)> {
         let mut heads = Vec::new();
-        self.collect_heads(ROOT, most, &mut heads);
+        self.collect_heads(ROOT, limit, &mut heads);
         heads
     }
 
-    fn collect_heads(&self, at: usize, most: usize, heads: &mut Vec<(usize, QueuedRequest)>) {
+    fn collect_heads(&self, at: usize, limit: usize, heads: &mut Vec<(usize, QueuedRequest)>) {
         let node = &self.nodes[at];
         if let Some(request) = node.waiting.first() {
             heads.push((at - 1, *request));
         }
         for (_, child) in &node.active {
-            if heads.len() >= most {
+            if heads.len() >= limit {
                 return;
             }
-            self.collect_heads(*child, most, heads);
+            self.collect_heads(*child, limit, heads);
         }
     }
 
-    /// Takes the first request of a group and charges the group for it.
+    /// Removes the first request of a group and charges the group for it.
     pub fn pop(&mut self, group: usize) -> Option<QueuedRequest> {
         let at = group + 1;
         if self.nodes[at].waiting.is_empty() {
@@ -141,7 +142,8 @@
         Some(request)
     }
 
-    /// Charges a group for work: here, at a peer, or found on completion to be more than thought.
+    /// Charges a group for work that was done here or at a peer, or that on completion turned out to
+    /// exceed the estimate.
     pub fn charge(&mut self, group: usize, work: Micros) {
         let mut at = group + 1;
         while at != ROOT {
@@ -153,23 +155,24 @@
         }
     }
 
-    /// How long a request of a group would wait: behind its group's own work at the share that the
-    /// group has now, and never longer than behind everything.
+    /// Estimates how long a new request of a group would wait: the time for the group's own queued work
+    /// at its current share of the engines, but at most the time for all queued work.
     #[must_use]
     pub fn estimate_wait(&self, group: usize, engines: u64) -> Micros {
         let engines = to_f64(engines.max(1));
-        let mut part = 1.0;
+        let mut share = 1.0;
         let mut at = group + 1;
         let own = to_f64(self.nodes[at].queued_work);
         while at != ROOT {
             let parent = self.nodes[at].parent;
-            part *= self.active_share(parent, at);
+            share *= self.active_share(parent, at);
             at = parent;
         }
-        let alone = own / (engines * part);
-        to_u64(alone.min(to_f64(self.queued_work()) / engines))
+        let own_wait = own / (engines * share);
+        to_u64(own_wait.min(to_f64(self.queued_work()) / engines))
     }
 
+    /// Returns a child's fraction of the shares of its active siblings and itself.
     fn active_share(&self, parent: usize, child: usize) -> f64 {
         let own = self.nodes[child].share;
         let others: f64 = self.nodes[parent]
@@ -193,19 +196,19 @@
 
     fn remove_work(&mut self, mut at: usize, request: &QueuedRequest) {
         self.length -= 1;
-        let leaf = at;
+        let node = at;
         loop {
-            let queued = &mut self.nodes[at].queued_work;
-            *queued = queued.saturating_sub(request.work);
+            let queued_work = &mut self.nodes[at].queued_work;
+            *queued_work = queued_work.saturating_sub(request.work);
             if at == ROOT {
                 break;
             }
             at = self.nodes[at].parent;
         }
-        self.deactivate(leaf);
+        self.deactivate(node);
     }
 
-    /// Puts a group and its parents among the active ones.
+    /// Adds a group and its ancestors to the active ones.
     fn activate(&mut self, mut at: usize) {
         while at != ROOT {
             let parent = self.nodes[at].parent;
@@ -216,16 +219,16 @@
             {
                 return;
             }
-            // who was idle starts level with those that go now: nothing is saved up
+            // An idle group starts level with its active siblings, so that it has saved up nothing.
             let floor = self.nodes[parent].virtual_time_floor;
-            let time = self.nodes[at].virtual_time.max(floor);
-            self.nodes[at].virtual_time = time;
-            insert(&mut self.nodes[parent].active, time, at);
+            let virtual_time = self.nodes[at].virtual_time.max(floor);
+            self.nodes[at].virtual_time = virtual_time;
+            insert(&mut self.nodes[parent].active, virtual_time, at);
             at = parent;
         }
     }
 
-    /// Takes groups with nothing to do from among the active ones.
+    /// Removes a group and its ancestors from the active ones, as far as they have no waiting requests.
     fn deactivate(&mut self, mut at: usize) {
         while at != ROOT {
             let node = &self.nodes[at];
@@ -238,8 +241,9 @@
         }
     }
 
+    /// Moves a child that was charged to its new position among its active siblings.
     fn reorder(&mut self, parent: usize, child: usize, before: f64) {
-        let time = self.nodes[child].virtual_time;
+        let virtual_time = self.nodes[child].virtual_time;
         let siblings = &mut self.nodes[parent];
         if let Some(place) = siblings
             .active
@@ -247,7 +251,7 @@
             .position(|(_, other)| *other == child)
         {
             siblings.active.remove(place);
-            insert(&mut siblings.active, time, child);
+            insert(&mut siblings.active, virtual_time, child);
             siblings.virtual_time_floor = siblings.virtual_time_floor.max(before);
         }
     }
@@ -261,7 +265,7 @@
     }
 }
 
-fn insert(active: &mut Vec<(f64, usize)>, time: f64, child: usize) {
-    let place = active.partition_point(|(other, _)| *other <= time);
-    active.insert(place, (time, child));
+fn insert(active: &mut Vec<(f64, usize)>, virtual_time: f64, child: usize) {
+    let place = active.partition_point(|(other, _)| *other <= virtual_time);
+    active.insert(place, (virtual_time, child));
 }
--- a/components/policy/src/lib.rs
+++ b/components/policy/src/lib.rs
@@ -1,7 +1,8 @@
 //! Decisions only: routing, admission, fair share, retries and roles.
 //!
-//! Pure: decisions take views and a time, read no clock and do no input or output. The daemon runs
-//! this code and so does the measurement `mixshift`. See `docs/DESIGN.md#decisions`.
+//! Decisions take snapshots and a time as arguments; nothing here reads a clock or does I/O.
+//! The daemon, the gateway and the simulation `mixshift` run the same code. See
+//! `docs/DESIGN.md#decisions`.
 
 pub mod backlog;
 pub mod estimate;
@@ -16,30 +17,31 @@
 pub mod stage;
 pub mod suspect;
 
-/// Microseconds of the decider's own monotonic clock, or a span of them.
+/// A point in time on the caller's monotonic clock, or a duration, in microseconds.
 pub type Micros = u64;
 
-/// A count as a floating-point number. Counts of tokens and microseconds stay far below 2^52, so
-/// nothing is lost.
+/// Converts a count to floating point. Counts of tokens and microseconds stay far below 2^52, so the
+/// conversion is exact.
 #[must_use]
 #[expect(clippy::cast_precision_loss, reason = "counts stay far below 2^52")]
 pub fn to_f64(count: u64) -> f64 {
     count as f64
 }
 
-/// A floating-point number as a count: rounded down, zero for what is negative or no number.
+/// Converts a floating-point number to a count: rounds down, and returns zero for negative numbers
+/// and NaN.
 #[must_use]
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
     reason = "the cast saturates, which is what is wanted"
 )]
-pub fn to_u64(real: f64) -> u64 {
-    real as u64
+pub fn to_u64(number: f64) -> u64 {
+    number as u64
 }
 
-/// A span of time in microseconds.
+/// Converts a duration to microseconds, saturating.
 #[must_use]
-pub fn micros(span: std::time::Duration) -> Micros {
-    Micros::try_from(span.as_micros()).unwrap_or(Micros::MAX)
+pub fn micros(duration: std::time::Duration) -> Micros {
+    Micros::try_from(duration.as_micros()).unwrap_or(Micros::MAX)
 }
--- a/components/policy/src/load.rs
+++ b/components/policy/src/load.rs
@@ -1,63 +1,63 @@
-//! What waits at an engine, from sources of different age.
+//! Estimates the outstanding work of an engine from sources of different age.
 
 use crate::{Micros, estimate::BatchLatency, to_f64, to_u64};
 
-/// Bands of priority: an engine reads a higher band's prompts first.
+/// Number of priority classes: an engine prefills the prompts of a higher class first.
 pub const PRIORITY_CLASSES: usize = 3;
 
-/// Prompt tokens to read, by band, the lowest first.
+/// Prompt tokens to prefill by priority class, the lowest class first.
 pub type TokensByClass = [u64; PRIORITY_CLASSES];
 
-/// From this priority on a request goes ahead of everything that waits.
+/// Lowest priority whose requests overtake all waiting requests.
 pub const URGENT_PRIORITY: u8 = 8;
-/// From this priority on a request goes ahead of bulk.
+/// Lowest priority whose requests overtake bulk requests.
 const FOREGROUND_PRIORITY: u8 = 5;
 
-/// The band of a priority.
+/// Returns the class of a priority.
 #[must_use]
 pub fn priority_class(priority: u8) -> usize {
     usize::from(priority >= FOREGROUND_PRIORITY) + usize::from(priority >= URGENT_PRIORITY)
 }
 
-/// What this decider and its peers have sent, and what the engine said of itself.
+/// What this process and its peers have dispatched to an engine, and what the engine reported.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Sources {
-    /// Own dispatches, exact: prompt tokens to read and requests that write.
+    /// Dispatched by this process, exact: prompt tokens to prefill and requests that decode.
     pub own: (TokensByClass, u64),
-    /// Peers' dispatches, as of their last digests.
+    /// Dispatched by peers, as of their last digests.
     pub peers: (TokensByClass, u64),
-    /// The engine's report and its age; none when it never came.
+    /// The engine's report (prompt tokens, requests that decode) and its age; `None` before the first.
     pub reported: Option<(u64, u64, Micros)>,
 }
 
-/// What an engine still has to do.
+/// The outstanding work of an engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Outstanding {
-    /// Prompt tokens of a band and those above it.
+    /// Prompt tokens of the request's priority class and of higher ones.
     pub prefill_tokens_ahead: u64,
-    /// All prompt tokens.
+    /// Prompt tokens of all classes.
     pub prefill_tokens: u64,
-    /// Requests that write.
+    /// Requests that decode.
     pub decode_requests: u64,
 }
 
-/// A report older than this is worse than no report: what it tells of has long been done, while own
-/// and peers' dispatches are known.
+/// Oldest report that is used. The work in an older one has long been done, while the dispatches of
+/// this process and its peers are known, so such a report is worse than none.
 const MAX_REPORT_AGE: Micros = 500_000;
 
-/// What the engine still has to do, as far as it concerns a request of a band.
+/// Estimates the outstanding work of an engine for a request of a priority class.
 ///
-/// Own and peers' dispatches are the newer sources. The report only adds what neither of them knows,
-/// such as the work of a peer that is cut off; what the engine has read since the report is taken
-/// off it. Its unknown part counts as ahead of nobody, since its priority isn't known.
+/// Dispatches of this process and its peers are the newer sources. The report only adds work that
+/// neither knows of, such as that of an unreachable peer, less what the engine has prefilled since.
+/// That additional work counts as ahead of no request, because its priority is unknown.
 #[must_use]
-pub fn estimate(sources: &Sources, rates: &BatchLatency, band: usize) -> Outstanding {
+pub fn estimate(sources: &Sources, latency: &BatchLatency, class: usize) -> Outstanding {
     let fresh = sources
         .reported
         .filter(|(_, _, age)| *age <= MAX_REPORT_AGE);
-    let told = fresh.map_or((0, 0), |(reading, writing, age)| {
-        let read = to_u64(to_f64(age) / rates.prefill_token_us.max(1.0));
-        (reading.saturating_sub(read), writing)
+    let reported = fresh.map_or((0, 0), |(prefill_tokens, decode_requests, age)| {
+        let prefilled = to_u64(to_f64(age) / latency.prefill_token_us.max(1.0));
+        (prefill_tokens.saturating_sub(prefilled), decode_requests)
     });
     let sum = |from: usize| -> u64 {
         let own: u64 = sources.own.0[from..].iter().sum();
@@ -65,8 +65,8 @@
         own + peers
     };
     Outstanding {
-        prefill_tokens_ahead: sum(band),
-        prefill_tokens: sum(0).max(told.0),
-        decode_requests: (sources.own.1 + sources.peers.1).max(told.1),
+        prefill_tokens_ahead: sum(class),
+        prefill_tokens: sum(0).max(reported.0),
+        decode_requests: (sources.own.1 + sources.peers.1).max(reported.1),
     }
 }
--- a/components/policy/src/place.rs
+++ b/components/policy/src/place.rs
@@ -1,119 +1,120 @@
-//! Where a generation runs on a fleet whose engines read prompts or write answers.
+//! Placement of a generation on a fleet of prefill and decode engines.
 //!
-//! An engine that writes can read a prompt too, between the tokens of its answers: slower, and at the
-//! expense of those answers. So a long prompt is best read on one engine and answered on another, and
-//! what doesn't fit there in time may go to an engine that writes little. See
-//! `docs/DESIGN.md#placement`.
+//! A decode engine can prefill a prompt too, between its decode steps: more slowly, and at the expense
+//! of the answers that it decodes. So a long prompt is best prefilled on one engine and decoded on
+//! another, and prompts that the prefill engines can't take in time may go to a decode engine with few
+//! answers. See `docs/DESIGN.md#placement`.
 
 use crate::{Micros, estimate::Latency, prompt, to_f64};
 
-/// What an engine does.
+/// The stage that an engine serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// It only reads prompts.
+    /// It only prefills.
     Prefill,
-    /// It writes, and reads prompts between.
+    /// It decodes, and can prefill between decode steps.
     Decode,
 }
 
-/// An engine as a decision sees it.
+/// Snapshot of an engine for one decision.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Engine {
-    /// What it does.
+    /// The stage that it serves.
     pub stage: Stage,
-    /// Work of the prompts that wait there or are being read, see [`prompt::work`].
+    /// Work of the prompts that wait there or are being prefilled, see [`prompt::prefill_work`].
     pub prefill_work: u64,
-    /// Work of the prompts that give way to all others there.
+    /// Work of the deferred prompts there, which yield to all others.
     pub deferred_work: u64,
-    /// How many prompts those are.
+    /// Number of deferred prompts.
     pub deferred_prompts: u64,
-    /// Answers that it writes, or will write once their prompts are read.
+    /// Answers that it decodes, or will once their prompts are prefilled.
     pub answers: u64,
-    /// Those of them that are long, see [`Weights::long_answer`].
+    /// Long ones among them, see [`Weights::short_answer_max_tokens`].
     pub long_answers: u64,
-    /// Answers that it can write at once.
+    /// Answers that it can decode at the same time.
     pub decode_slots: u64,
-    /// Tokens of the prompt in question that it holds already.
+    /// Tokens of the request's prompt that it has cached.
     pub cached_tokens: u64,
-    /// Tokens of it that it can fetch from another engine beyond those, and the time that takes.
+    /// What it can fetch of the prompt from another engine beyond those.
     pub fetch: Fetch,
-    /// How fast it is in this stage.
+    /// Its latencies in this stage.
     pub latency: Latency,
-    /// Extra time, there and back, for an engine in another data centre.
+    /// Additional round-trip time to an engine in another data centre; zero in the same one.
     pub extra_round_trip: Micros,
-    /// Part of its attempts that fail, from 0 to 1.
+    /// Ratio of its attempts that fail, from 0 to 1.
     pub failure_ratio: f64,
-    /// Its place in this decider's own order; deciders have different ones.
+    /// Its rank in this process's order of preference, which differs between processes.
     pub rank: u64,
 }
 
-/// What an engine can fetch of a prompt from another one.
+/// What an engine can fetch of a prompt from another engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Fetch {
-    /// Tokens beyond those that it holds.
+    /// Tokens beyond those that it has cached.
     pub tokens: u64,
-    /// Time to fetch them.
+    /// Time to fetch them, in microseconds.
     pub time_us: f64,
 }
 
-/// What is to be placed.
+/// The request to place.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Request {
-    /// Tokens of the prompt.
+    /// Length of the prompt.
     pub prompt_tokens: u64,
-    /// Tokens of the answer that are expected.
+    /// Expected length of the answer.
     pub expected_output_tokens: u64,
-    /// Time that is left until the first event should be there.
+    /// Time left until the first event is due.
     pub first_event_timeout: Micros,
-    /// The longest time between two tokens with which this answer ends in time, in microseconds.
+    /// Highest inter-token latency at which this answer meets its deadline, in microseconds.
     pub max_inter_token_latency_us: f64,
-    /// The longest time between two tokens that long answers of the service bear, in microseconds:
-    /// events must not come too far apart, and the last one must come in time.
+    /// Highest inter-token latency that long answers of the service tolerate, in microseconds: their
+    /// events must not stall, and the last one must meet the deadline.
     pub service_max_inter_token_latency_us: f64,
-    /// Tokens that come together in one event of an answer.
+    /// Tokens that arrive together in one event of an answer.
     pub tokens_per_event: u64,
-    /// The longest time between two events that answers of the service bear, in microseconds.
+    /// Longest time between two events that answers of the service tolerate, in microseconds.
     pub max_stall_us: f64,
 }
 
-/// What the decision weighs.
+/// Parameters of the decision.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Weights {
-    /// Prompts of no more unread tokens than this are read where they are answered: a second engine
-    /// would cost more than it saves.
+    /// Most uncached tokens of a prompt that is prefilled where it is decoded: for so few, a second
+    /// engine would cost more than it saves.
     pub short_prompt_max_tokens: u64,
-    /// Answers of more tokens than this are long. Prompts that are read on their engine hold them up,
-    /// and an engine that writes some should write more of them rather than another one.
+    /// Most tokens of a short answer. Prefill on the same engine delays longer ones, and an engine that
+    /// already decodes some should get more of them rather than another engine.
     pub short_answer_max_tokens: u64,
-    /// How much longer a step takes while a prompt is read between two tokens. An engine reads a
-    /// quarter of a chunk at half its speed then, which is some three steps' time.
+    /// How many times as long a decode step takes while a prompt is prefilled. An engine then prefills a
+    /// quarter of a chunk per step at half its speed, which takes some three steps' time.
     pub prefill_slowdown_factor: f64,
-    /// How much a delay of an answer that is under way counts against a delay of this request: of each answer
-    /// where one more prompt may bring it to pause for too long, of each long one elsewhere.
+    /// Weight of a delay of one answer in flight against a delay of this request. It counts for each
+    /// answer where one more prompt may cause a stall, and for each long one otherwise.
     pub interference_weight: f64,
-    /// What it counts to put the first long answer on an engine, in microseconds: it is lost for
-    /// reading then.
+    /// Penalty for placing the first long answer on an engine, which from then on is of no use for
+    /// prefill, in microseconds.
     pub first_long_answer_penalty_us: f64,
-    /// Part of the longest bearable time between tokens that reading may bring answers to.
+    /// Fraction of a latency limit up to which an engine is used, also while it prefills without a break.
     pub latency_limit_ratio: f64,
-    /// The same where it isn't reading all the time that is borne, but only what waits now: other
-    /// deciders may send a prompt there at the same moment, and more may follow within one event.
+    /// Fraction of the stall limit that the present prefill backlog may reach where sustained prefill
+    /// would exceed [`Self::latency_limit_ratio`]. It is lower because other processes may send a prompt
+    /// there at the same moment, and more may follow within one event.
     pub backlog_limit_ratio: f64,
-    /// Part of an engine's slots up to which long answers go together. The rest is for short ones, which
-    /// are soon over: a prompt that was read must find a slot.
-    pub long_answer_slot_ratio: f64,
-    /// What a placement in another data centre counts besides its distance, for the bytes that it
-    /// moves, in microseconds.
+    /// Fraction of an engine's slots up to which long answers are placed together. The rest is for short
+    /// answers, which are soon over: a prompt that has been prefilled must find a slot.
+    pub long_answer_max_slot_ratio: f64,
+    /// Penalty for a placement in another data centre besides the round trip, for the bytes that it
+    /// transfers, in microseconds.
     pub remote_penalty_us: f64,
-    /// What a failure counts, in microseconds: an engine that fails every attempt looks this much
-    /// slower.
+    /// Penalty for an engine that fails every attempt, in microseconds; scaled by the failure ratio.
     pub failure_penalty_us: f64,
-    /// Part of an engine's slots that answers may take, so that it keeps room for those that are on
-    /// their way from other deciders.
-    pub slot_ratio: f64,
-    /// Among placements this close to the best one, in microseconds, a decider takes the first in its own
-    /// order: several with views a few milliseconds old would all take the same one otherwise, and by chance
-    /// they do so more often than where each fills engines of its own first.
+    /// Fraction of an engine's slots that answers may take, so that some are left for answers that other
+    /// processes are sending there.
+    pub max_slot_ratio: f64,
+    /// Placements whose costs are within this many microseconds of the lowest count as equal, and a
+    /// process takes the first of them by its own rank. Otherwise several processes with snapshots a few
+    /// milliseconds old would all take the same one. With random choices they collide more often than
+    /// when each fills its own engines first.
     pub tie_margin_us: f64,
 }
 
@@ -127,124 +128,130 @@
             first_long_answer_penalty_us: 20_000.0,
             latency_limit_ratio: 0.85,
             backlog_limit_ratio: 0.5,
-            long_answer_slot_ratio: 0.75,
+            long_answer_max_slot_ratio: 0.75,
             remote_penalty_us: 6_000.0,
             failure_penalty_us: 200_000.0,
-            slot_ratio: 0.95,
+            max_slot_ratio: 0.95,
             tie_margin_us: 2_000.0,
         }
     }
 }
 
-/// Who serves a generation; engines by their index in the view.
+/// Which engines serve a generation, by their index in the snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Placement {
-    /// One engine reads and writes.
+    /// One engine prefills and decodes.
     Single {
         /// The engine.
         engine: usize,
     },
-    /// One engine reads, another one fetches the KV cache and writes.
+    /// One engine prefills; another one fetches the KV cache and decodes.
     Split {
-        /// The engine that reads.
+        /// The engine that prefills.
         prefill: usize,
-        /// The engine that writes.
+        /// The engine that decodes.
         decode: usize,
     },
 }
 
-/// A plan with the time that its first event is expected to take.
+/// A placement with the expected time to its first event.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Choice {
-    /// The plan.
+    /// The placement.
     pub placement: Placement,
-    /// Time to the first event, in microseconds.
+    /// Expected time to the first event, in microseconds.
     pub first_event_us: f64,
 }
 
-/// Chooses the plan that costs least; none if no engine can take it at all.
+/// Chooses the placement of the lowest cost; `None` if no engine can take the request.
 #[must_use]
-pub fn choose(engines: &[Engine], ask: &Request, weights: &Weights) -> Option<Choice> {
-    let whole = cheapest(engines, weights, |engine| {
-        let open = engine.stage == Stage::Decode
-            && has_decode_slot(engine, ask, weights)
-            && tolerates_prefill(engine, ask, weights);
-        open.then(|| single_engine_cost(engine, ask, weights))
+pub fn choose(engines: &[Engine], request: &Request, weights: &Weights) -> Option<Choice> {
+    let single = cheapest(engines, weights, |engine| {
+        let is_open = engine.stage == Stage::Decode
+            && has_decode_slot(engine, request, weights)
+            && tolerates_prefill(engine, request, weights);
+        is_open.then(|| single_engine_cost(engine, request, weights))
     });
-    let reads = cheapest(engines, weights, |engine| {
-        (engine.stage == Stage::Prefill).then(|| prefill_cost(engine, ask, weights))
+    let prefill = cheapest(engines, weights, |engine| {
+        (engine.stage == Stage::Prefill).then(|| prefill_cost(engine, request, weights))
     });
-    let writes = cheapest(engines, weights, |engine| {
-        let open = engine.stage == Stage::Decode && has_decode_slot(engine, ask, weights);
-        open.then(|| decode_cost(engine, ask, weights))
+    let decode = cheapest(engines, weights, |engine| {
+        let is_open = engine.stage == Stage::Decode && has_decode_slot(engine, request, weights);
+        is_open.then(|| decode_cost(engine, request, weights))
     });
-    let split = reads.zip(writes).map(|(reads, writes)| {
-        let plan = Placement::Split {
-            prefill: reads.engine,
-            decode: writes.engine,
+    let split = prefill.zip(decode).map(|(prefill, decode)| {
+        let placement = Placement::Split {
+            prefill: prefill.engine,
+            decode: decode.engine,
         };
-        let first = reads.duration_us + writes.duration_us;
-        let cost = reads.weighted_us + writes.weighted_us;
+        let first_event_us = prefill.duration_us + decode.duration_us;
+        let weighted_us = prefill.weighted_us + decode.weighted_us;
         (
             Choice {
-                placement: plan,
-                first_event_us: first,
+                placement,
+                first_event_us,
             },
-            cost,
+            weighted_us,
         )
     });
-    let whole = whole.map(|found| {
-        let plan = Placement::Single {
+    let single = single.map(|found| {
+        let placement = Placement::Single {
             engine: found.engine,
         };
-        let first = found.duration_us;
+        let first_event_us = found.duration_us;
         (
             Choice {
-                placement: plan,
-                first_event_us: first,
+                placement,
+                first_event_us,
             },
             found.weighted_us,
             found.uncached_tokens,
         )
     });
-    match (whole, split) {
-        (Some((whole, _, unread)), _) if unread <= weights.short_prompt_max_tokens => Some(whole),
-        (Some((whole, cost, _)), Some((split, other))) => {
-            Some(if cost < other { whole } else { split })
+    match (single, split) {
+        (Some((single, _, uncached_tokens)), _)
+            if uncached_tokens <= weights.short_prompt_max_tokens =>
+        {
+            Some(single)
         }
-        (Some((whole, ..)), None) => Some(whole),
+        (Some((single, single_us, _)), Some((split, split_us))) => {
+            Some(if single_us < split_us { single } else { split })
+        }
+        (Some((single, ..)), None) => Some(single),
         (None, split) => split.map(|(split, _)| split),
     }
 }
 
-/// Where a prompt is read that gives way to all others.
+/// Where a deferred prompt is prefilled.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Deferred {
-    /// The engine, by its index in the view.
+    /// The engine, by its index in the snapshot.
     pub engine: usize,
-    /// Time until it is read, in microseconds.
+    /// Expected time until the prompt is prefilled, in microseconds.
     pub prefill_us: f64,
 }
 
-/// Chooses an engine that reads, for a prompt that comes too late anyway and gives way to all that
-/// don't; none if it would not be read within `time`, in microseconds.
+/// Chooses a prefill engine for a deferred prompt: one that misses its time to first token anyway and
+/// yields to all that don't. `None` if no engine would prefill it within `max_prefill_us`.
 #[must_use]
 pub fn choose_deferred(
     engines: &[Engine],
-    ask: &Request,
+    request: &Request,
     weights: &Weights,
-    time: f64,
+    max_prefill_us: f64,
 ) -> Option<Deferred> {
     let found = cheapest(engines, weights, |engine| {
         if engine.stage != Stage::Prefill {
             return None;
         }
-        let cost = prefill_cost(engine, ask, weights);
-        let late = to_f64(engine.deferred_work + engine.prefill_work - engine_work_ahead(engine))
-            * engine.latency.prefill_token_us;
-        (cost.duration_us + late <= time).then_some(Cost {
-            duration_us: cost.duration_us + late,
-            weighted_us: cost.weighted_us + late,
+        let cost = prefill_cost(engine, request, weights);
+        // It waits for all work there, of which `prefill_cost` includes what precedes a normal prompt.
+        let extra_us =
+            to_f64(engine.deferred_work + engine.prefill_work - engine_work_ahead(engine))
+                * engine.latency.prefill_token_us;
+        (cost.duration_us + extra_us <= max_prefill_us).then_some(Cost {
+            duration_us: cost.duration_us + extra_us,
+            weighted_us: cost.weighted_us + extra_us,
             ..cost
         })
     });
@@ -254,22 +261,26 @@
     })
 }
 
-/// Chooses an engine that writes, for a prompt that another engine has read already.
+/// Chooses a decode engine for a prompt that another engine has prefilled already.
 #[must_use]
-pub fn choose_decode_engine(engines: &[Engine], ask: &Request, weights: &Weights) -> Option<usize> {
+pub fn choose_decode_engine(
+    engines: &[Engine],
+    request: &Request,
+    weights: &Weights,
+) -> Option<usize> {
     let found = cheapest(engines, weights, |engine| {
-        let open = engine.stage == Stage::Decode && has_decode_slot(engine, ask, weights);
-        open.then(|| decode_cost(engine, ask, weights))
+        let is_open = engine.stage == Stage::Decode && has_decode_slot(engine, request, weights);
+        is_open.then(|| decode_cost(engine, request, weights))
     });
     found.map(|found| found.engine)
 }
 
 struct Cost {
-    /// Time to what is wanted of the engine.
+    /// Time until the engine has done its part up to the first event.
     duration_us: f64,
-    /// What is compared.
+    /// The duration plus penalties; placements are compared by it.
     weighted_us: f64,
-    /// Prompt tokens that it would have to read.
+    /// Prompt tokens that the engine would have to prefill.
     uncached_tokens: u64,
 }
 
@@ -280,30 +291,30 @@
     uncached_tokens: u64,
 }
 
-/// Whether an engine can take the answer: it has a slot, and a long answer would end in time there.
-fn has_decode_slot(engine: &Engine, ask: &Request, weights: &Weights) -> bool {
+/// Whether an engine has a slot for the answer and, if the answer is long, would complete it in time.
+fn has_decode_slot(engine: &Engine, request: &Request, weights: &Weights) -> bool {
     let slots = to_f64(engine.decode_slots);
-    let writing = to_f64(engine.answers);
-    if ask.expected_output_tokens <= weights.short_answer_max_tokens {
-        return writing < slots * weights.slot_ratio;
+    let answers = to_f64(engine.answers);
+    if request.expected_output_tokens <= weights.short_answer_max_tokens {
+        return answers < slots * weights.max_slot_ratio;
     }
-    let ends = engine.latency.decode_token_us
-        <= ask.max_inter_token_latency_us * weights.latency_limit_ratio
+    let meets_deadline = engine.latency.decode_token_us
+        <= request.max_inter_token_latency_us * weights.latency_limit_ratio
         || engine.long_answers == 0;
-    writing < slots * weights.long_answer_slot_ratio && ends
+    answers < slots * weights.long_answer_max_slot_ratio && meets_deadline
 }
 
-/// Whether an engine would read so little of the prompt that it is read where it is answered.
+/// Whether an engine would prefill so few tokens of the prompt that it is prefilled where it is decoded.
 #[must_use]
-pub fn is_short_prefill(engine: &Engine, ask: &Request, weights: &Weights) -> bool {
-    uncached_tokens(engine, ask) <= weights.short_prompt_max_tokens
+pub fn is_short_prefill(engine: &Engine, request: &Request, weights: &Weights) -> bool {
+    uncached_tokens(engine, request) <= weights.short_prompt_max_tokens
 }
 
-/// Work that is done before a prompt is read: all that goes before it, and one prompt that gives way, as an
-/// engine that has begun to read one reads it to its end.
+/// Returns the work that is done before a new prompt: all prompts ahead of it and one deferred prompt,
+/// because an engine completes a prefill that it has started.
 #[must_use]
-pub fn work_ahead(reading: u64, late: u64, late_prompts: u64) -> u64 {
-    reading + late.checked_div(late_prompts).unwrap_or(0)
+pub fn work_ahead(prefill_work: u64, deferred_work: u64, deferred_prompts: u64) -> u64 {
+    prefill_work + deferred_work.checked_div(deferred_prompts).unwrap_or(0)
 }
 
 fn engine_work_ahead(engine: &Engine) -> u64 {
@@ -314,138 +325,146 @@
     )
 }
 
-fn uncached_tokens(engine: &Engine, ask: &Request) -> u64 {
-    ask.prompt_tokens
+fn uncached_tokens(engine: &Engine, request: &Request) -> u64 {
+    request
+        .prompt_tokens
         .saturating_sub(engine.cached_tokens + engine.fetch.tokens)
 }
 
-fn uncached_work(engine: &Engine, ask: &Request) -> u64 {
+fn uncached_work(engine: &Engine, request: &Request) -> u64 {
     prompt::prefill_work(
-        ask.prompt_tokens,
+        request.prompt_tokens,
         engine.cached_tokens + engine.fetch.tokens,
     )
 }
 
-/// Whether the answers that an engine writes bear that it reads the prompt between their tokens: none
-/// may pause for too long, and long ones must end in time.
-fn tolerates_prefill(engine: &Engine, ask: &Request, weights: &Weights) -> bool {
-    let backlog = event_us(engine, ask) + prefill_time_us(engine, uncached_work(engine, ask));
-    let bears_pause = backlog <= ask.max_stall_us * weights.backlog_limit_ratio
-        || tolerates_sustained_prefill(engine, ask, weights);
-    let slowest = engine.latency.decode_token_us * weights.prefill_slowdown_factor;
-    let reads_long = uncached_tokens(engine, ask) > weights.short_prompt_max_tokens;
-    let ends = engine.long_answers == 0
-        || !reads_long
-        || slowest <= ask.service_max_inter_token_latency_us * weights.latency_limit_ratio;
-    engine.answers == 0 || (bears_pause && ends)
+/// Whether the answers that an engine decodes tolerate that it prefills the prompt between its decode
+/// steps: none may stall for too long, and long ones must meet their deadline.
+fn tolerates_prefill(engine: &Engine, request: &Request, weights: &Weights) -> bool {
+    let backlog_us =
+        event_us(engine, request) + prefill_time_us(engine, uncached_work(engine, request));
+    let tolerates_stall = backlog_us <= request.max_stall_us * weights.backlog_limit_ratio
+        || tolerates_sustained_prefill(engine, request, weights);
+    let slowed_us = engine.latency.decode_token_us * weights.prefill_slowdown_factor;
+    let is_long_prefill = uncached_tokens(engine, request) > weights.short_prompt_max_tokens;
+    let meets_deadline = engine.long_answers == 0
+        || !is_long_prefill
+        || slowed_us <= request.service_max_inter_token_latency_us * weights.latency_limit_ratio;
+    engine.answers == 0 || (tolerates_stall && meets_deadline)
 }
 
-/// Whether no answer there pauses for too long, however much the engine reads.
-fn tolerates_sustained_prefill(engine: &Engine, ask: &Request, weights: &Weights) -> bool {
-    let slowed = sustained_prefill_delay_us(engine, ask).map(|more| event_us(engine, ask) + more);
-    slowed.is_some_and(|pause| pause <= ask.max_stall_us * weights.latency_limit_ratio)
+/// Whether no answer there stalls for too long, however much the engine prefills.
+fn tolerates_sustained_prefill(engine: &Engine, request: &Request, weights: &Weights) -> bool {
+    let stall_us = sustained_prefill_delay_us(engine, request)
+        .map(|delay_us| event_us(engine, request) + delay_us);
+    stall_us.is_some_and(|stall_us| stall_us <= request.max_stall_us * weights.latency_limit_ratio)
 }
 
-/// Time of one event of an answer while nothing is read.
-fn event_us(engine: &Engine, ask: &Request) -> f64 {
-    to_f64(ask.tokens_per_event) * engine.latency.decode_token_us
+/// Returns the time between two events of an answer while nothing is prefilled.
+fn event_us(engine: &Engine, request: &Request) -> f64 {
+    to_f64(request.tokens_per_event) * engine.latency.decode_token_us
 }
 
-/// How much longer one event takes if the engine reads what waits there and so much more work: no
-/// longer than that reading takes, and no longer than each of its tokens is held up by.
-fn prefill_delay_us(engine: &Engine, ask: &Request, more: u64) -> f64 {
-    let reading = prefill_time_us(engine, more);
-    sustained_prefill_delay_us(engine, ask).map_or(reading, |sustained| reading.min(sustained))
+/// Returns the delay of one event if the engine prefills its backlog and `extra_work`: at most the time
+/// of that prefill, and at most the delay of sustained prefill.
+fn prefill_delay_us(engine: &Engine, request: &Request, extra_work: u64) -> f64 {
+    let prefill_us = prefill_time_us(engine, extra_work);
+    sustained_prefill_delay_us(engine, request)
+        .map_or(prefill_us, |sustained_us| prefill_us.min(sustained_us))
 }
 
-/// Time to read what waits at an engine and so much more work.
-fn prefill_time_us(engine: &Engine, more: u64) -> f64 {
-    to_f64(engine.prefill_work + more) * engine.latency.prefill_token_us
+/// Returns the time to prefill an engine's backlog and `extra_work`.
+fn prefill_time_us(engine: &Engine, extra_work: u64) -> f64 {
+    to_f64(engine.prefill_work + extra_work) * engine.latency.prefill_token_us
 }
 
-/// How much longer one event takes while prompts are read all the time; none before that was seen.
-fn sustained_prefill_delay_us(engine: &Engine, ask: &Request) -> Option<f64> {
-    let slowed = engine.latency.contended_token_us?;
-    Some((slowed - engine.latency.decode_token_us).max(0.0) * to_f64(ask.tokens_per_event))
+/// Returns the delay of one event while prompts are prefilled without a break; `None` until that has
+/// been observed.
+fn sustained_prefill_delay_us(engine: &Engine, request: &Request) -> Option<f64> {
+    let contended_us = engine.latency.contended_token_us?;
+    Some(
+        (contended_us - engine.latency.decode_token_us).max(0.0) * to_f64(request.tokens_per_event),
+    )
 }
 
-/// Only reads the prompt.
-fn prefill_cost(engine: &Engine, ask: &Request, weights: &Weights) -> Cost {
-    let unread = uncached_tokens(engine, ask);
-    let first = to_f64(engine.extra_round_trip)
+/// Returns the cost of prefill alone.
+fn prefill_cost(engine: &Engine, request: &Request, weights: &Weights) -> Cost {
+    let uncached_tokens = uncached_tokens(engine, request);
+    let duration_us = to_f64(engine.extra_round_trip)
         + engine.latency.overhead_us
         + engine.fetch.time_us
-        + to_f64(engine_work_ahead(engine) + uncached_work(engine, ask))
+        + to_f64(engine_work_ahead(engine) + uncached_work(engine, request))
             * engine.latency.prefill_token_us;
     Cost {
-        duration_us: first,
-        weighted_us: first + engine_penalty_us(engine, weights),
-        uncached_tokens: unread,
+        duration_us,
+        weighted_us: duration_us + engine_penalty_us(engine, weights),
+        uncached_tokens,
     }
 }
 
-/// Only writes, the prompt being read elsewhere. The tokens of the first event wait for the prompts that
-/// the engine reads.
-fn decode_cost(engine: &Engine, ask: &Request, weights: &Weights) -> Cost {
-    let held_up = prefill_delay_us(engine, ask, 0);
-    let first = to_f64(engine.extra_round_trip) + engine.latency.overhead_us + held_up;
+/// Returns the cost of decode alone, with the prompt prefilled elsewhere. The first event waits for the
+/// prompts that the engine prefills.
+fn decode_cost(engine: &Engine, request: &Request, weights: &Weights) -> Cost {
+    let delay_us = prefill_delay_us(engine, request, 0);
+    let duration_us = to_f64(engine.extra_round_trip) + engine.latency.overhead_us + delay_us;
     Cost {
-        duration_us: first,
-        weighted_us: first
-            + long_answer_penalty_us(engine, ask, weights)
+        duration_us,
+        weighted_us: duration_us
+            + long_answer_penalty_us(engine, request, weights)
             + engine_penalty_us(engine, weights),
         uncached_tokens: 0,
     }
 }
 
-/// Reads and writes on one engine.
-fn single_engine_cost(engine: &Engine, ask: &Request, weights: &Weights) -> Cost {
-    let unread = uncached_tokens(engine, ask);
-    let own = to_f64(uncached_work(engine, ask)) * engine.latency.prefill_token_us;
-    let ahead = to_f64(engine_work_ahead(engine)) * engine.latency.prefill_token_us;
-    let start = engine.latency.overhead_us + engine.fetch.time_us;
-    let first = to_f64(engine.extra_round_trip) + start + ahead + own;
-    let disturbed = if tolerates_sustained_prefill(engine, ask, weights) {
+/// Returns the cost of prefill and decode on one engine.
+fn single_engine_cost(engine: &Engine, request: &Request, weights: &Weights) -> Cost {
+    let uncached_tokens = uncached_tokens(engine, request);
+    let own_us = to_f64(uncached_work(engine, request)) * engine.latency.prefill_token_us;
+    let ahead_us = to_f64(engine_work_ahead(engine)) * engine.latency.prefill_token_us;
+    let start_us = engine.latency.overhead_us + engine.fetch.time_us;
+    let duration_us = to_f64(engine.extra_round_trip) + start_us + ahead_us + own_us;
+    let delayed_answers = if tolerates_sustained_prefill(engine, request, weights) {
         engine.long_answers
     } else {
         engine.answers
     };
-    let held_up = own * to_f64(disturbed) * weights.interference_weight;
+    let interference_us = own_us * to_f64(delayed_answers) * weights.interference_weight;
     Cost {
-        duration_us: first,
-        weighted_us: first
-            + held_up
-            + long_answer_penalty_us(engine, ask, weights)
+        duration_us,
+        weighted_us: duration_us
+            + interference_us
+            + long_answer_penalty_us(engine, request, weights)
             + engine_penalty_us(engine, weights),
-        uncached_tokens: unread,
+        uncached_tokens,
     }
 }
 
-/// What it counts to write the answer there, besides the time to its beginning.
-fn long_answer_penalty_us(engine: &Engine, ask: &Request, weights: &Weights) -> f64 {
-    if ask.expected_output_tokens <= weights.short_answer_max_tokens {
+/// Returns the penalty for decoding a long answer there: the prefill backlog, which delays it, and the
+/// cost of the first long answer on an engine. Zero for a short answer.
+fn long_answer_penalty_us(engine: &Engine, request: &Request, weights: &Weights) -> f64 {
+    if request.expected_output_tokens <= weights.short_answer_max_tokens {
         return 0.0;
     }
-    let behind = to_f64(engine.prefill_work) * engine.latency.prefill_token_us;
-    let opens = if engine.long_answers == 0 {
+    let backlog_us = to_f64(engine.prefill_work) * engine.latency.prefill_token_us;
+    let first_us = if engine.long_answers == 0 {
         weights.first_long_answer_penalty_us
     } else {
         0.0
     };
-    opens + behind
+    first_us + backlog_us
 }
 
-/// What counts against an engine besides the time that it takes.
+/// Returns the penalty for an engine in another data centre and for its failures.
 fn engine_penalty_us(engine: &Engine, weights: &Weights) -> f64 {
-    let remote = if engine.extra_round_trip > 0 {
+    let remote_us = if engine.extra_round_trip > 0 {
         weights.remote_penalty_us
     } else {
         0.0
     };
-    remote + engine.failure_ratio * weights.failure_penalty_us
+    remote_us + engine.failure_ratio * weights.failure_penalty_us
 }
 
-/// The first engine in the decider's own order of those that are hardly dearer than the cheapest.
+/// Returns the first engine by rank among those within [`Weights::tie_margin_us`] of the lowest cost.
 fn cheapest(
     engines: &[Engine],
     weights: &Weights,
@@ -454,19 +473,19 @@
     let costs: Vec<(usize, Cost)> = engines
         .iter()
         .enumerate()
-        .filter_map(|(at, engine)| Some((at, cost(engine)?)))
+        .filter_map(|(index, engine)| Some((index, cost(engine)?)))
         .collect();
-    let least = costs
+    let lowest_us = costs
         .iter()
         .map(|(_, cost)| cost.weighted_us)
         .min_by(f64::total_cmp)?;
-    let bound = least + weights.tie_margin_us;
+    let limit_us = lowest_us + weights.tie_margin_us;
     costs
         .iter()
-        .filter(|(_, cost)| cost.weighted_us <= bound)
-        .min_by_key(|(at, _)| engines[*at].rank)
-        .map(|(at, cost)| Found {
-            engine: *at,
+        .filter(|(_, cost)| cost.weighted_us <= limit_us)
+        .min_by_key(|(index, _)| engines[*index].rank)
+        .map(|(index, cost)| Found {
+            engine: *index,
             duration_us: cost.duration_us,
             weighted_us: cost.weighted_us,
             uncached_tokens: cost.uncached_tokens,
--- a/components/policy/src/prefix_cache.rs
+++ b/components/policy/src/prefix_cache.rs
@@ -1,89 +1,93 @@
-//! Which parts of prompts an engine likely still holds, told from what was sent there.
+//! Estimates which prompt parts an engine's KV cache still holds, from the prompts sent to it.
 //!
-//! An engine keeps the parts that it used last, as far as its memory goes. So a part is likely still
-//! held if less than the engine's memory has passed through it since the part was last used.
+//! An engine keeps the most recently used parts, as far as its memory goes. So a part is likely still
+//! cached if fewer tokens than fit into that memory have passed through the engine since its last use.
 
 use crate::{Micros, prompt::Part};
 
-/// The part of an engine's memory that is counted on for parts that nobody uses just now; the rest is
-/// taken by requests under way, which can't yield.
+/// Percentage of an engine's memory that is assumed to hold parts not in use; the rest is taken by
+/// requests in flight, which can't be evicted.
 const USABLE_PERCENT: u64 = 80;
 const PERCENT: u64 = 100;
-/// The most parts remembered of an engine; older ones are forgotten first.
+/// Maximum number of parts tracked per engine; the least recently used are dropped first.
 const MAX_PARTS: usize = 4_096;
 
-/// A part that was used at an engine.
+/// A part that an engine has used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct CachedPart {
     key: u64,
-    /// What had passed through the engine when it was last used.
+    /// Value of [`PrefixCache::processed_tokens`] at its last use.
     last_used: u64,
-    /// When it has been read, by expectation.
+    /// When its prefill is expected to be done.
     cached_at: Micros,
 }
 
-/// The parts of one engine.
+/// The parts that one engine likely holds.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PrefixCache {
-    /// Tokens that its memory holds.
+    /// Tokens that fit into the usable part of its memory.
     capacity_tokens: u64,
-    /// Tokens that have passed through it so far.
+    /// Tokens that have passed through the engine so far.
     processed_tokens: u64,
     /// Parts, sorted by key.
     parts: Vec<CachedPart>,
 }
 
 impl PrefixCache {
-    /// An empty memory of so many tokens.
+    /// Creates an empty cache for an engine whose memory holds so many tokens.
     #[must_use]
-    pub fn new(tokens: u64) -> Self {
-        let mut memory = Self::default();
-        memory.resize(tokens);
-        memory
+    pub fn new(memory_tokens: u64) -> Self {
+        let mut cache = Self::default();
+        cache.resize(memory_tokens);
+        cache
     }
 
-    /// Takes that it holds so many tokens, whatever was thought before.
-    pub fn resize(&mut self, tokens: u64) {
-        self.capacity_tokens = tokens * USABLE_PERCENT / PERCENT;
+    /// Sets the number of tokens that the engine's memory holds; tracked parts are kept.
+    pub fn resize(&mut self, memory_tokens: u64) {
+        self.capacity_tokens = memory_tokens * USABLE_PERCENT / PERCENT;
     }
 
-    /// Tokens of a prompt that it likely holds, or will when its turn comes there: the parts up to the first one
-    /// that it lacks.
+    /// Returns how many leading tokens of a prompt are likely cached now, or will be by the time the
+    /// engine starts on it: all parts before the first one that is missing.
     #[must_use]
     pub fn cached_tokens(&self, parts: &[Part]) -> u64 {
-        self.count_leading_tokens(parts, |used| self.is_cached(used))
+        self.count_leading_tokens(parts, |part| self.is_cached(part))
     }
 
-    /// Tokens of a prompt that others can fetch there now: what is still being read can't be.
+    /// Returns how many leading tokens of a prompt other engines can fetch at `now`, which excludes
+    /// parts whose prefill is not done yet.
     #[must_use]
     pub fn fetchable_tokens(&self, parts: &[Part], now: Micros) -> u64 {
-        self.count_leading_tokens(parts, |used| self.is_cached(used) && used.cached_at <= now)
+        self.count_leading_tokens(parts, |part| self.is_cached(part) && part.cached_at <= now)
     }
 
-    /// Notes that a prompt was used there, whose parts will have been read at a time unless they were before.
-    pub fn record_use(&mut self, parts: &[Part], read_at: Micros) {
-        let held = self.cached_tokens(parts);
-        let all: u64 = parts.iter().map(|part| part.tokens).sum();
-        self.processed_tokens += all - held;
-        let mut before = 0;
+    /// Records the use of a prompt. Its parts are cached from `cached_at` on, unless they already were.
+    pub fn record_use(&mut self, parts: &[Part], cached_at: Micros) {
+        let cached_tokens = self.cached_tokens(parts);
+        let prompt_tokens: u64 = parts.iter().map(|part| part.tokens).sum();
+        self.processed_tokens += prompt_tokens - cached_tokens;
+        let mut end = 0;
         for part in parts {
-            before += part.tokens;
-            let passed = self.processed_tokens;
-            match self.parts.binary_search_by_key(&part.key, |used| used.key) {
-                Ok(at) => {
-                    let used = &mut self.parts[at];
-                    used.last_used = passed;
-                    if before > held {
-                        used.cached_at = read_at;
+            end += part.tokens;
+            let last_used = self.processed_tokens;
+            match self
+                .parts
+                .binary_search_by_key(&part.key, |known| known.key)
+            {
+                Ok(index) => {
+                    let known = &mut self.parts[index];
+                    known.last_used = last_used;
+                    if end > cached_tokens {
+                        known.cached_at = cached_at;
                     }
                 }
-                Err(at) => {
-                    let used = CachedPart {
+                Err(index) => {
+                    let new = CachedPart {
                         key: part.key,
-                        last_used: passed,
-                        cached_at: read_at,
+                        last_used,
+                        cached_at,
                     };
-                    self.parts.insert(at, used);
+                    self.parts.insert(index, new);
                 }
             }
         }
@@ -92,7 +96,7 @@
         }
     }
 
-    /// Notes that everything was lost, as after a restart.
+    /// Drops all parts, as after a restart of the engine.
     pub fn clear(&mut self) {
         self.parts.clear();
     }
@@ -106,22 +110,24 @@
     }
 
     fn find(&self, key: u64) -> Option<&CachedPart> {
-        let at = self.parts.binary_search_by_key(&key, |used| used.key);
-        at.ok().map(|at| &self.parts[at])
+        let index = self.parts.binary_search_by_key(&key, |part| part.key);
+        index.ok().map(|index| &self.parts[index])
     }
 
-    fn is_cached(&self, used: &CachedPart) -> bool {
-        self.processed_tokens - used.last_used < self.capacity_tokens
+    fn is_cached(&self, part: &CachedPart) -> bool {
+        self.processed_tokens - part.last_used < self.capacity_tokens
     }
 
+    /// Drops the parts that are no longer cached, and the older half of the rest if too many remain.
     fn evict(&mut self) {
-        let (passed, capacity) = (self.processed_tokens, self.capacity_tokens);
-        self.parts.retain(|used| passed - used.last_used < capacity);
+        let (processed_tokens, capacity_tokens) = (self.processed_tokens, self.capacity_tokens);
+        self.parts
+            .retain(|part| processed_tokens - part.last_used < capacity_tokens);
         if self.parts.len() > MAX_PARTS {
-            let mut ages: Vec<u64> = self.parts.iter().map(|used| used.last_used).collect();
-            ages.sort_unstable();
-            let oldest = ages[ages.len() / 2];
-            self.parts.retain(|used| used.last_used > oldest);
+            let mut last_uses: Vec<u64> = self.parts.iter().map(|part| part.last_used).collect();
+            last_uses.sort_unstable();
+            let median = last_uses[last_uses.len() / 2];
+            self.parts.retain(|part| part.last_used > median);
         }
     }
 }
--- a/components/policy/src/retry.rs
+++ b/components/policy/src/retry.rs
@@ -1,4 +1,4 @@
-//! Whether a failed attempt may be followed by another.
+//! Whether a failed attempt may be retried.
 
 use std::collections::VecDeque;
 
@@ -7,24 +7,24 @@
 /// What is known of a failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureClass {
-    /// It certainly did not run.
+    /// The request certainly was not executed.
     NotExecuted,
-    /// It may have run.
+    /// The request may have been executed.
     MaybeExecuted,
-    /// Another attempt would end the same way.
+    /// Another attempt would fail the same way.
     Permanent,
 }
 
-/// A budget of attempts after the first, a fraction of recent successes, so that a fleet in
-/// trouble is not flooded by its own retries.
+/// A retry budget: a fraction of recent successes, so that retries do not flood a fleet that is already
+/// failing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Budget {
     credit: u32,
 }
 
-/// What a retry takes; each success adds one.
+/// Credit that a retry takes; each success adds one.
 const CREDIT_PER_RETRY: u32 = 10;
-/// The most that is saved up, and what a new daemon starts with: twenty retries.
+/// Maximum credit, with which a process also starts: twenty retries.
 const MAX_CREDIT: u32 = 20 * CREDIT_PER_RETRY;
 
 impl Default for Budget {
@@ -34,84 +34,84 @@
 }
 
 impl Budget {
-    /// Notes a success.
+    /// Records a success.
     pub fn record_success(&mut self) {
         self.credit = (self.credit + 1).min(MAX_CREDIT);
     }
 
-    /// Takes one retry out of the budget, if there is one.
+    /// Takes one retry out of the budget. Returns whether there was one.
     pub fn try_spend(&mut self) -> bool {
-        let enough = self.credit >= CREDIT_PER_RETRY;
-        if enough {
+        let suffices = self.credit >= CREDIT_PER_RETRY;
+        if suffices {
             self.credit -= CREDIT_PER_RETRY;
         }
-        enough
+        suffices
     }
 }
 
-/// The most attempts for one request, resumed ones included.
+/// Maximum number of attempts for one request, resumed ones included.
 pub const MAX_ATTEMPTS: u32 = 6;
 
-/// Whether another attempt may be made.
+/// Whether another attempt may be made; if so, takes it out of the budget.
 #[must_use]
 pub fn allow_retry(
     class: FailureClass,
-    repeatable: bool,
+    idempotent: bool,
     attempts: u32,
-    left: Micros,
-    needed: Micros,
+    time_left: Micros,
+    time_needed: Micros,
     budget: &mut Budget,
 ) -> bool {
-    let allowed = match class {
+    let is_safe = match class {
         FailureClass::NotExecuted => true,
-        FailureClass::MaybeExecuted => repeatable,
+        FailureClass::MaybeExecuted => idempotent,
         FailureClass::Permanent => false,
     };
-    allowed && attempts < MAX_ATTEMPTS && left > needed && budget.try_spend()
+    is_safe && attempts < MAX_ATTEMPTS && time_left > time_needed && budget.try_spend()
 }
 
-/// What a window counts, and the repeats that it allows.
+/// What a window holds, and how many retries it allows.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Usage {
     /// Requests in the window.
     pub requests: u64,
-    /// Repeats in the window.
+    /// Retries in the window.
     pub retries: u64,
-    /// The most repeats that it may hold.
+    /// Maximum number of retries in the window.
     pub allowed_retries: f64,
 }
 
 impl Usage {
-    /// Whether one more repeat is allowed.
+    /// Whether one more retry is allowed.
     #[must_use]
     pub fn allows_retry(&self) -> bool {
         to_f64(self.retries) + 1.0 <= self.allowed_retries
     }
 }
 
-/// Repeats that several deciders share without asking each other: each keeps to its own requests'
-/// part and to its share of the slack, over a window that slides.
+/// One process's part of a retry budget that several processes share without coordination: a ratio of
+/// its own requests plus its share of the slack, over a sliding window.
 #[derive(Clone, Debug)]
 pub struct Window {
     span: Micros,
-    /// Times of requests in the window, the oldest first.
+    /// Times of the requests in the window, the oldest first.
     requests: VecDeque<Micros>,
-    /// Times of repeats in the window, the oldest first.
+    /// Times of the retries in the window, the oldest first.
     retries: VecDeque<Micros>,
-    /// Until then repeats of a process before this one may still be in the window.
+    /// Until then, retries of the process that this one replaced may still be in the window.
     inherited_until: Micros,
 }
 
-/// The part of what is allowed that is used: the deciders' windows don't slide together, and a
-/// repeat arrives later than it was counted.
+/// Fraction of the allowed retries that is used, because the processes' windows are not aligned and a
+/// retry arrives later than it was counted.
 const USED_RATIO: f64 = 0.8;
-/// The part of the ratio that a restarted process uses while repeats of the one before it may be in the window, and
-/// nothing of the slack. That one may have used all of its part, so both together must stay within the whole:
-/// `USED * (1 + RESTARTED) < 1`.
+/// Fraction of the ratio that a restarted process uses, with no slack, while retries of its predecessor
+/// may be in the window. The predecessor may have used its whole part, so both together must stay within
+/// the limit: `USED_RATIO * (1 + RESTARTED_RATIO) < 1`.
 const RESTARTED_RATIO: f64 = 0.2;
 
 impl Window {
-    /// An empty window of a span.
+    /// Creates an empty window of this length.
     #[must_use]
     pub fn new(span: Micros) -> Self {
         Self {
@@ -122,7 +122,7 @@
         }
     }
 
-    /// The window of a process that starts where another one ran until now.
+    /// Creates the window of a process that replaces another one at `now`.
     #[must_use]
     pub fn restarted(span: Micros, now: Micros) -> Self {
         Self {
@@ -131,13 +131,13 @@
         }
     }
 
-    /// Counts a request.
+    /// Records a request.
     pub fn record_request(&mut self, now: Micros) {
         self.expire(now);
         self.requests.push_back(now);
     }
 
-    /// What the window counts, and what is allowed in it.
+    /// Returns what the window holds, and what it allows.
     pub fn usage(&mut self, now: Micros, ratio: f64, slack: f64) -> Usage {
         self.expire(now);
         let count = |times: &VecDeque<Micros>| u64::try_from(times.len()).unwrap_or(u64::MAX);
@@ -154,7 +154,7 @@
         }
     }
 
-    /// Takes one repeat, if there is one left. Says what the window held before it.
+    /// Takes one retry if one is left. Returns the usage before it.
     pub fn try_spend(&mut self, now: Micros, ratio: f64, slack: f64) -> Usage {
         let usage = self.usage(now, ratio, slack);
         if usage.allows_retry() {
@@ -163,17 +163,17 @@
         usage
     }
 
-    /// Gives a repeat back that was taken at this time and did not become one.
-    pub fn refund(&mut self, taken: Micros) {
-        if let Ok(at) = self.retries.binary_search(&taken) {
-            self.retries.remove(at);
+    /// Returns a retry that was taken at this time but not sent.
+    pub fn refund(&mut self, taken_at: Micros) {
+        if let Ok(index) = self.retries.binary_search(&taken_at) {
+            self.retries.remove(index);
         }
     }
 
     fn expire(&mut self, now: Micros) {
-        let from = now.saturating_sub(self.span);
+        let start = now.saturating_sub(self.span);
         for times in [&mut self.requests, &mut self.retries] {
-            while times.front().is_some_and(|time| *time < from) {
+            while times.front().is_some_and(|time| *time < start) {
                 times.pop_front();
             }
         }
--- a/components/policy/src/role.rs
+++ b/components/policy/src/role.rs
@@ -1,9 +1,9 @@
-//! How many engines read and how many write, and whether a change pays. See
+//! Decides how many engines prefill and how many decode, and whether a change of role pays. See
 //! `docs/DESIGN.md#roles`.
 
 use crate::{Micros, to_f64};
 
-/// Demand of the two phases, in engines' worth of work, with a fast and a slow average.
+/// Demand for both phases, as a fast and a slow moving average.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Demand {
     fast: Load,
@@ -11,12 +11,12 @@
     updated_at: Micros,
 }
 
-/// Engines' worth of work of each phase.
+/// Load of both phases, as the number of engines that it would keep busy.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Load {
-    /// Reading prompts.
+    /// Engines that prefill would keep busy.
     pub prefill: f64,
-    /// Writing answers.
+    /// Engines that decode would keep busy.
     pub decode: f64,
 }
 
@@ -25,42 +25,42 @@
 const SLOW_AVERAGE_US: f64 = 120e6;
 
 impl Demand {
-    /// Takes the work that arrived since the last call.
-    pub fn observe(&mut self, now: Micros, read_work: Micros, write_work: Micros) {
-        let span = to_f64(now.saturating_sub(self.updated_at)).max(1.0);
+    /// Adds the work that has arrived since the last call.
+    pub fn observe(&mut self, now: Micros, prefill_work: Micros, decode_work: Micros) {
+        let elapsed = to_f64(now.saturating_sub(self.updated_at)).max(1.0);
         self.updated_at = now;
         let load = Load {
-            prefill: to_f64(read_work) / span,
-            decode: to_f64(write_work) / span,
+            prefill: to_f64(prefill_work) / elapsed,
+            decode: to_f64(decode_work) / elapsed,
         };
-        self.fast = interpolate(self.fast, load, span / FAST_AVERAGE_US);
-        self.slow = interpolate(self.slow, load, span / SLOW_AVERAGE_US);
+        self.fast = interpolate(self.fast, load, elapsed / FAST_AVERAGE_US);
+        self.slow = interpolate(self.slow, load, elapsed / SLOW_AVERAGE_US);
     }
 
-    /// What to plan for: the slow average, moved towards the fast one.
+    /// Returns the load to plan for: the slow average, moved towards the fast one.
     #[must_use]
     pub fn forecast(&self) -> Load {
         interpolate(self.slow, self.fast, FAST_AVERAGE_WEIGHT)
     }
 }
 
-/// How far the forecast follows the fast average.
+/// Weight of the fast average in the forecast.
 const FAST_AVERAGE_WEIGHT: f64 = 0.6;
 
-fn interpolate(from: Load, to: Load, part: f64) -> Load {
-    let part = part.clamp(0.0, 1.0);
+fn interpolate(from: Load, to: Load, fraction: f64) -> Load {
+    let fraction = fraction.clamp(0.0, 1.0);
     Load {
-        prefill: from.prefill + part * (to.prefill - from.prefill),
-        decode: from.decode + part * (to.decode - from.decode),
+        prefill: from.prefill + fraction * (to.prefill - from.prefill),
+        decode: from.decode + fraction * (to.decode - from.decode),
     }
 }
 
-/// Engines by role.
+/// Number of engines per role.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RoleCounts {
-    /// Engines that read only.
+    /// Engines that only prefill.
     pub prefill: u32,
-    /// Engines that write only.
+    /// Engines that only decode.
     pub decode: u32,
     /// Engines that do both.
     pub mixed: u32,
@@ -69,47 +69,47 @@
 /// A change of one engine's role.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// A writer becomes a reader.
+    /// A decode engine becomes a prefill engine.
     ToPrefill,
-    /// A reader becomes a writer.
+    /// A prefill engine becomes a decode engine.
     ToDecode,
 }
 
-/// Settings of the decision.
+/// Parameters of the decision.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
-    /// Engines of each phase that stay.
+    /// Number of engines that each of the two roles keeps at least.
     pub min_engines_per_role: u32,
-    /// How far ahead the gain is counted.
+    /// Time over which the gain of a change is counted.
     pub horizon: Micros,
-    /// How long an engine is away for a change, its drain included.
+    /// Time for which an engine is unavailable during a change, its drain included.
     pub change_duration: Micros,
-    /// Least time between two changes, from the most changes an hour.
+    /// Shortest time between two changes, from the configured changes per hour.
     pub min_change_interval: Micros,
 }
 
-/// Decides on a change; none when no change pays.
+/// Chooses a change of role; `None` if no change pays.
 ///
-/// The gain of a change is the work that is not served without it over the horizon. Its cost is
-/// the engine's time away. Both are in engine-microseconds.
+/// The gain of a change is the work that would remain unserved without it over the horizon. Its cost is
+/// the time for which the engine is unavailable. Both are in engine-microseconds.
 #[must_use]
 pub fn choose_change(
-    split: RoleCounts,
+    counts: RoleCounts,
     load: Load,
     bounds: &Bounds,
     now: Micros,
-    last: Option<Micros>,
+    last_change: Option<Micros>,
 ) -> Option<Change> {
-    if last.is_some_and(|last| now.saturating_sub(last) < bounds.min_change_interval) {
+    if last_change.is_some_and(|last| now.saturating_sub(last) < bounds.min_change_interval) {
         return None;
     }
-    let now_lost = unserved_load(split, load);
+    let unserved = unserved_load(counts, load);
     let candidates = [Change::ToPrefill, Change::ToDecode];
     candidates
         .into_iter()
         .filter_map(|change| {
-            let after = apply_change(split, change, bounds.min_engines_per_role)?;
-            let gain = (now_lost - unserved_load(after, load)) * to_f64(bounds.horizon);
+            let after = apply_change(counts, change, bounds.min_engines_per_role)?;
+            let gain = (unserved - unserved_load(after, load)) * to_f64(bounds.horizon);
             let cost = to_f64(bounds.change_duration) * (1.0 + GAIN_MARGIN_RATIO);
             (gain > cost).then_some((gain, change))
         })
@@ -117,31 +117,35 @@
         .map(|(_, change)| change)
 }
 
-/// What a change must gain beyond its cost: hysteresis against noise in the forecast.
+/// Ratio by which the gain of a change must exceed its cost: hysteresis against noise in the forecast.
 const GAIN_MARGIN_RATIO: f64 = 1.0;
-/// Above this use, queues grow faster than the work they hold.
+/// Utilisation of an engine above which queues grow faster than the work they hold.
 const MAX_UTILISATION: f64 = 0.8;
 
-fn apply_change(split: RoleCounts, change: Change, reserve: u32) -> Option<RoleCounts> {
+fn apply_change(
+    counts: RoleCounts,
+    change: Change,
+    min_engines_per_role: u32,
+) -> Option<RoleCounts> {
     match change {
-        Change::ToPrefill if split.decode > reserve => Some(RoleCounts {
-            prefill: split.prefill + 1,
-            decode: split.decode - 1,
-            ..split
+        Change::ToPrefill if counts.decode > min_engines_per_role => Some(RoleCounts {
+            prefill: counts.prefill + 1,
+            decode: counts.decode - 1,
+            ..counts
         }),
-        Change::ToDecode if split.prefill > reserve => Some(RoleCounts {
-            prefill: split.prefill - 1,
-            decode: split.decode + 1,
-            ..split
+        Change::ToDecode if counts.prefill > min_engines_per_role => Some(RoleCounts {
+            prefill: counts.prefill - 1,
+            decode: counts.decode + 1,
+            ..counts
         }),
         _ => None,
     }
 }
 
-/// Engines' worth of work that is not served: each phase first fills its own engines, and what is
-/// left over goes to the mixed ones.
-fn unserved_load(split: RoleCounts, load: Load) -> f64 {
-    let over = |load: f64, engines: u32| (load - f64::from(engines) * MAX_UTILISATION).max(0.0);
-    let left = over(load.prefill, split.prefill) + over(load.decode, split.decode);
-    (left - f64::from(split.mixed) * MAX_UTILISATION).max(0.0)
+/// Returns the load that is not served, as a number of engines: each phase first fills the engines of its
+/// own role, and the rest goes to the mixed ones.
+fn unserved_load(counts: RoleCounts, load: Load) -> f64 {
+    let excess = |load: f64, engines: u32| (load - f64::from(engines) * MAX_UTILISATION).max(0.0);
+    let rest = excess(load.prefill, counts.prefill) + excess(load.decode, counts.decode);
+    (rest - f64::from(counts.mixed) * MAX_UTILISATION).max(0.0)
 }
--- a/components/policy/src/route.rs
+++ b/components/policy/src/route.rs
@@ -1,74 +1,75 @@
-//! Which engine, or which pair of engines, serves a request.
+//! Chooses the engine, or the pair of engines, that serves a request.
 //!
-//! The cost of a request on an engine is the time until its last token: the prompt tokens ahead of
-//! it and its own uncached ones, then the tokens it will write at the pace of the batch it joins.
-//! What it slows down for others counts too. See `docs/DESIGN.md#routing`.
+//! The cost of a request on an engine is the time until its last token: prefill of the prompt tokens
+//! ahead of it and of its own uncached ones, then decode at the inter-token latency of the batch that it
+//! joins. Its delay of other requests counts too. See `docs/DESIGN.md#routing`.
 
 use crate::{Micros, estimate::BatchLatency, to_f64};
 
-/// What an engine is for, as routing sees it.
+/// The role of an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Reads prompts only.
+    /// Prefills only.
     Prefill,
-    /// Writes answers only.
+    /// Decodes only.
     Decode,
-    /// Does both.
+    /// Prefills and decodes.
     Mixed,
 }
 
-/// An engine as the decider sees it now.
+/// Snapshot of an engine for one decision.
 #[derive(Clone, Copy, Debug)]
 pub struct Engine {
     /// Its role.
     pub role: Role,
-    /// Prompt tokens that it will read before this request's: those of its priority or higher.
+    /// Prompt tokens that it will prefill before this request's: those of the same or a higher priority
+    /// class.
     pub prefill_tokens_ahead: u64,
-    /// All prompt tokens that it still has to read.
+    /// All prompt tokens that it still has to prefill.
     pub prefill_tokens: u64,
-    /// Requests that write there.
+    /// Requests that decode there.
     pub decode_requests: u64,
-    /// Tokens of this request's prompt that its prefix cache holds.
+    /// Tokens of this request's prompt in its prefix cache.
     pub cached_tokens: u64,
-    /// One-way delay to it.
+    /// One-way network delay to it.
     pub one_way_delay: Micros,
-    /// Its speed.
+    /// Its latencies.
     pub latency: BatchLatency,
 }
 
-/// What is asked.
+/// The request to place.
 #[derive(Clone, Copy, Debug)]
 pub struct Request {
-    /// Tokens of the prompt.
+    /// Length of the prompt.
     pub prompt_tokens: u64,
-    /// Tokens that the answer will likely have.
+    /// Expected length of the answer.
     pub expected_output_tokens: u64,
-    /// Whether it goes ahead of what waits at the engines.
+    /// Whether it overtakes all requests that wait at the engines.
     pub urgent: bool,
-    /// Whether somebody reads the answer as it comes, so that its pace counts.
+    /// Whether the answer is read as it arrives, so that its inter-token latency counts.
     pub interactive: bool,
 }
 
-/// Bounds and weights of routing.
+/// Limits and weights of routing.
 #[derive(Clone, Copy, Debug)]
 pub struct Weights {
-    /// Most prompt tokens that may wait at an engine before requests are kept in the daemon's own
-    /// queue, where fair share and priority rule. In microseconds of reading.
+    /// Most prefill time that may wait at an engine. Further requests stay in the daemon's own queue,
+    /// which applies fair shares and priorities.
     pub max_prefill_wait: Micros,
-    /// Most requests that write at an engine, so that time between tokens stays in its target.
+    /// Most requests that decode at an engine, so that the inter-token latency stays within its limit.
     pub max_decode_requests: u64,
-    /// The longest time between tokens for an answer whose pace counts.
+    /// Highest inter-token latency of an interactive answer.
     pub max_inter_token_latency: Micros,
-    /// Time to move a thousand tokens of KV cache.
-    pub transfer_per_thousand_tokens: Micros,
-    /// How much of the delay that a prompt causes to those that write on a mixed engine is counted.
+    /// Time to transfer the KV cache of a thousand tokens.
+    pub kv_transfer_per_thousand_tokens: Micros,
+    /// Weight of the delay that a prompt causes to the requests that decode on a mixed engine.
     pub interference_weight: f64,
-    /// How much more than its time a delay between tokens counts.
+    /// Additional weight of a delay between tokens, besides its time.
     pub stall_weight: f64,
-    /// The longest that a part of another prompt holds a token up.
+    /// Longest time for which a chunk of another prompt delays one token.
     pub max_chunk_stall: Micros,
-    /// Among engines this much dearer than the cheapest, chance decides: several deciders with old
-    /// views would all take the same one otherwise.
+    /// Engines whose cost exceeds the lowest by at most this ratio are chosen from at random. Otherwise
+    /// several processes with old snapshots would all take the same one.
     pub tie_ratio: f64,
 }
 
@@ -78,7 +79,7 @@
             max_prefill_wait: 20_000_000,
             max_decode_requests: 48,
             max_inter_token_latency: 18_000,
-            transfer_per_thousand_tokens: 4_000,
+            kv_transfer_per_thousand_tokens: 4_000,
             interference_weight: 4.0,
             stall_weight: 4.0,
             max_chunk_stall: 40_000,
@@ -87,25 +88,25 @@
     }
 }
 
-/// Who serves a request; engines by their index in the view.
+/// Which engines serve a request, by their index in the snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Placement {
-    /// One engine does both.
+    /// One engine prefills and decodes.
     Single {
         /// The engine.
         engine: usize,
     },
-    /// One engine reads, another one fetches the KV cache and writes.
+    /// One engine prefills; another one fetches the KV cache and decodes.
     Split {
-        /// The engine that reads.
+        /// The engine that prefills.
         prefill: usize,
-        /// The engine that writes.
+        /// The engine that decodes.
         decode: usize,
     },
 }
 
 impl Placement {
-    /// The engine that gets the request first.
+    /// Returns the engine to which the request is sent first.
     #[must_use]
     pub fn first_engine(self) -> usize {
         match self {
@@ -115,37 +116,43 @@
     }
 }
 
-/// A plan with what it is expected to take.
+/// A placement with its expected times.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Choice {
-    /// The plan.
+    /// The placement.
     pub placement: Placement,
-    /// Time to the first token.
+    /// Expected time to the first token, in microseconds.
     pub first_token_us: f64,
-    /// Time to the last token.
+    /// Expected time to the last token, in microseconds.
     pub last_token_us: f64,
 }
 
-/// Chooses for a request; none when every engine that could serve is as full as it may be.
+/// Chooses the engines for a request; `None` if every suitable engine has reached its limits.
 ///
 /// `draw` is a random number that breaks ties.
 #[must_use]
-pub fn choose(engines: &[Engine], ask: &Request, weights: &Weights, draw: u64) -> Option<Choice> {
-    let whole = choose_single(engines, draw, weights, |engine| {
+pub fn choose(
+    engines: &[Engine],
+    request: &Request,
+    weights: &Weights,
+    draw: u64,
+) -> Option<Choice> {
+    let single = choose_single(engines, draw, weights, |engine| {
         (engine.role == Role::Mixed
-            && accepts_prefill(engine, ask, weights)
-            && accepts_decode(engine, ask, weights))
-        .then(|| estimate_mixed(engine, ask, weights))
+            && accepts_prefill(engine, request, weights)
+            && accepts_decode(engine, request, weights))
+        .then(|| estimate_mixed(engine, request, weights))
     });
-    let split = choose_split(engines, ask, weights, draw);
-    match (whole, split) {
-        (Some(whole), Some(split)) if split.1 < whole.1 => Some(split.0),
-        (Some(whole), _) => Some(whole.0),
+    let split = choose_split(engines, request, weights, draw);
+    match (single, split) {
+        (Some(single), Some(split)) if split.1 < single.1 => Some(split.0),
+        (Some(single), _) => Some(single.0),
         (None, split) => split.map(|split| split.0),
     }
 }
 
-/// The shortest time until some engine takes another request, for telling when to come back.
+/// Estimates the shortest time until any engine accepts another request, in microseconds; callers are
+/// told to retry after it.
 #[must_use]
 pub fn estimate_shortest_wait(engines: &[Engine], weights: &Weights) -> Option<f64> {
     engines
@@ -155,113 +162,117 @@
         .min_by(f64::total_cmp)
 }
 
+/// Returns the time to prefill all prompts that wait at an engine.
 fn prefill_backlog_us(engine: &Engine) -> f64 {
     to_f64(engine.prefill_tokens) * engine.latency.prefill_token_us
 }
 
+/// Returns the time to prefill the prompts that are ahead of the request at an engine.
 fn prefill_wait_us(engine: &Engine) -> f64 {
     to_f64(engine.prefill_tokens_ahead) * engine.latency.prefill_token_us
 }
 
-fn accepts_prefill(engine: &Engine, ask: &Request, weights: &Weights) -> bool {
-    ask.urgent || prefill_wait_us(engine) <= to_f64(weights.max_prefill_wait)
+fn accepts_prefill(engine: &Engine, request: &Request, weights: &Weights) -> bool {
+    request.urgent || prefill_wait_us(engine) <= to_f64(weights.max_prefill_wait)
 }
 
-fn accepts_decode(engine: &Engine, ask: &Request, weights: &Weights) -> bool {
-    // the room above the bound is for what is urgent
-    ask.urgent
+/// Whether an engine may decode one more request. Urgent requests may exceed the limit.
+fn accepts_decode(engine: &Engine, request: &Request, weights: &Weights) -> bool {
+    request.urgent
         || (engine.decode_requests < weights.max_decode_requests
-            && meets_latency_limit(engine, ask, weights))
+            && meets_latency_limit(engine, request, weights))
 }
 
-/// Whether an answer would come at the pace of the target: not where prompts behind it would be read
-/// between its tokens for most of its length.
-fn meets_latency_limit(engine: &Engine, ask: &Request, weights: &Weights) -> bool {
-    let behind = (prefill_backlog_us(engine) - prefill_wait_us(engine)).max(0.0);
-    let held =
-        (behind / to_f64(ask.expected_output_tokens.max(1))).min(to_f64(weights.max_chunk_stall));
-    !ask.interactive
-        || engine.latency.inter_token_us(engine.decode_requests + 1) + held
+/// Whether an interactive answer would stay within the limit on inter-token latency, including the delay
+/// by prompts behind it that are prefilled between its tokens, averaged over its length.
+fn meets_latency_limit(engine: &Engine, request: &Request, weights: &Weights) -> bool {
+    let behind_us = (prefill_backlog_us(engine) - prefill_wait_us(engine)).max(0.0);
+    let stall_us = (behind_us / to_f64(request.expected_output_tokens.max(1)))
+        .min(to_f64(weights.max_chunk_stall));
+    !request.interactive
+        || engine.latency.inter_token_us(engine.decode_requests + 1) + stall_us
             <= to_f64(weights.max_inter_token_latency)
 }
 
-fn queueing_delay_us(engine: &Engine, ask: &Request) -> f64 {
-    let ahead = if ask.urgent {
+/// Returns the time until the prefill of the request starts: network delay and prompts ahead of it.
+fn queueing_delay_us(engine: &Engine, request: &Request) -> f64 {
+    let ahead_us = if request.urgent {
         0.0
     } else {
         prefill_wait_us(engine)
     };
-    to_f64(engine.one_way_delay) + ahead
+    to_f64(engine.one_way_delay) + ahead_us
 }
 
-fn own_prefill_us(engine: &Engine, ask: &Request) -> f64 {
-    to_f64(ask.prompt_tokens - engine.cached_tokens.min(ask.prompt_tokens))
+/// Returns the time to prefill the request's own uncached tokens.
+fn own_prefill_us(engine: &Engine, request: &Request) -> f64 {
+    to_f64(request.prompt_tokens - engine.cached_tokens.min(request.prompt_tokens))
         * engine.latency.prefill_token_us
 }
 
-/// Time to the first token, time to the last one, and the cost that is compared.
+/// Estimates the time to the first token, the time to the last one, and the cost of a mixed engine.
 ///
-/// An engine that does both reads prompts between the tokens that it writes. So a request is held up
-/// by the prompts that wait there, also those behind it, and its own prompt holds up those that
-/// write. Counting both parts the engines into some that mostly read and some that mostly write, and
-/// moves that border with every request, without a change of role.
-fn estimate_mixed(engine: &Engine, ask: &Request, weights: &Weights) -> (f64, f64, f64) {
-    let own = own_prefill_us(engine, ask);
-    let first = queueing_delay_us(engine, ask) + own + engine.latency.decode_step_us;
-    let behind = (prefill_backlog_us(engine) - prefill_wait_us(engine)).max(0.0);
-    let most_held = to_f64(ask.expected_output_tokens) * to_f64(weights.max_chunk_stall);
-    let held = behind.min(most_held);
-    let whole = first
-        + to_f64(ask.expected_output_tokens)
+/// A mixed engine prefills between its decode steps. So a request is delayed by all prompts that wait
+/// there, also by those behind it, and its own prompt delays the requests that decode. Counting both
+/// separates the engines into some that mostly prefill and some that mostly decode, and shifts that
+/// boundary with every request, without a change of role.
+fn estimate_mixed(engine: &Engine, request: &Request, weights: &Weights) -> (f64, f64, f64) {
+    let own_us = own_prefill_us(engine, request);
+    let first_token_us =
+        queueing_delay_us(engine, request) + own_us + engine.latency.decode_step_us;
+    let behind_us = (prefill_backlog_us(engine) - prefill_wait_us(engine)).max(0.0);
+    let max_stall_us = to_f64(request.expected_output_tokens) * to_f64(weights.max_chunk_stall);
+    let stall_us = behind_us.min(max_stall_us);
+    let last_token_us = first_token_us
+        + to_f64(request.expected_output_tokens)
             * engine.latency.inter_token_us(engine.decode_requests + 1)
-        + held;
-    let disturbed = own * to_f64(engine.decode_requests) * weights.interference_weight;
+        + stall_us;
+    let interference_us = own_us * to_f64(engine.decode_requests) * weights.interference_weight;
     (
-        first,
-        whole,
-        whole + held * weights.stall_weight + disturbed,
+        first_token_us,
+        last_token_us,
+        last_token_us + stall_us * weights.stall_weight + interference_us,
     )
 }
 
 fn choose_split(
     engines: &[Engine],
-    ask: &Request,
+    request: &Request,
     weights: &Weights,
     draw: u64,
 ) -> Option<(Choice, f64)> {
-    let (reads, first) = cheapest(engines, draw, weights, |engine| {
-        (engine.role == Role::Prefill && accepts_prefill(engine, ask, weights)).then(|| {
-            queueing_delay_us(engine, ask)
-                + own_prefill_us(engine, ask)
+    let (prefill, first_token_us) = cheapest(engines, draw, weights, |engine| {
+        (engine.role == Role::Prefill && accepts_prefill(engine, request, weights)).then(|| {
+            queueing_delay_us(engine, request)
+                + own_prefill_us(engine, request)
                 + engine.latency.decode_step_us
         })
     })?;
-    let transfer =
-        to_f64(ask.prompt_tokens) * to_f64(weights.transfer_per_thousand_tokens) / THOUSAND;
-    let (writes, writing) = cheapest(engines, draw >> 32, weights, |engine| {
-        (engine.role != Role::Prefill && accepts_decode(engine, ask, weights)).then(|| {
-            let pace = engine.latency.inter_token_us(engine.decode_requests + 1);
-            // a mixed engine's own prompts hold its writers up
-            let held_up = if engine.role == Role::Mixed {
+    let transfer_us =
+        to_f64(request.prompt_tokens) * to_f64(weights.kv_transfer_per_thousand_tokens) / THOUSAND;
+    let (decode, decode_us) = cheapest(engines, draw >> 32, weights, |engine| {
+        (engine.role != Role::Prefill && accepts_decode(engine, request, weights)).then(|| {
+            let token_us = engine.latency.inter_token_us(engine.decode_requests + 1);
+            // The prompts that a mixed engine prefills delay the answers that it decodes.
+            let delay_us = if engine.role == Role::Mixed {
                 prefill_backlog_us(engine)
             } else {
                 0.0
             };
-            to_f64(engine.one_way_delay) + to_f64(ask.expected_output_tokens) * pace + held_up
+            to_f64(engine.one_way_delay)
+                + to_f64(request.expected_output_tokens) * token_us
+                + delay_us
         })
     })?;
-    let whole = first + transfer + writing;
-    let plan = Placement::Split {
-        prefill: reads,
-        decode: writes,
-    };
+    let last_token_us = first_token_us + transfer_us + decode_us;
+    let placement = Placement::Split { prefill, decode };
     Some((
         Choice {
-            placement: plan,
-            first_token_us: first,
-            last_token_us: whole,
+            placement,
+            first_token_us,
+            last_token_us,
         },
-        whole,
+        last_token_us,
     ))
 }
 
@@ -271,39 +282,39 @@
     engines: &[Engine],
     draw: u64,
     weights: &Weights,
-    cost: impl Fn(&Engine) -> Option<(f64, f64, f64)>,
+    estimate: impl Fn(&Engine) -> Option<(f64, f64, f64)>,
 ) -> Option<(Choice, f64)> {
-    let (at, value) = cheapest(engines, draw, weights, |engine| {
-        cost(engine).map(|(_, _, cost)| cost)
+    let (engine, cost) = cheapest(engines, draw, weights, |engine| {
+        estimate(engine).map(|(_, _, cost)| cost)
     })?;
-    let (first, whole, _) = cost(&engines[at])?;
-    let plan = Placement::Single { engine: at };
+    let (first_token_us, last_token_us, _) = estimate(&engines[engine])?;
+    let placement = Placement::Single { engine };
     Some((
         Choice {
-            placement: plan,
-            first_token_us: first,
-            last_token_us: whole,
+            placement,
+            first_token_us,
+            last_token_us,
         },
-        value,
+        cost,
     ))
 }
 
-/// The cheapest engine, or by chance one that is hardly dearer.
+/// Returns a random one of the engines within [`Weights::tie_ratio`] of the lowest cost, and its cost.
 fn cheapest(
     engines: &[Engine],
     draw: u64,
     weights: &Weights,
     cost: impl Fn(&Engine) -> Option<f64>,
 ) -> Option<(usize, f64)> {
-    let least = engines.iter().filter_map(&cost).min_by(f64::total_cmp)?;
-    let bound = least * (1.0 + weights.tie_ratio);
-    let close = |engine: &&Engine| cost(engine).is_some_and(|value| value <= bound);
-    let ties = u64::try_from(engines.iter().filter(close).count()).unwrap_or(1);
+    let lowest = engines.iter().filter_map(&cost).min_by(f64::total_cmp)?;
+    let limit = lowest * (1.0 + weights.tie_ratio);
+    let is_close = |engine: &&Engine| cost(engine).is_some_and(|cost| cost <= limit);
+    let ties = u64::try_from(engines.iter().filter(is_close).count()).unwrap_or(1);
     let nth = usize::try_from((draw & u64::from(u32::MAX)) % ties.max(1)).unwrap_or(0);
     engines
         .iter()
         .enumerate()
-        .filter(|(_, engine)| close(engine))
+        .filter(|(_, engine)| is_close(engine))
         .nth(nth)
-        .and_then(|(at, engine)| Some((at, cost(engine)?)))
+        .and_then(|(index, engine)| Some((index, cost(engine)?)))
 }
--- a/components/policy/src/suspect.rs
+++ b/components/policy/src/suspect.rs
@@ -1,138 +1,142 @@
-//! Requests that may end the endpoints that run them.
+//! Requests that may crash the endpoints that run them.
 //!
-//! When an endpoint ends, each request that was under way there is a suspect: one of them may have ended it. A request
-//! that only shared an endpoint is served elsewhere and is cleared by that; one that ends whatever runs it is never
-//! served, and is withheld from all endpoints after the third. See `docs/DESIGN.md#requests-that-end-endpoints`.
+//! When an endpoint crashes, each request in flight there becomes a suspect, as one of them may have
+//! caused the crash. A request that merely shared the endpoint is served elsewhere, which clears it. One
+//! that crashes every endpoint is never served, and is withheld from all endpoints after the third crash.
+//! See `docs/DESIGN.md#requests-that-end-endpoints`.
 
-/// Microseconds of the decider's own clock; negative before it was started.
+/// Microseconds on the caller's monotonic clock; negative for times before the clock started.
 pub type Moment = i64;
 
-/// Endpoints that may end under a request before it is withheld: fewer would withhold requests that had the bad luck of
-/// two endpoints that ended for reasons of their own, more would cost what else runs there.
+/// Number of crashes after which a request is withheld. Fewer would withhold requests that happened to
+/// be in flight during two unrelated crashes; more would cost the other requests on those endpoints.
 pub const CRASHES_TO_WITHHOLD: usize = 3;
-/// How long a request is withheld after the last endpoint ended under it: endpoints may have been mended by then. If
-/// another one ends under it, it is withheld at once again.
+/// How long a request is withheld after the last crash; the endpoints may have been fixed by then. If
+/// another endpoint crashes under it, it is withheld again at once.
 pub const WITHHOLD_DURATION: Moment = 300 * SECOND;
-/// How long a suspect is remembered after the last endpoint ended under it.
+/// How long a suspect is remembered after the last update.
 pub const RECORD_TTL: Moment = 2 * WITHHOLD_DURATION;
-/// The most requests that are remembered: of some 100 bytes each.
+/// Maximum number of remembered requests, of some 100 bytes each.
 pub const MAX_RECORDS: usize = 1_024;
 
 const SECOND: Moment = 1_000_000;
 
-/// An endpoint that ended while a request was under way there.
+/// A crash of an endpoint while a request was in flight there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Crash {
     /// The endpoint's incarnation.
     pub endpoint: u32,
-    /// When it ended.
+    /// When it crashed.
     pub at: Moment,
 }
 
 /// What is known of one request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Record {
-    /// The endpoints that ended under it since it was served last, at most [`ENDS`] of them, the oldest first.
+    /// Crashes since the request was last served, the oldest first; at most [`CRASHES_TO_WITHHOLD`].
     pub crashes: Vec<Crash>,
-    /// When it was last served.
+    /// When the request was last served.
     pub last_served: Option<Moment>,
 }
 
 impl Record {
-    /// When something was last known of it.
+    /// Returns the time of the latest crash or answer.
     #[must_use]
     pub fn last_update(&self) -> Option<Moment> {
-        self.crashes.last().map(|end| end.at).max(self.last_served)
+        self.crashes
+            .last()
+            .map(|crash| crash.at)
+            .max(self.last_served)
     }
 
-    /// For how much longer it is withheld; none if it isn't.
+    /// Returns for how much longer the request is withheld; `None` if it isn't.
     #[must_use]
     pub fn remaining_withhold(&self, now: Moment) -> Option<Moment> {
         let last = self
             .crashes
             .last()
             .filter(|_| self.crashes.len() >= CRASHES_TO_WITHHOLD)?;
-        let left = last.at + WITHHOLD_DURATION - now;
-        (left > 0).then_some(left)
+        let remaining = last.at + WITHHOLD_DURATION - now;
+        (remaining > 0).then_some(remaining)
     }
 
-    /// Adds what another record says of the same request. Says whether that changed anything.
+    /// Merges another record of the same request. Returns whether that changed anything.
     fn merge(&mut self, other: &Self) -> bool {
         let before = self.clone();
         self.last_served = self.last_served.max(other.last_served);
-        for end in &other.crashes {
+        for crash in &other.crashes {
             match self
                 .crashes
                 .iter_mut()
-                .find(|known| known.endpoint == end.endpoint)
+                .find(|known| known.endpoint == crash.endpoint)
             {
-                // the first to tell was there
-                Some(known) => known.at = known.at.min(end.at),
-                None => self.crashes.push(*end),
+                // The earliest report comes from the process that observed the crash.
+                Some(known) => known.at = known.at.min(crash.at),
+                None => self.crashes.push(*crash),
             }
         }
-        let served = self.last_served;
+        let last_served = self.last_served;
         self.crashes
-            .retain(|end| served.is_none_or(|served| served < end.at));
+            .retain(|crash| last_served.is_none_or(|last_served| last_served < crash.at));
         self.crashes
-            .sort_unstable_by_key(|end| (end.at, end.endpoint));
+            .sort_unstable_by_key(|crash| (crash.at, crash.endpoint));
         let surplus = self.crashes.len().saturating_sub(CRASHES_TO_WITHHOLD);
         self.crashes.drain(..surplus);
         *self != before
     }
 }
 
-/// All requests that are suspected, sorted by what they ask for.
+/// All suspects, sorted by the fingerprint of the request.
 #[derive(Clone, Debug, Default)]
 pub struct Suspects(Vec<(u64, Record)>);
 
 impl Suspects {
-    /// What is known of a request.
+    /// Returns what is known of a request.
     #[must_use]
-    pub fn get(&self, content: u64) -> Option<&Record> {
-        let at = self.find(content).ok()?;
-        Some(&self.0[at].1)
+    pub fn get(&self, fingerprint: u64) -> Option<&Record> {
+        let index = self.find(fingerprint).ok()?;
+        Some(&self.0[index].1)
     }
 
-    /// All of them.
+    /// Returns all records.
     #[must_use]
     pub fn records(&self) -> &[(u64, Record)] {
         &self.0
     }
 
-    /// Adds what is newly known of a request, here or elsewhere. Says whether that changed anything.
-    pub fn add(&mut self, content: u64, told: &Record, now: Moment) -> bool {
+    /// Merges a record from this process or another source. Returns whether that changed anything.
+    pub fn add(&mut self, fingerprint: u64, received: &Record, now: Moment) -> bool {
         self.evict_expired(now);
-        let is_old = told
+        let is_expired = received
             .last_update()
             .is_none_or(|last| now - last >= RECORD_TTL);
-        match self.find(content) {
-            _ if is_old => false,
-            Ok(at) => self.0[at].1.merge(told),
-            // that it was served says nothing of one that nobody suspects
-            Err(_) if told.crashes.is_empty() => false,
+        match self.find(fingerprint) {
+            _ if is_expired => false,
+            Ok(index) => self.0[index].1.merge(received),
+            // An answer to a request that is no suspect is of no interest.
+            Err(_) if received.crashes.is_empty() => false,
             Err(_) => {
                 self.evict_if_full();
-                let at = self.find(content).unwrap_or_else(|at| at);
+                let index = self.find(fingerprint).unwrap_or_else(|index| index);
                 let mut record = Record::default();
-                let added = record.merge(told);
-                self.0.insert(at, (content, record));
-                added
+                let changed = record.merge(received);
+                self.0.insert(index, (fingerprint, record));
+                changed
             }
         }
     }
 
-    /// Forgets those of which nothing was known for a while.
+    /// Drops records without an update within [`RECORD_TTL`].
     pub fn evict_expired(&mut self, now: Moment) {
-        let fresh = |record: &Record| {
+        let is_fresh = |record: &Record| {
             record
                 .last_update()
                 .is_some_and(|last| now - last < RECORD_TTL)
         };
-        self.0.retain(|(_, record)| fresh(record));
+        self.0.retain(|(_, record)| is_fresh(record));
     }
 
-    /// Forgets the one that least is known of, if there are as many as may be.
+    /// If the table is full, drops the record with the fewest crashes, and of these the oldest.
     fn evict_if_full(&mut self) {
         if self.0.len() < MAX_RECORDS {
             return;
@@ -140,13 +144,13 @@
         let records = self.0.iter().enumerate();
         let least =
             records.min_by_key(|(_, (_, record))| (record.crashes.len(), record.last_update()));
-        if let Some((at, _)) = least {
-            self.0.remove(at);
+        if let Some((index, _)) = least {
+            self.0.remove(index);
         }
     }
 
-    fn find(&self, content: u64) -> Result<usize, usize> {
+    fn find(&self, fingerprint: u64) -> Result<usize, usize> {
         self.0
-            .binary_search_by_key(&content, |(content, _)| *content)
+            .binary_search_by_key(&fingerprint, |(fingerprint, _)| *fingerprint)
     }
 }
--- a/components/policy/tests/decisions.rs
+++ b/components/policy/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! Routing, roles and retries on small views.
+//! Routing, changes of role and retries on small fleets.
 
 use policy::{
     estimate::BatchLatency,
@@ -19,68 +19,71 @@
     }
 }
 
-const ASK: Request = Request {
+const REQUEST: Request = Request {
     prompt_tokens: 2_000,
     expected_output_tokens: 50,
     urgent: false,
     interactive: false,
 };
 
-fn chosen(engines: &[Engine]) -> Option<Placement> {
-    choose(engines, &ASK, &Weights::default(), 0).map(|choice| choice.placement)
+fn choose_for_request(engines: &[Engine]) -> Option<Placement> {
+    choose(engines, &REQUEST, &Weights::default(), 0).map(|choice| choice.placement)
 }
 
 #[test]
-fn a_long_prompt_keeps_away_from_those_that_write() {
-    let busy = Engine {
+fn a_long_prompt_avoids_an_engine_that_decodes() {
+    let decoding = Engine {
         decode_requests: 30,
         ..engine(Role::Mixed)
     };
-    let reading = Engine {
+    let prefilling = Engine {
         prefill_tokens_ahead: 4_000,
         prefill_tokens: 4_000,
         ..engine(Role::Mixed)
     };
     assert_eq!(
-        chosen(&[busy, reading]),
+        choose_for_request(&[decoding, prefilling]),
         Some(Placement::Single { engine: 1 })
     );
 }
 
 #[test]
-fn a_cached_prefix_draws_its_prompt() {
-    let holds = Engine {
+fn a_prompt_goes_to_the_engine_with_its_cached_prefix() {
+    let caching = Engine {
         cached_tokens: 1_900,
         ..engine(Role::Mixed)
     };
-    let engines = [engine(Role::Mixed), holds];
-    assert_eq!(chosen(&engines), Some(Placement::Single { engine: 1 }));
+    let engines = [engine(Role::Mixed), caching];
+    assert_eq!(
+        choose_for_request(&engines),
+        Some(Placement::Single { engine: 1 })
+    );
 }
 
 #[test]
-fn engines_of_one_role_serve_together_or_not_at_all() {
+fn a_request_needs_engines_of_both_roles() {
     let both = [engine(Role::Prefill), engine(Role::Decode)];
     let split = Placement::Split {
         prefill: 0,
         decode: 1,
     };
-    assert_eq!(chosen(&both), Some(split));
-    assert_eq!(chosen(&both[..1]), None);
-    assert_eq!(chosen(&both[1..]), None);
+    assert_eq!(choose_for_request(&both), Some(split));
+    assert_eq!(choose_for_request(&both[..1]), None);
+    assert_eq!(choose_for_request(&both[1..]), None);
 }
 
 #[test]
-fn what_is_urgent_gets_an_engine_that_is_full_for_others() {
+fn an_urgent_request_gets_an_engine_that_is_full_for_others() {
     let full = Engine {
         decode_requests: 1_000,
         prefill_tokens_ahead: 1_000_000,
         prefill_tokens: 1_000_000,
         ..engine(Role::Mixed)
     };
-    assert_eq!(chosen(&[full]), None);
+    assert_eq!(choose_for_request(&[full]), None);
     let urgent = Request {
         urgent: true,
-        ..ASK
+        ..REQUEST
     };
     assert!(choose(&[full], &urgent, &Weights::default(), 0).is_some());
 }
@@ -93,52 +96,49 @@
         change_duration: 10_000_000,
         min_change_interval: 60_000_000,
     };
-    let split = |prefill, decode| RoleCounts {
+    let counts = |prefill, decode| RoleCounts {
         prefill,
         decode,
         mixed: 0,
     };
-    let load = |read, write| Load {
-        prefill: read,
-        decode: write,
-    };
+    let load = |prefill, decode| Load { prefill, decode };
     let now = 100_000_000;
     assert_eq!(
-        choose_change(split(6, 6), load(4.0, 4.0), &bounds, now, None),
+        choose_change(counts(6, 6), load(4.0, 4.0), &bounds, now, None),
         None
     );
-    let heavy = load(8.0, 2.0);
+    let prefill_heavy = load(8.0, 2.0);
     assert_eq!(
-        choose_change(split(6, 6), heavy, &bounds, now, None),
+        choose_change(counts(6, 6), prefill_heavy, &bounds, now, None),
         Some(Change::ToPrefill)
     );
     assert_eq!(
-        choose_change(split(6, 6), heavy, &bounds, now, Some(now - 1)),
+        choose_change(counts(6, 6), prefill_heavy, &bounds, now, Some(now - 1)),
         None
     );
-    let heavier = load(12.0, 0.0);
+    let nearly_all_prefill = load(12.0, 0.0);
     assert_eq!(
-        choose_change(split(11, 1), heavier, &bounds, now, None),
+        choose_change(counts(11, 1), nearly_all_prefill, &bounds, now, None),
         None
     );
 }
 
 #[test]
-fn what_may_have_run_is_tried_again_only_where_it_may_be_repeated() {
+fn a_request_that_may_have_run_is_retried_only_if_idempotent() {
     let mut budget = Budget::default();
-    let mut may = |class, repeatable, attempts, left| {
-        allow_retry(class, repeatable, attempts, left, 0, &mut budget)
+    let mut allowed = |class, idempotent, attempts, time_left| {
+        allow_retry(class, idempotent, attempts, time_left, 0, &mut budget)
     };
-    assert!(may(FailureClass::NotExecuted, false, 1, 1));
-    assert!(may(FailureClass::MaybeExecuted, true, 1, 1));
-    assert!(!may(FailureClass::MaybeExecuted, false, 1, 1));
-    assert!(!may(FailureClass::Permanent, true, 1, 1));
-    assert!(!may(FailureClass::NotExecuted, true, 1, 0));
-    assert!(!may(FailureClass::NotExecuted, true, 99, 1));
+    assert!(allowed(FailureClass::NotExecuted, false, 1, 1));
+    assert!(allowed(FailureClass::MaybeExecuted, true, 1, 1));
+    assert!(!allowed(FailureClass::MaybeExecuted, false, 1, 1));
+    assert!(!allowed(FailureClass::Permanent, true, 1, 1));
+    assert!(!allowed(FailureClass::NotExecuted, true, 1, 0));
+    assert!(!allowed(FailureClass::NotExecuted, true, 99, 1));
 }
 
 #[test]
-fn retries_end_with_their_budget_and_come_back_with_successes() {
+fn successes_refill_an_exhausted_retry_budget() {
     let mut budget = Budget::default();
     let spent = std::iter::repeat_with(|| budget.try_spend())
         .take_while(|more| *more)
--- a/components/policy/tests/place.rs
+++ b/components/policy/tests/place.rs
@@ -1,4 +1,4 @@
-//! Where generations are placed, by what callers get of it.
+//! Placement of generations on prefill and decode engines.
 
 use policy::{
     estimate::Latency,
@@ -9,14 +9,14 @@
 /// Milliseconds in microseconds.
 const MS: f64 = 1_000.0;
 
-/// A writer of large steps: nine tokens come together, and a token takes 4 ms.
-fn writer(writing: u64) -> Engine {
+/// A decode engine with so many answers, whose inter-token latency is 4 ms.
+fn decode_engine(answers: u64) -> Engine {
     Engine {
         stage: Stage::Decode,
         prefill_work: 0,
         deferred_work: 0,
         deferred_prompts: 0,
-        answers: writing,
+        answers,
         long_answers: 0,
         decode_slots: 64,
         cached_tokens: 0,
@@ -33,24 +33,26 @@
     }
 }
 
-fn reader(reading: u64) -> Engine {
-    let pace = Latency {
+/// A prefill engine with so much work.
+fn prefill_engine(prefill_work: u64) -> Engine {
+    let latency = Latency {
         overhead_us: 3.0 * MS,
         prefill_token_us: 15.0,
         ..Latency::initial_prefill()
     };
     Engine {
         stage: Stage::Prefill,
-        prefill_work: reading,
-        latency: pace,
-        ..writer(0)
+        prefill_work,
+        latency,
+        ..decode_engine(0)
     }
 }
 
-/// A prompt of so many tokens whose answer comes in events of nine tokens, at most 200 ms apart.
-fn ask(prompt: u64) -> Request {
+/// A request with a prompt of so many tokens, whose answer has events of nine tokens that may be at most
+/// 200 ms apart.
+fn request(prompt_tokens: u64) -> Request {
     Request {
-        prompt_tokens: prompt,
+        prompt_tokens,
         expected_output_tokens: 120,
         first_event_timeout: 600_000,
         max_inter_token_latency_us: 50.0 * MS,
@@ -60,185 +62,218 @@
     }
 }
 
-fn place(engines: &[Engine], ask: &Request) -> Option<Placement> {
-    choose(engines, ask, &Weights::default()).map(|choice| choice.placement)
+fn chosen(engines: &[Engine], request: &Request) -> Option<Placement> {
+    choose(engines, request, &Weights::default()).map(|choice| choice.placement)
 }
 
 #[test]
-fn a_prompt_is_not_read_between_tokens_that_it_would_hold_up_for_too_long() {
-    // 9,000 tokens take 270 ms: the answers there would pause for 306 ms
-    let engines = [writer(1), reader(40_000)];
+fn a_prompt_whose_prefill_would_stall_answers_is_not_placed_beside_them() {
+    // Prefill of 9,000 tokens takes 270 ms: the answers there would stall for 306 ms.
+    let engines = [decode_engine(1), prefill_engine(40_000)];
     let split = Placement::Split {
         prefill: 1,
         decode: 0,
     };
-    assert_eq!(place(&engines, &ask(9_000)), Some(split));
-    assert_eq!(place(&engines[..1], &ask(9_000)), None);
-    // nobody is held up where nothing is written
+    assert_eq!(chosen(&engines, &request(9_000)), Some(split));
+    assert_eq!(chosen(&engines[..1], &request(9_000)), None);
+    // An engine without answers has none to stall.
     assert_eq!(
-        place(&[writer(0)], &ask(9_000)),
+        chosen(&[decode_engine(0)], &request(9_000)),
         Some(Placement::Single { engine: 0 })
     );
 }
 
 #[test]
-fn short_prompts_on_their_way_to_a_writer_hold_its_answers_up_as_well() {
-    // each takes 30 ms: one fits into the pause, and so does a second, but not a fifth
-    let short = ask(1_000);
-    assert!(place(&[writer(3)], &short).is_some());
-    let busy = |ahead: u64| Engine {
+fn short_prompts_in_flight_count_towards_the_stall_limit() {
+    // Each takes 30 ms: one stays within the limit, and so does a second, but not a fifth.
+    let short = request(1_000);
+    assert!(chosen(&[decode_engine(3)], &short).is_some());
+    let loaded = |ahead: u64| Engine {
         prefill_work: 1_000 * ahead,
-        ..writer(3)
+        ..decode_engine(3)
     };
-    assert!(place(&[busy(1)], &short).is_some());
-    assert_eq!(place(&[busy(4)], &short), None);
+    assert!(chosen(&[loaded(1)], &short).is_some());
+    assert_eq!(chosen(&[loaded(4)], &short), None);
 }
 
 #[test]
-fn a_writer_that_reads_in_small_pieces_reads_as_much_as_comes() {
-    // each token is held up by 3 ms, however much waits: 63 ms between events
-    let pace = Latency {
+fn an_engine_that_prefills_in_small_chunks_accepts_any_backlog() {
+    // Each token is delayed by 3 ms whatever the backlog, which gives 63 ms between events.
+    let latency = Latency {
         contended_token_us: Some(7.0 * MS),
-        ..writer(0).latency
+        ..decode_engine(0).latency
     };
-    let fine = Engine {
-        latency: pace,
+    let chunked = Engine {
+        latency,
         prefill_work: 20_000,
-        ..writer(20)
+        ..decode_engine(20)
     };
-    assert!(place(&[fine], &ask(9_000)).is_some());
+    assert!(chosen(&[chunked], &request(9_000)).is_some());
 }
 
 #[test]
-fn an_answer_is_expected_after_the_prompts_that_its_writer_reads() {
-    let busy = Engine {
+fn the_expected_first_event_includes_the_prefill_backlog_of_the_decode_engine() {
+    let loaded = Engine {
         prefill_work: 4_000,
-        ..writer(3)
+        ..decode_engine(3)
     };
-    let first = |writer: Engine| {
-        let choice = choose(&[writer, reader(0)], &ask(9_000), &Weights::default());
+    let first = |decode_engine: Engine| {
+        let choice = choose(
+            &[decode_engine, prefill_engine(0)],
+            &request(9_000),
+            &Weights::default(),
+        );
         choice
-            .expect("a reader and a writer are there")
+            .expect("there is an engine of each stage")
             .first_event_us
     };
-    let later = first(busy) - first(writer(3));
-    assert!((later - 120.0 * MS).abs() < MS, "{later}");
+    let delay = first(loaded) - first(decode_engine(3));
+    assert!((delay - 120.0 * MS).abs() < MS, "{delay}");
 }
 
 fn any_engine() -> impl Strategy<Value = Engine> {
-    let pace = (0.0..100_000.0, 1.0..200.0, 100.0..20_000.0, 1.0..4.0).prop_map(
-        |(start_us, read_us, step_us, slower)| Latency {
-            overhead_us: start_us,
-            prefill_token_us: read_us,
-            decode_token_us: step_us,
-            contended_token_us: (slower > 1.5).then_some(step_us * slower),
+    let latency = (0.0..100_000.0, 1.0..200.0, 100.0..20_000.0, 1.0..4.0).prop_map(
+        |(overhead_us, prefill_token_us, decode_token_us, slowdown)| Latency {
+            overhead_us,
+            prefill_token_us,
+            decode_token_us,
+            contended_token_us: (slowdown > 1.5).then_some(decode_token_us * slowdown),
             ..Latency::initial_decode()
         },
     );
     let load = (0_u64..200_000, 0_u64..50_000, 0_u64..80, 1_u64..100);
-    (any::<bool>(), pace, load, 0_u64..30_000, 0.0..1.0).prop_map(
-        |(reads, pace, (reading, late, writing, slots), held, failures)| Engine {
-            stage: if reads { Stage::Prefill } else { Stage::Decode },
-            prefill_work: reading,
-            deferred_work: late,
-            deferred_prompts: late.div_ceil(10_000),
-            answers: writing,
-            long_answers: writing / 3,
-            decode_slots: slots,
-            cached_tokens: held,
+    (any::<bool>(), latency, load, 0_u64..30_000, 0.0..1.0).prop_map(
+        |(
+            is_prefill,
+            latency,
+            (prefill_work, deferred_work, answers, decode_slots),
+            cached_tokens,
+            failure_ratio,
+        )| Engine {
+            stage: if is_prefill {
+                Stage::Prefill
+            } else {
+                Stage::Decode
+            },
+            prefill_work,
+            deferred_work,
+            deferred_prompts: deferred_work.div_ceil(10_000),
+            answers,
+            long_answers: answers / 3,
+            decode_slots,
+            cached_tokens,
             fetch: Fetch::default(),
-            latency: pace,
+            latency,
             extra_round_trip: 0,
-            failure_ratio: failures,
-            rank: held,
+            failure_ratio,
+            rank: cached_tokens,
         },
     )
 }
 
 proptest! {
-    /// Whatever is seen, a plan names engines of the stages that it needs, with a slot for the answer, and
-    /// promises no first event before the prompt can have been read.
+    /// For any snapshot, a placement names engines of the required stages and with a slot for the answer, and
+    /// does not expect the first event before the prompt can have been prefilled.
     #[test]
-    fn a_plan_can_be_carried_out(
+    fn a_placement_is_feasible(
         engines in prop::collection::vec(any_engine(), 0..12),
-        prompt in 1_u64..40_000,
+        prompt_tokens in 1_u64..40_000,
     ) {
-        let ask = ask(prompt);
-        let Some(choice) = choose(&engines, &ask, &Weights::default()) else {
+        let request = request(prompt_tokens);
+        let Some(choice) = choose(&engines, &request, &Weights::default()) else {
             return Ok(());
         };
-        let (reads, writes) = match choice.placement {
+        let (prefill, decode) = match choice.placement {
             Placement::Single { engine } => (engine, engine),
             Placement::Split { prefill, decode } => (prefill, decode),
         };
-        let (reads, writes) = (&engines[reads], &engines[writes]);
-        prop_assert_eq!(writes.stage, Stage::Decode);
-        prop_assert!(writes.answers < writes.decode_slots);
-        if !std::ptr::eq(reads, writes) {
-            prop_assert_eq!(reads.stage, Stage::Prefill);
+        let (prefill, decode) = (&engines[prefill], &engines[decode]);
+        prop_assert_eq!(decode.stage, Stage::Decode);
+        prop_assert!(decode.answers < decode.decode_slots);
+        if !std::ptr::eq(prefill, decode) {
+            prop_assert_eq!(prefill.stage, Stage::Prefill);
         }
-        let unread = policy::to_f64(prompt.saturating_sub(reads.cached_tokens));
-        prop_assert!(choice.first_event_us >= unread * reads.latency.prefill_token_us);
+        let uncached_tokens = policy::to_f64(prompt_tokens.saturating_sub(prefill.cached_tokens));
+        prop_assert!(choice.first_event_us >= uncached_tokens * prefill.latency.prefill_token_us);
     }
 
-    /// Work that others have takes nothing away from a caller for whom there was room without it elsewhere.
+    /// Load on one engine never causes the refusal of a request that another engine accepts.
     #[test]
-    fn load_at_one_engine_refuses_nobody_that_another_one_takes(
+    fn load_on_one_engine_refuses_no_request_that_another_accepts(
         engines in prop::collection::vec(any_engine(), 1..8),
-        prompt in 1_u64..40_000,
-        more in 1_u64..100_000,
+        prompt_tokens in 1_u64..40_000,
+        extra_work in 1_u64..100_000,
     ) {
-        let ask = ask(prompt);
+        let request = request(prompt_tokens);
         let others = &engines[1..];
-        let alone = place(others, &ask).is_some();
+        let accepted = chosen(others, &request).is_some();
         let mut all = engines.clone();
-        all[0].prefill_work += more;
-        prop_assert!(!alone || place(&all, &ask).is_some());
+        all[0].prefill_work += extra_work;
+        prop_assert!(!accepted || chosen(&all, &request).is_some());
     }
 }
 
-/// An engine with so many prompts that give way, of 30,000 tokens each.
-fn late_reader(reading: u64, late_prompts: u64) -> Engine {
+/// A prefill engine with so many deferred prompts of 30,000 tokens each.
+fn deferring_engine(prefill_work: u64, deferred_prompts: u64) -> Engine {
     Engine {
-        deferred_work: 30_000 * late_prompts,
-        deferred_prompts: late_prompts,
-        ..reader(reading)
+        deferred_work: 30_000 * deferred_prompts,
+        deferred_prompts,
+        ..prefill_engine(prefill_work)
     }
 }
 
 #[test]
-fn a_prompt_that_gives_way_is_in_the_way_once_it_is_being_read() {
-    // 5,000 tokens are read in 75 ms, and 30,000 in 450 ms, to whose end the engine reads
-    let engines = [writer(0), late_reader(0, 1), reader(5_000)];
+fn a_deferred_prompt_whose_prefill_has_started_delays_others() {
+    // Prefill of 5,000 tokens takes 75 ms, and of 30,000 tokens 450 ms, which the engine completes once
+    // started.
+    let engines = [
+        decode_engine(0),
+        deferring_engine(0, 1),
+        prefill_engine(5_000),
+    ];
     let split = Placement::Split {
         prefill: 2,
         decode: 0,
     };
-    assert_eq!(place(&engines, &ask(9_000)), Some(split));
+    assert_eq!(chosen(&engines, &request(9_000)), Some(split));
 }
 
 #[test]
-fn prompts_that_give_way_count_as_one_however_many_wait() {
+fn any_number_of_deferred_prompts_delays_others_as_one() {
     let first = |engine| {
-        let engines = [writer(0), engine];
-        choose(&engines, &ask(9_000), &Weights::default()).map(|choice| choice.first_event_us)
+        let engines = [decode_engine(0), engine];
+        choose(&engines, &request(9_000), &Weights::default()).map(|choice| choice.first_event_us)
     };
-    assert_eq!(first(late_reader(0, 20)), first(late_reader(0, 1)));
-    assert!(first(late_reader(0, 1)) > first(reader(0)));
+    assert_eq!(
+        first(deferring_engine(0, 20)),
+        first(deferring_engine(0, 1))
+    );
+    assert!(first(deferring_engine(0, 1)) > first(prefill_engine(0)));
 }
 
 #[test]
-fn a_late_prompt_waits_for_all_others() {
-    let engines = [late_reader(10_000, 2)];
-    let late = |time| choose_deferred(&engines, &ask(10_000), &Weights::default(), time);
-    // 80,000 tokens ahead and with it take 1.2 s, 3 ms besides, and attention for the prompt's own length
+fn a_deferred_prompt_waits_for_all_others() {
+    let engines = [deferring_engine(10_000, 2)];
+    let deferred = |max_prefill_us| {
+        choose_deferred(
+            &engines,
+            &request(10_000),
+            &Weights::default(),
+            max_prefill_us,
+        )
+    };
+    // Prefill of 80,000 tokens, 70,000 of them ahead, takes 1.2 s, plus 3 ms of overhead and the attention
+    // cost of the prompt's own length.
     let Some(Deferred {
         engine: 0,
-        prefill_us: read,
-    }) = late(1_300.0 * MS)
+        prefill_us,
+    }) = deferred(1_300.0 * MS)
     else {
-        panic!("it is read within 1.3 s");
+        panic!("no engine prefills it within 1.3 s");
     };
-    assert!((1_200.0 * MS..1_260.0 * MS).contains(&read), "{read}");
-    assert_eq!(late(1_200.0 * MS), None);
+    assert!(
+        (1_200.0 * MS..1_260.0 * MS).contains(&prefill_us),
+        "{prefill_us}"
+    );
+    assert_eq!(deferred(1_200.0 * MS), None);
 }
--- a/components/policy/tests/stage.rs
+++ b/components/policy/tests/stage.rs
@@ -1,4 +1,4 @@
-//! When the plan changes the stage of an engine, and when it leaves the fleet as it is.
+//! When the plan changes the stage of an engine, and when it leaves the fleet unchanged.
 
 use policy::{
     stage::{
@@ -8,41 +8,44 @@
     to_u64,
 };
 
-/// Twelve engines of 48 answers each, so many of which read.
-fn small(reading: u64) -> Fleet {
+/// Twelve engines of 48 slots each, so many of which prefill.
+fn small_fleet(prefill_engines: u64) -> Fleet {
     Fleet {
         engines: 12,
-        prefill_engines: reading,
+        prefill_engines,
         slots_per_engine: 48,
     }
 }
 
-/// Three hundred engines of 16 answers each, so many of which read.
-fn large(reading: u64) -> Fleet {
+/// Three hundred engines of 16 slots each, so many of which prefill.
+fn large_fleet(prefill_engines: u64) -> Fleet {
     Fleet {
         engines: 300,
-        prefill_engines: reading,
+        prefill_engines,
         slots_per_engine: 16,
     }
 }
 
-/// Longer than the averages remember, in microseconds.
-const LONG: f64 = 60_000_000.0;
+/// Well above the time constants of the averages, in microseconds.
+const LONG_US: f64 = 60_000_000.0;
 
-/// What is seen of a fleet whose readers are all busy.
-fn full(reading: f64, writing: f64) -> Sample {
+/// A sample of a fleet whose prefill engines are all busy.
+fn saturated(prefill_us: f64, decode_slot_us: f64) -> Sample {
     Sample {
-        prefill_us: reading,
-        decode_slot_us: writing,
+        prefill_us,
+        decode_slot_us,
         ..Sample::default()
     }
 }
 
-/// A steady demand: engines that reading keeps busy, and slots that writing takes.
-fn demand(reading: f64, writing: f64) -> Demand {
+/// A steady demand, in busy prefill engines and occupied slots.
+fn demand(prefill_engines: f64, decode_slots: f64) -> Demand {
     let mut demand = Demand::default();
     demand.observe(0, &Sample::default());
-    demand.observe(to_u64(LONG), &full(reading * LONG, writing * LONG));
+    demand.observe(
+        to_u64(LONG_US),
+        &saturated(prefill_engines * LONG_US, decode_slots * LONG_US),
+    );
     demand
 }
 
@@ -57,78 +60,83 @@
 }
 
 #[test]
-fn an_idle_fleet_stays_as_it_is() {
-    assert_eq!(plan(&demand(0.1, 0.1), &small(1)), None);
-    assert_eq!(plan(&demand(0.1, 0.1), &small(11)), None);
+fn an_idle_fleet_is_not_changed() {
+    assert_eq!(plan(&demand(0.1, 0.1), &small_fleet(1)), None);
+    assert_eq!(plan(&demand(0.1, 0.1), &small_fleet(11)), None);
 }
 
 #[test]
 fn a_stage_that_lacks_engines_gets_one() {
     assert_eq!(
-        plan(&demand(5.0, 60.0), &small(4)),
+        plan(&demand(5.0, 60.0), &small_fleet(4)),
         Some(Change::MorePrefill)
     );
     assert_eq!(
-        plan(&demand(1.0, 200.0), &small(8)),
+        plan(&demand(1.0, 200.0), &small_fleet(8)),
         Some(Change::MoreDecode)
     );
 }
 
 #[test]
-fn an_engine_is_not_moved_between_stages_that_have_enough() {
-    // two thirds of the work is reading, so two thirds of the engines could read
+fn no_stage_changes_while_both_suffice() {
+    // Two thirds of the work is prefill, so two thirds of the engines could prefill.
     let light = demand(4.0, 20.0);
     let weights = Weights::default();
-    assert!(plan_prefill_engines(&light, &large(90), &weights) > 150.0);
-    assert_eq!(plan(&light, &large(90)), None);
-    // the other way round
-    assert_eq!(plan(&demand(1.0, 60.0), &large(250)), None);
+    assert!(plan_prefill_engines(&light, &large_fleet(90), &weights) > 150.0);
+    assert_eq!(plan(&light, &large_fleet(90)), None);
+    // The same with too many prefill engines.
+    assert_eq!(plan(&demand(1.0, 60.0), &large_fleet(250)), None);
 }
 
 #[test]
 fn a_large_fleet_is_not_changed_for_one_engine() {
     let heavy = demand(100.0, 1_000.0);
     let weights = Weights::default();
-    let wanted = plan_prefill_engines(&heavy, &large(90), &weights);
-    let short_of = |lack: u64| large(to_u64(wanted) - lack);
-    assert_eq!(plan(&heavy, &short_of(5)), None);
-    assert_eq!(plan(&heavy, &short_of(20)), Some(Change::MorePrefill));
+    let wanted = plan_prefill_engines(&heavy, &large_fleet(90), &weights);
+    let fleet_lacking = |lack: u64| large_fleet(to_u64(wanted) - lack);
+    assert_eq!(plan(&heavy, &fleet_lacking(5)), None);
+    assert_eq!(plan(&heavy, &fleet_lacking(20)), Some(Change::MorePrefill));
 }
 
 #[test]
-fn writers_for_a_failure_are_there_also_when_little_is_written() {
+fn the_spare_decode_engine_is_kept_under_little_decode_load() {
     assert_eq!(
-        plan(&demand(6.0, 1.0), &small(12)),
+        plan(&demand(6.0, 1.0), &small_fleet(12)),
         Some(Change::MoreDecode)
     );
 }
 
 #[test]
-fn a_leap_in_reading_counts_before_the_longer_average_shows_it() {
-    let mut leap = demand(1.0, 40.0);
+fn a_surge_in_prefill_counts_before_the_longer_average_shows_it() {
+    let mut surge = demand(1.0, 40.0);
     let second = 1_000_000.0;
-    leap.observe(to_u64(LONG + second), &full(8.0 * second, 40.0 * second));
-    assert!(leap.prefill_engines < 3.0);
-    assert_eq!(plan(&leap, &small(3)), Some(Change::MorePrefill));
+    surge.observe(
+        to_u64(LONG_US + second),
+        &saturated(8.0 * second, 40.0 * second),
+    );
+    assert!(surge.prefill_engines < 3.0);
+    assert_eq!(plan(&surge, &small_fleet(3)), Some(Change::MorePrefill));
 }
 
 #[test]
-fn an_eighth_of_a_fleet_may_change_at_once() {
+fn about_an_eighth_of_a_fleet_may_change_at_once() {
     assert_eq!([1, 3, 12, 300].map(max_concurrent_changes), [1, 1, 1, 36]);
 }
 
+/// A change of stages delays prompts, whose expected prefill time then grows. It must not ask for further
+/// prefill engines while some of them are idle.
 #[test]
-fn readers_of_which_some_are_idle_show_what_is_needed() {
+fn idle_prefill_engines_limit_the_estimated_demand() {
     let mut demand = Demand::default();
     demand.observe(0, &Sample::default());
-    // prompts that took three times as long as they should have, behind a change of stages
+    // Delayed behind a change of stages, prefill took three times as long as it should have.
     let sample = Sample {
-        prefill_us: 12.0 * LONG,
-        decode_slot_us: 40.0 * LONG,
+        prefill_us: 12.0 * LONG_US,
+        decode_slot_us: 40.0 * LONG_US,
         busy_prefill_engines: 4.0,
         prefill_engines: 9.0,
         ..Sample::default()
     };
-    demand.observe(to_u64(LONG), &sample);
-    assert_eq!(plan(&demand, &small(9)), None);
+    demand.observe(to_u64(LONG_US), &sample);
+    assert_eq!(plan(&demand, &small_fleet(9)), None);
 }
