--- a/benches/daemon.rs
+++ b/benches/daemon.rs
@@ -16,7 +16,7 @@
     rt::TokioExecutor,
 };
 use settings::{
-    process::Settings,
+    daemon::Settings,
     tree::{Edit, Tree, resolve},
 };
 use standin::{
--- a/components/cli/src/cli.rs
+++ b/components/cli/src/cli.rs
@@ -64,8 +64,8 @@
     /// Add or remove a group
     #[bpaf(command)]
     Group {
-        #[bpaf(external(group_step))]
-        step: GroupStep,
+        #[bpaf(external(group_command))]
+        step: GroupCommand,
     },
     /// Show what a tree file would change
     #[bpaf(command)]
@@ -162,7 +162,7 @@
 
 /// What to do with a group.
 #[derive(Clone, Debug, Bpaf)]
-pub enum GroupStep {
+pub enum GroupCommand {
     /// Add a group
     #[bpaf(command)]
     Add {
--- a/components/cli/src/client.rs
+++ b/components/cli/src/client.rs
@@ -18,7 +18,7 @@
 impl Client {
     /// Connects to the daemon that the options name.
     pub async fn connect(options: &Options) -> Result<Self, Error> {
-        let token = token(options)?;
+        let token = read_token(options)?;
         let address = options.daemon;
         let inner = OperatorClient::connect(format!("http://{address}"))
             .await
@@ -89,11 +89,11 @@
     }
 }
 
-fn token(options: &Options) -> Result<String, Error> {
+fn read_token(options: &Options) -> Result<String, Error> {
     match &options.token_file {
         Some(path) => std::fs::read_to_string(path)
             .map(|token| token.trim().to_owned())
-            .map_err(|source| Error::File {
+            .map_err(|source| Error::Read {
                 path: path.display().to_string(),
                 source,
             }),
--- a/components/cli/src/cmd/change.rs
+++ b/components/cli/src/cmd/change.rs
@@ -10,7 +10,7 @@
 use super::engine;
 use crate::{
     client::Client,
-    console::{self, PARTLY, REFUSED},
+    console::{self, FAILED, PARTIAL},
     error::Error,
 };
 
@@ -19,8 +19,8 @@
 pub struct Wait(pub bool);
 
 /// The target for a settings change.
-const IN_FORCE: Duration = Duration::from_secs(7);
-const LOOK: Duration = Duration::from_millis(100);
+const APPLY_TIMEOUT: Duration = Duration::from_secs(7);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// `set`: one or more values of a node.
 pub async fn set(
@@ -33,35 +33,42 @@
     let mut edits = Vec::new();
     for value in values {
         let Some((key, value)) = value.split_once('=') else {
-            console::line(format!("{value} is not KEY=VALUE"));
-            return Ok(ExitCode::from(REFUSED));
+            console::print_line(format!("{value} is not KEY=VALUE"));
+            return Ok(ExitCode::from(FAILED));
         };
-        edits.push(edit(path, key, Some(value)));
+        edits.push(value_edit(path, key, Some(value)));
     }
     commit(client, base, edits, false, wait).await
 }
 
 /// `unset`: takes a value away.
 pub async fn unset(client: &mut Client, path: &str, key: &str) -> Result<ExitCode, Error> {
-    commit(client, 0, vec![edit(path, key, None)], false, Wait(false)).await
+    commit(
+        client,
+        0,
+        vec![value_edit(path, key, None)],
+        false,
+        Wait(false),
+    )
+    .await
 }
 
 /// `group add`.
 pub async fn add_group(client: &mut Client, group: &str, share: u32) -> Result<ExitCode, Error> {
     let path = format!("group/{group}");
-    let edits = vec![edit(&path, "share", Some(&share.to_string()))];
+    let edits = vec![value_edit(&path, "share", Some(&share.to_string()))];
     commit(client, 0, edits, false, Wait(false)).await
 }
 
 /// `group remove`.
 pub async fn remove_group(client: &mut Client, group: &str) -> Result<ExitCode, Error> {
-    let edits = vec![removal(&format!("group/{group}"))];
+    let edits = vec![removal_edit(&format!("group/{group}"))];
     commit(client, 0, edits, false, Wait(false)).await
 }
 
 /// `drain` and `undrain`.
 pub async fn drain(client: &mut Client, endpoint: &str, drain: bool) -> Result<ExitCode, Error> {
-    let (data_centre, number) = engine::parts(endpoint)?;
+    let (data_centre, number) = engine::parse_endpoint(endpoint)?;
     let path = format!("endpoint/{data_centre}/{number}");
     if !client
         .read()
@@ -72,12 +79,12 @@
     {
         return Err(Error::NotSet(path));
     }
-    let edits = vec![edit(&path, "drain", Some(&drain.to_string()))];
+    let edits = vec![value_edit(&path, "drain", Some(&drain.to_string()))];
     commit(client, 0, edits, false, Wait(true)).await
 }
 
 /// A step that sets or takes away a value.
-pub fn edit(path: &str, key: &str, value: Option<&str>) -> Edit {
+pub fn value_edit(path: &str, key: &str, value: Option<&str>) -> Edit {
     Edit {
         path: path.to_owned(),
         key: key.to_owned(),
@@ -87,7 +94,7 @@
 }
 
 /// A step that takes a node away.
-pub fn removal(path: &str) -> Edit {
+pub fn removal_edit(path: &str) -> Edit {
     Edit {
         path: path.to_owned(),
         remove_node: true,
@@ -104,34 +111,34 @@
     wait: Wait,
 ) -> Result<ExitCode, Error> {
     let reply = client.commit(base, edits, dry_run).await?;
-    let code = console::committed(&reply, dry_run);
+    let code = console::report_commit(&reply, dry_run);
     match wait {
-        Wait(true) if reply.version > 0 => in_force(client, reply.version).await,
+        Wait(true) if reply.version > 0 => wait_until_applied(client, reply.version).await,
         _ => Ok(code),
     }
 }
 
 /// Says where a version is in force and who lags.
-async fn in_force(client: &mut Client, version: u64) -> Result<ExitCode, Error> {
-    let until = Instant::now() + IN_FORCE;
+async fn wait_until_applied(client: &mut Client, version: u64) -> Result<ExitCode, Error> {
+    let deadline = Instant::now() + APPLY_TIMEOUT;
     loop {
         let daemons = client.status().await?.daemons;
-        let (there, lag): (Vec<_>, Vec<_>) = daemons
+        let (applied, lagging): (Vec<_>, Vec<_>) = daemons
             .iter()
             .partition(|daemon| daemon.answered && daemon.settings_version >= version);
-        if lag.is_empty() {
-            console::line(format!("in force in all {} daemons", there.len()));
+        if lagging.is_empty() {
+            console::print_line(format!("in force in all {} daemons", applied.len()));
             return Ok(ExitCode::SUCCESS);
         }
-        if Instant::now() > until {
-            console::line(format!("in force in {} daemons; not in:", there.len()));
-            for daemon in lag {
+        if Instant::now() > deadline {
+            console::print_line(format!("in force in {} daemons; not in:", applied.len()));
+            for daemon in lagging {
                 let member = daemon.member.clone().unwrap_or_default();
                 let state = if daemon.answered { "lags" } else { "silent" };
-                console::line(format!("  {} {state}", member.address));
+                console::print_line(format!("  {} {state}", member.address));
             }
-            return Ok(ExitCode::from(PARTLY));
+            return Ok(ExitCode::from(PARTIAL));
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/components/cli/src/cmd/engine.rs
+++ b/components/cli/src/cmd/engine.rs
@@ -19,7 +19,7 @@
     role: &str,
     [model, adapter, version]: [&String; 3],
 ) -> Result<ExitCode, Error> {
-    let (data_centre, number) = parts(endpoint)?;
+    let (data_centre, number) = parse_endpoint(endpoint)?;
     let reply = client
         .order(OrderRequest {
             token: String::new(),
@@ -31,14 +31,14 @@
             version: version.clone(),
         })
         .await?;
-    console::line(reply.reason);
+    console::print_line(reply.reason);
     Ok(ExitCode::SUCCESS)
 }
 
 /// Data centre and number of an endpoint.
-pub fn parts(endpoint: &str) -> Result<(&str, u32), Error> {
+pub fn parse_endpoint(endpoint: &str) -> Result<(&str, u32), Error> {
     endpoint
         .split_once('/')
         .and_then(|(data_centre, number)| Some((data_centre, number.parse().ok()?)))
-        .ok_or_else(|| Error::Endpoint(endpoint.to_owned()))
+        .ok_or_else(|| Error::InvalidEndpoint(endpoint.to_owned()))
 }
--- a/components/cli/src/cmd/file.rs
+++ b/components/cli/src/cmd/file.rs
@@ -10,26 +10,29 @@
 use super::change::{self, Wait};
 use crate::{
     client::Client,
-    console::{self, REFUSED},
+    console::{self, FAILED},
     error::Error,
 };
 
 /// `check`: checks a file by itself.
 pub fn check(path: &Path) -> Result<ExitCode, Error> {
-    let tree = Tree::new(0, load(path)?);
+    let tree = Tree::new(0, read_nodes(path)?);
     let problems = checks::problems(&tree);
     if problems.is_empty() {
-        console::line(format!("{} nodes, no problem", tree.nodes.len()));
+        console::print_line(format!("{} nodes, no problem", tree.nodes.len()));
         return Ok(ExitCode::SUCCESS);
     }
-    problems.iter().for_each(console::line);
-    Ok(ExitCode::from(REFUSED))
+    problems.iter().for_each(console::print_line);
+    Ok(ExitCode::from(FAILED))
 }
 
 /// `diff`: what a file would change.
 pub async fn diff(client: &mut Client, path: &Path) -> Result<ExitCode, Error> {
-    let (_, edits) = edits(client, path).await?;
-    edits.iter().map(console::step).for_each(console::line);
+    let (_, edits) = edits_to_apply(client, path).await?;
+    edits
+        .iter()
+        .map(console::format_edit)
+        .for_each(console::print_line);
     Ok(ExitCode::SUCCESS)
 }
 
@@ -40,71 +43,71 @@
     dry_run: bool,
     wait: Wait,
 ) -> Result<ExitCode, Error> {
-    let (version, edits) = edits(client, path).await?;
+    let (version, edits) = edits_to_apply(client, path).await?;
     if edits.is_empty() {
-        console::line("nothing to change");
+        console::print_line("nothing to change");
         return Ok(ExitCode::SUCCESS);
     }
     change::commit(client, version, edits, dry_run, wait).await
 }
 
-async fn edits(client: &mut Client, path: &Path) -> Result<(u64, Vec<Edit>), Error> {
-    let wanted = Tree::new(0, load(path)?);
-    let current = client.read().await?;
-    let nodes = current.nodes.iter().map(|node| Node {
+async fn edits_to_apply(client: &mut Client, path: &Path) -> Result<(u64, Vec<Edit>), Error> {
+    let target = Tree::new(0, read_nodes(path)?);
+    let reply = client.read().await?;
+    let nodes = reply.nodes.iter().map(|node| Node {
         path: node.path.clone(),
         values: node.values.clone().into_iter().collect(),
     });
-    let now = Tree::new(current.version, nodes.collect());
-    Ok((now.version, difference(&now, &wanted)))
+    let current = Tree::new(reply.version, nodes.collect());
+    Ok((current.version, diff_trees(&current, &target)))
 }
 
-fn difference(now: &Tree, wanted: &Tree) -> Vec<Edit> {
-    let gone = now
+fn diff_trees(current: &Tree, target: &Tree) -> Vec<Edit> {
+    let removed = current
         .nodes
         .iter()
-        .filter(|node| wanted.node(&node.path).is_none())
-        .map(|node| change::removal(&node.path));
-    let mut edits: Vec<Edit> = gone.collect();
-    for node in &wanted.nodes {
-        let old = now.node(&node.path);
+        .filter(|node| target.node(&node.path).is_none())
+        .map(|node| change::removal_edit(&node.path));
+    let mut edits: Vec<Edit> = removed.collect();
+    for node in &target.nodes {
+        let old = current.node(&node.path);
         for (key, value) in &node.values {
             if old.and_then(|old| old.value(key)) != Some(value) {
-                edits.push(change::edit(&node.path, key, Some(value)));
+                edits.push(change::value_edit(&node.path, key, Some(value)));
             }
         }
         for (key, _) in old.iter().flat_map(|old| &old.values) {
             if node.value(key).is_none() {
-                edits.push(change::edit(&node.path, key, None));
+                edits.push(change::value_edit(&node.path, key, None));
             }
         }
     }
     edits
 }
 
-fn load(path: &Path) -> Result<Vec<Node>, Error> {
+fn read_nodes(path: &Path) -> Result<Vec<Node>, Error> {
     let name = path.display().to_string();
-    let text = std::fs::read_to_string(path).map_err(|source| Error::File {
+    let text = std::fs::read_to_string(path).map_err(|source| Error::Read {
         path: name.clone(),
         source,
     })?;
-    let tables: toml::Table = toml::from_str(&text).map_err(|source| Error::Toml {
+    let tables: toml::Table = toml::from_str(&text).map_err(|source| Error::Parse {
         path: name.clone(),
         source: Box::new(source),
     })?;
     tables
         .into_iter()
-        .map(|(path, values)| node(&name, path, values))
+        .map(|(path, values)| parse_node(&name, path, values))
         .collect()
 }
 
-fn node(file: &str, path: String, values: toml::Value) -> Result<Node, Error> {
-    let shape = |key: String| Error::Shape {
+fn parse_node(file: &str, path: String, values: toml::Value) -> Result<Node, Error> {
+    let unsupported = |key: String| Error::UnsupportedValue {
         path: file.to_owned(),
         key,
     };
     let toml::Value::Table(table) = values else {
-        return Err(shape(path));
+        return Err(unsupported(path));
     };
     let mut texts = Vec::new();
     for (key, value) in table {
@@ -112,7 +115,7 @@
             toml::Value::String(text) => text,
             toml::Value::Integer(number) => number.to_string(),
             toml::Value::Boolean(switch) => switch.to_string(),
-            _ => return Err(shape(key)),
+            _ => return Err(unsupported(key)),
         };
         texts.push((key, text));
     }
--- a/components/cli/src/cmd/mod.rs
+++ b/components/cli/src/cmd/mod.rs
@@ -8,7 +8,7 @@
 use std::process::ExitCode;
 
 use crate::{
-    cli::{Command, GroupStep, Options},
+    cli::{Command, GroupCommand, Options},
     client::Client,
     error::Error,
 };
@@ -40,8 +40,8 @@
         } => change::set(client, path, values, base.unwrap_or(0), Wait(*wait)).await,
         Command::Unset { path, key } => change::unset(client, path, key).await,
         Command::Group { step } => match step {
-            GroupStep::Add { share, group } => change::add_group(client, group, *share).await,
-            GroupStep::Remove { group } => change::remove_group(client, group).await,
+            GroupCommand::Add { share, group } => change::add_group(client, group, *share).await,
+            GroupCommand::Remove { group } => change::remove_group(client, group).await,
         },
         Command::Drain { endpoint } => change::drain(client, endpoint, true).await,
         Command::Undrain { endpoint } => change::drain(client, endpoint, false).await,
--- a/components/cli/src/cmd/show.rs
+++ b/components/cli/src/cmd/show.rs
@@ -11,7 +11,7 @@
 use super::engine;
 use crate::{
     client::Client,
-    console::{self, PARTLY},
+    console::{self, PARTIAL},
     error::Error,
 };
 
@@ -37,16 +37,16 @@
     match key {
         Some(key) if values.is_empty() => Err(Error::NotSet(format!("{path} {key}"))),
         _ if json => {
-            console::json(&values);
+            console::print_json(&values);
             Ok(ExitCode::SUCCESS)
         }
         Some(_) => {
-            values.values().for_each(console::line);
+            values.values().for_each(console::print_line);
             Ok(ExitCode::SUCCESS)
         }
         None => {
             for (name, value) in values {
-                console::line(format!("{name}={value}"));
+                console::print_line(format!("{name}={value}"));
             }
             Ok(ExitCode::SUCCESS)
         }
@@ -66,14 +66,14 @@
         })
         .collect();
     if json {
-        console::json(&nodes);
+        console::print_json(&nodes);
         return Ok(ExitCode::SUCCESS);
     }
-    console::line(format!("# version {}", tree.version));
+    console::print_line(format!("# version {}", tree.version));
     for (path, values) in nodes {
-        console::line(format!("[\"{path}\"]"));
+        console::print_line(format!("[\"{path}\"]"));
         for (name, value) in values {
-            console::line(format!("{name} = {value:?}"));
+            console::print_line(format!("{name} = {value:?}"));
         }
     }
     Ok(ExitCode::SUCCESS)
@@ -96,15 +96,15 @@
             .map(|change| Change {
                 version: change.version,
                 operator: change.operator.clone(),
-                steps: change.edits.iter().map(console::step).collect(),
+                steps: change.edits.iter().map(console::format_edit).collect(),
             })
             .collect();
-        console::json(&changes);
+        console::print_json(&changes);
     } else {
         log.changes
             .iter()
-            .map(console::change)
-            .for_each(console::line);
+            .map(console::format_change)
+            .for_each(console::print_line);
     }
     Ok(ExitCode::SUCCESS)
 }
@@ -149,9 +149,9 @@
 pub async fn status(client: &mut Client, json: bool) -> Result<ExitCode, Error> {
     let status = client.status().await?;
     if json {
-        console::json(&fleet(&status));
+        console::print_json(&fleet(&status));
     } else {
-        console::status(&status);
+        console::print_status(&status);
     }
     Ok(ExitCode::SUCCESS)
 }
@@ -168,18 +168,18 @@
             leaving: daemon.leaving,
         }
     });
-    let endpoints = status.endpoints.iter().map(|one| Endpoint {
-        name: format!("{}/{}", one.data_centre, one.endpoint),
-        service: one.service.clone(),
-        role: one.role.clone(),
-        state: one.state.clone(),
-        in_flight: one.in_flight,
+    let endpoints = status.endpoints.iter().map(|endpoint| Endpoint {
+        name: format!("{}/{}", endpoint.data_centre, endpoint.endpoint),
+        service: endpoint.service.clone(),
+        role: endpoint.role.clone(),
+        state: endpoint.state.clone(),
+        in_flight: endpoint.in_flight,
     });
-    let stewards = status.stewards.iter().map(|one| Steward {
-        service: one.service.clone(),
-        data_centre: one.data_centre.clone(),
-        epoch: one.epoch,
-        holder: format!("{:016x}", one.holder),
+    let stewards = status.stewards.iter().map(|steward| Steward {
+        service: steward.service.clone(),
+        data_centre: steward.data_centre.clone(),
+        epoch: steward.epoch,
+        holder: format!("{:016x}", steward.holder),
     });
     Fleet {
         settings_version: status.settings_version,
@@ -207,26 +207,26 @@
     let subject = match (request, endpoint) {
         (Some(request), _) => format!("request/{request}"),
         (None, Some(endpoint)) => {
-            let (data_centre, number) = engine::parts(endpoint)?;
+            let (data_centre, number) = engine::parse_endpoint(endpoint)?;
             format!("endpoint/{data_centre}/{number}")
         }
         (None, None) => String::new(),
     };
     let since_ms = since.map_or(0, |seconds| now_ms().saturating_sub(seconds * 1_000));
     let reply = client.timeline(subject, since_ms).await?;
-    let events: Vec<String> = reply.events.iter().map(console::event).collect();
+    let events: Vec<String> = reply.events.iter().map(console::format_event).collect();
     let silent = reply.silent;
     let code = if silent.is_empty() {
         ExitCode::SUCCESS
     } else {
-        ExitCode::from(PARTLY)
+        ExitCode::from(PARTIAL)
     };
     if json {
-        console::json(&Timeline { events, silent });
+        console::print_json(&Timeline { events, silent });
     } else {
-        events.iter().for_each(console::line);
+        events.iter().for_each(console::print_line);
         for address in silent {
-            console::line(format!("# no answer from {address}"));
+            console::print_line(format!("# no answer from {address}"));
         }
     }
     Ok(code)
--- a/components/cli/src/console.rs
+++ b/components/cli/src/console.rs
@@ -8,18 +8,18 @@
 use crate::error::Error;
 
 /// The code for a command that was refused or failed.
-pub const REFUSED: u8 = 1;
+pub const FAILED: u8 = 1;
 /// The code for a command that is done in part.
-pub const PARTLY: u8 = 3;
+pub const PARTIAL: u8 = 3;
 
 /// Tells why a command failed.
-pub fn failed(error: &Error) -> ExitCode {
+pub fn report_error(error: &Error) -> ExitCode {
     eprintln!("{error}");
-    ExitCode::from(REFUSED)
+    ExitCode::from(FAILED)
 }
 
 /// Prints a value as JSON.
-pub fn json<T: Serialize>(value: &T) {
+pub fn print_json<T: Serialize>(value: &T) {
     // plain values always have a JSON form
     println!(
         "{}",
@@ -28,30 +28,30 @@
 }
 
 /// Prints one line.
-pub fn line(text: impl std::fmt::Display) {
+pub fn print_line(text: impl std::fmt::Display) {
     println!("{text}");
 }
 
 /// Tells how a change was taken.
-pub fn committed(reply: &CommitReply, dry_run: bool) -> ExitCode {
+pub fn report_commit(reply: &CommitReply, dry_run: bool) -> ExitCode {
     match reply {
         CommitReply { unknown: true, .. } => {
             eprintln!("it is not known whether the change was accepted");
-            problems(reply);
-            ExitCode::from(PARTLY)
+            print_problems(reply);
+            ExitCode::from(PARTIAL)
         }
         CommitReply {
             conflict: Some(winner),
             ..
         } => {
             eprintln!("not accepted: another change was first");
-            eprintln!("{}", change(winner));
-            ExitCode::from(REFUSED)
+            eprintln!("{}", format_change(winner));
+            ExitCode::from(FAILED)
         }
         reply if !reply.problems.is_empty() => {
             eprintln!("not accepted:");
-            problems(reply);
-            ExitCode::from(REFUSED)
+            print_problems(reply);
+            ExitCode::from(FAILED)
         }
         _ if dry_run => {
             println!("the change would be accepted");
@@ -64,25 +64,25 @@
     }
 }
 
-fn problems(reply: &CommitReply) {
+fn print_problems(reply: &CommitReply) {
     for problem in &reply.problems {
         eprintln!("  {problem}");
     }
 }
 
 /// An accepted change in a few lines.
-pub fn change(change: &Conflict) -> String {
-    let steps: Vec<String> = change.edits.iter().map(step).collect();
+pub fn format_change(change: &Conflict) -> String {
+    let edits: Vec<String> = change.edits.iter().map(format_edit).collect();
     format!(
         "version {} by {}\n{}",
         change.version,
         change.operator,
-        steps.join("\n")
+        edits.join("\n")
     )
 }
 
 /// One step of a change.
-pub fn step(edit: &Edit) -> String {
+pub fn format_edit(edit: &Edit) -> String {
     match &edit.value {
         _ if edit.remove_node => format!("  remove {}", edit.path),
         Some(value) => format!("  set {} {}={value}", edit.path, edit.key),
@@ -91,7 +91,7 @@
 }
 
 /// The state of the fleet as one daemon sees it.
-pub fn status(status: &StatusReply) {
+pub fn print_status(status: &StatusReply) {
     let store = if status.store_up {
         "answers"
     } else {
@@ -113,29 +113,29 @@
         );
     }
     println!("\nendpoints:");
-    for one in &status.endpoints {
+    for endpoint in &status.endpoints {
         println!(
             "  {}/{} {} {} {} in flight {} report {} ms old",
-            one.data_centre,
-            one.endpoint,
-            one.service,
-            one.role,
-            one.state,
-            one.in_flight,
-            one.report_age_ms
+            endpoint.data_centre,
+            endpoint.endpoint,
+            endpoint.service,
+            endpoint.role,
+            endpoint.state,
+            endpoint.in_flight,
+            endpoint.report_age_ms
         );
     }
     println!("\nstewards:");
-    for one in &status.stewards {
+    for steward in &status.stewards {
         println!(
             "  {} in {}: {:016x}, epoch {}",
-            one.service, one.data_centre, one.holder, one.epoch
+            steward.service, steward.data_centre, steward.holder, steward.epoch
         );
     }
 }
 
 /// One event.
-pub fn event(event: &Event) -> String {
+pub fn format_event(event: &Event) -> String {
     format!(
         "{}.{:03} {:016x} {} {} {} {}",
         event.physical_ms,
--- a/components/cli/src/error.rs
+++ b/components/cli/src/error.rs
@@ -13,7 +13,7 @@
     NoToken,
     /// A file can't be read.
     #[display("cannot read {path}: {source}")]
-    File {
+    Read {
         /// The file.
         path: String,
         /// What the system said.
@@ -21,7 +21,7 @@
     },
     /// A file is no valid tree.
     #[display("{path}: {source}")]
-    Toml {
+    Parse {
         /// The file.
         path: String,
         /// What is wrong, with its line.
@@ -29,7 +29,7 @@
     },
     /// A value of a tree file is a list or a date, which no key takes.
     #[display("{path}: {key} must be a text, a number or true or false")]
-    Shape {
+    UnsupportedValue {
         /// The file.
         path: String,
         /// The key.
@@ -51,7 +51,7 @@
     NotSet(#[error(not(source))] String),
     /// An endpoint is not written as `DATA-CENTRE/NUMBER`.
     #[display("{_0} is not an endpoint; write it as DATA-CENTRE/NUMBER")]
-    Endpoint(#[error(not(source))] String),
+    InvalidEndpoint(#[error(not(source))] String),
 }
 
 impl From<tonic::Status> for Error {
--- a/components/cli/src/lib.rs
+++ b/components/cli/src/lib.rs
@@ -18,10 +18,10 @@
         .build()
     {
         Ok(runtime) => runtime,
-        Err(error) => return console::failed(&error::Error::Runtime(error)),
+        Err(error) => return console::report_error(&error::Error::Runtime(error)),
     };
     match runtime.block_on(cmd::run(&options)) {
         Ok(code) => code,
-        Err(error) => console::failed(&error),
+        Err(error) => console::report_error(&error),
     }
 }
--- a/components/daemon/src/process/health.rs
+++ b/components/daemon/src/process/health.rs
@@ -3,7 +3,7 @@
 use std::{sync::Arc, time::Duration};
 
 use cloud::vms::{Kind as VmKind, State};
-use settings::tree::resolve::Kind as ServiceKind;
+use settings::tree::resolve::ServiceKind;
 use telemetry::timeline::Kind;
 
 use super::{Process, pool::Entry, pool::Pool};
--- a/components/daemon/src/process/mod.rs
+++ b/components/daemon/src/process/mod.rs
@@ -27,7 +27,7 @@
 use endpoint::{engine::Engine, service::Service};
 use policy::retry::Budget;
 use protocol::Incarnation;
-use settings::process::Settings;
+use settings::daemon::Settings;
 use telemetry::{
     metrics::Metrics,
     timeline::{Kind, Timeline},
--- a/components/daemon/src/process/pool/line.rs
+++ b/components/daemon/src/process/pool/line.rs
@@ -90,7 +90,7 @@
     }
 
     /// Moves the queue to the groups of a new version. Who waits keeps its place in its group.
-    pub(super) fn regroup(&mut self, version: &resolve::Version) {
+    pub(super) fn regroup(&mut self, version: &resolve::ResolvedTree) {
         let names: Vec<String> = version.groups.iter().map(|g| g.name.clone()).collect();
         let groups: Vec<fair::Group> = version
             .groups
--- a/components/daemon/src/process/pool/mod.rs
+++ b/components/daemon/src/process/pool/mod.rs
@@ -114,7 +114,7 @@
     }
 
     /// Takes the endpoints and groups of a new settings version.
-    pub fn apply(&self, version: &resolve::Version) {
+    pub fn apply(&self, version: &resolve::ResolvedTree) {
         self.entries().retain_mut(|entry| {
             version
                 .endpoint(&entry.id.data_centre, entry.id.number)
@@ -123,7 +123,7 @@
         });
         let reports = version
             .service(&self.service)
-            .is_some_and(|service| service.kind == resolve::Kind::Engines);
+            .is_some_and(|service| service.kind == resolve::ServiceKind::Engines);
         for endpoint in &version.endpoints {
             if endpoint.service == self.service {
                 self.adopt(endpoint, reports);
--- a/components/daemon/src/process/steward/mod.rs
+++ b/components/daemon/src/process/steward/mod.rs
@@ -14,7 +14,7 @@
     lease::{self, Lease, Renewal, Watch},
     millis,
 };
-use settings::tree::resolve::Kind as ServiceKind;
+use settings::tree::resolve::ServiceKind;
 use telemetry::timeline::Kind;
 
 use super::{
--- a/components/daemon/src/process/steward/roles.rs
+++ b/components/daemon/src/process/steward/roles.rs
@@ -156,11 +156,11 @@
 
 fn bounds(fleet: &settings::tree::resolve::Fleet) -> Bounds {
     Bounds {
-        min_engines_per_role: fleet.reserve,
+        min_engines_per_role: fleet.min_engines_per_role,
         horizon: micros(fleet.horizon),
         change_duration: micros(AWAY),
         min_change_interval: HOUR
-            .checked_div(u64::from(fleet.changes_per_hour))
+            .checked_div(u64::from(fleet.max_role_changes_per_hour))
             .unwrap_or(u64::MAX),
     }
 }
--- a/components/daemon/src/request/caller.rs
+++ b/components/daemon/src/request/caller.rs
@@ -27,13 +27,13 @@
 
 impl Caller {
     /// Tells who calls by the key alone; no other header is believed.
-    pub fn identify(version: &resolve::Version, headers: &HeaderMap) -> Result<Self, Refusal> {
+    pub fn identify(version: &resolve::ResolvedTree, headers: &HeaderMap) -> Result<Self, Refusal> {
         let key = headers
             .get(header::AUTHORIZATION)
             .and_then(|value| value.to_str().ok())
             .and_then(|value| value.strip_prefix("Bearer "))
             .ok_or(Reason::WrongKey)?;
-        let at = version.caller(key.trim()).ok_or(Reason::WrongKey)?;
+        let at = version.group_for_key(key.trim()).ok_or(Reason::WrongKey)?;
         let group = &version.groups[at];
         let asked: Option<u64> = number(headers, DEADLINE)?;
         let time = asked.map_or(group.deadline.0, Duration::from_millis);
@@ -43,7 +43,7 @@
         Ok(Self {
             group: (at, group.name.clone()),
             deadline: now + time,
-            start_by: now + time.min(group.first_token),
+            start_by: now + time.min(group.max_queue_time),
             priority: asked.unwrap_or(group.priority.0).min(group.priority.1),
         })
     }
--- a/components/daemon/src/request/chat.rs
+++ b/components/daemon/src/request/chat.rs
@@ -3,7 +3,7 @@
 use endpoint::engine::prefix;
 use hyper::{Request, Response, body::Incoming};
 use serde::Deserialize;
-use settings::tree::resolve::{self, Repeat};
+use settings::tree::resolve::{self, RetryPolicy};
 use telemetry::timeline::Kind;
 
 use super::{
@@ -96,7 +96,7 @@
 }
 
 fn model<'a>(
-    version: &'a resolve::Version,
+    version: &'a resolve::ResolvedTree,
     caller: &Caller,
     name: &str,
 ) -> Result<&'a resolve::Model, Refusal> {
@@ -144,7 +144,7 @@
         .version
         .typed
         .service(&model.service)
-        .map_or(Repeat::Never, |service| service.repeat);
+        .map_or(RetryPolicy::Never, |service| service.retry_policy);
     let weights = format!("{}/{}/{}", model.name, model.adapter, model.version);
     let need = Need {
         group: caller.group,
--- a/components/daemon/src/request/generate/mod.rs
+++ b/components/daemon/src/request/generate/mod.rs
@@ -17,7 +17,7 @@
     engine::{Done, Frame, Generate, Kv, Reason as End},
 };
 use protocol::stream::{Assembler, Verdict};
-use settings::tree::resolve::Repeat;
+use settings::tree::resolve::RetryPolicy;
 use telemetry::timeline::Kind;
 
 use attempt::{Cancel, Live};
@@ -68,7 +68,7 @@
     /// Its prompt.
     pub prompt: String,
     /// Whether it may run twice.
-    pub repeat: Repeat,
+    pub repeat: RetryPolicy,
 }
 
 /// An answer as it comes.
@@ -244,7 +244,7 @@
         }
         self.learn(&frame);
         self.may_have_run = true;
-        if self.job.repeat == Repeat::Allowed {
+        if self.job.repeat == RetryPolicy::Allowed {
             self.text.push_str(&frame.text);
         }
         let done = frame.done.filter(|_| last);
--- a/components/daemon/src/request/generate/outcome.rs
+++ b/components/daemon/src/request/generate/outcome.rs
@@ -4,7 +4,7 @@
 
 use endpoint::{Failure, engine::Frame};
 use policy::retry::{self, FailureClass};
-use settings::tree::resolve::Repeat;
+use settings::tree::resolve::RetryPolicy;
 use telemetry::timeline::Kind;
 
 use super::{Broken, Reason, Stream, micros};
@@ -112,7 +112,7 @@
             .saturating_duration_since(Instant::now());
         let process = &self.job.context.process;
         // an attempt that may have run is the only one of a request that may not be repeated
-        let repeatable = self.job.repeat == Repeat::Allowed;
+        let repeatable = self.job.repeat == RetryPolicy::Allowed;
         let class = if self.may_have_run && !repeatable {
             FailureClass::MaybeExecuted
         } else {
--- a/components/daemon/src/request/plain.rs
+++ b/components/daemon/src/request/plain.rs
@@ -8,7 +8,7 @@
 use http_body_util::BodyDataStream;
 use hyper::{HeaderMap, Method, Request, Response, body::Incoming};
 use policy::retry::{self, FailureClass};
-use settings::tree::resolve::{Kind as ServiceKind, Repeat};
+use settings::tree::resolve::{RetryPolicy, ServiceKind};
 use telemetry::timeline::Kind;
 
 use super::{
@@ -48,7 +48,7 @@
     /// Its body.
     pub body: Bytes,
     /// Whether it may run twice.
-    pub repeat: Repeat,
+    pub repeat: RetryPolicy,
 }
 
 /// An answer's head, its body still coming, and the hold on the endpoint.
@@ -76,7 +76,7 @@
         .ok_or(Reason::UnknownService)?;
     let query = head.uri.query().map(|query| format!("?{query}"));
     let path = format!("/{path}{}", query.unwrap_or_default());
-    let repeat = service.repeat_of(&path);
+    let repeat = service.retry_policy_for(&path);
     let key = key(&head.headers)?;
     let service = service.name.clone();
     let body = body::read(&mut context, incoming).await?;
@@ -92,7 +92,7 @@
         context,
     };
     match key {
-        Some(key) if repeat == Repeat::Never => keyed::serve(call, &key).await,
+        Some(key) if repeat == RetryPolicy::Never => keyed::serve(call, &key).await,
         _ => {
             let answered = call.send().await?;
             Ok(call.pass_on(answered))
@@ -184,7 +184,7 @@
             .deadline
             .saturating_duration_since(Instant::now());
         let left = u64::try_from(left.as_micros()).unwrap_or(u64::MAX);
-        let repeatable = self.repeat == Repeat::Allowed;
+        let repeatable = self.repeat == RetryPolicy::Allowed;
         let budget = &mut lock(&process.budget);
         if retry::allow_retry(class, repeatable, attempt, left, 0, budget) {
             self.context.note(Kind::Retried, format!("{id}: {failure}"));
--- a/components/daemon/src/request/reply.rs
+++ b/components/daemon/src/request/reply.rs
@@ -31,7 +31,7 @@
 }
 
 /// `GET /v1/models`: the models that the caller's group may use.
-pub fn models(version: &resolve::Version, caller: &Caller) -> Response<Body> {
+pub fn models(version: &resolve::ResolvedTree, caller: &Caller) -> Response<Body> {
     let allowed = &version.groups[caller.group.0].models;
     let data = version
         .models
--- a/components/daemon/src/version/mod.rs
+++ b/components/daemon/src/version/mod.rs
@@ -10,12 +10,12 @@
     /// The tree.
     pub tree: Tree,
     /// The typed form.
-    pub typed: resolve::Version,
+    pub typed: resolve::ResolvedTree,
 }
 
 impl Snapshot {
     fn new(tree: Tree) -> Self {
-        let typed = resolve::Version::new(&tree);
+        let typed = resolve::ResolvedTree::new(&tree);
         Self { tree, typed }
     }
 }
--- a/components/settings/examples/page.rs
+++ b/components/settings/examples/page.rs
@@ -14,7 +14,7 @@
             };
             println!(
                 "| `{}` | {} | {default} | {} |",
-                key.name, key.of, key.about
+                key.name, key.value_type, key.description
             );
         }
         println!();
--- a/components/settings/src/process/mod.rs
+++ b/components/settings/src/daemon/mod.rs
@@ -185,7 +185,7 @@
                 "at least one character",
             ),
             (
-                token.len() == DIGEST_DIGITS && token.bytes().all(|b| b.is_ascii_hexdigit()),
+                token.len() == SHA256_HEX_DIGITS && token.bytes().all(|b| b.is_ascii_hexdigit()),
                 "daemon.operator_token_sha256",
                 "64 hexadecimal digits",
             ),
@@ -213,9 +213,9 @@
         ];
         checks
             .into_iter()
-            .find(|(fine, ..)| !fine)
+            .find(|(valid, ..)| !valid)
             .map(|(_, key, range)| (key, range))
     }
 }
 
-const DIGEST_DIGITS: usize = 64;
+const SHA256_HEX_DIGITS: usize = 64;
--- a/components/settings/src/file.rs
+++ b/components/settings/src/file.rs
@@ -46,14 +46,14 @@
 /// [`Error`] names the file and, where there is one, the line and the key.
 pub fn load<T: DeserializeOwned>(
     path: &Path,
-    check: impl Fn(&T) -> Option<OutOfRange>,
+    validate: impl Fn(&T) -> Option<OutOfRange>,
 ) -> Result<T, Error> {
     let name = path.display().to_string();
     let text = std::fs::read_to_string(path).map_err(|source| Error::Read {
         path: name.clone(),
         source,
     })?;
-    parse(&text, &name, check)
+    parse(&text, &name, validate)
 }
 
 /// Parses and checks the text of a settings file; `name` is told in errors.
@@ -64,13 +64,13 @@
 pub fn parse<T: DeserializeOwned>(
     text: &str,
     name: &str,
-    check: impl Fn(&T) -> Option<OutOfRange>,
+    validate: impl Fn(&T) -> Option<OutOfRange>,
 ) -> Result<T, Error> {
     let settings = toml::from_str(text).map_err(|source| Error::Parse {
         path: name.to_owned(),
         source: Box::new(source),
     })?;
-    match check(&settings) {
+    match validate(&settings) {
         Some((key, range)) => Err(Error::Range {
             path: name.to_owned(),
             key,
--- a/components/settings/src/gateway/mod.rs
+++ b/components/settings/src/gateway/mod.rs
@@ -57,19 +57,19 @@
     /// Where it listens.
     pub address: SocketAddr,
     /// Writes that all gateways together may make in a second.
-    #[serde(default = "Store::default_writes")]
+    #[serde(default = "Store::default_writes_per_second")]
     pub writes_per_second: f64,
     /// Reads that all gateways together may make in a second.
-    #[serde(default = "Store::default_reads")]
+    #[serde(default = "Store::default_reads_per_second")]
     pub reads_per_second: f64,
 }
 
 impl Store {
-    fn default_writes() -> f64 {
+    fn default_writes_per_second() -> f64 {
         400.0
     }
 
-    fn default_reads() -> f64 {
+    fn default_reads_per_second() -> f64 {
         2_000.0
     }
 }
@@ -205,7 +205,7 @@
         ];
         checks
             .into_iter()
-            .find(|(fine, ..)| !fine)
+            .find(|(valid, ..)| !valid)
             .map(|(_, key, range)| (key, range))
     }
 }
--- a/components/settings/src/lib.rs
+++ b/components/settings/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! Both are checked whole before anything uses them. Every key is listed in `docs/SETTINGS.md`.
 
+pub mod daemon;
 pub mod file;
 pub mod gateway;
-pub mod process;
 pub mod tree;
--- a/components/settings/src/tree/check.rs
+++ b/components/settings/src/tree/check.rs
@@ -12,29 +12,29 @@
     for node in &tree.nodes {
         match schema::kind_of(&node.path) {
             Some(kind) => {
-                values(node, kind, &mut problems);
-                references(tree, node, kind, &mut problems);
+                check_values(node, kind, &mut problems);
+                check_references(tree, node, kind, &mut problems);
             }
-            None => problems.push(Problem::Kind {
+            None => problems.push(Problem::UnknownKind {
                 path: node.path.clone(),
             }),
         }
     }
-    shared_keys(tree, &mut problems);
+    check_caller_keys(tree, &mut problems);
     problems
 }
 
-fn values(node: &Node, kind: &Kind, problems: &mut Vec<Problem>) {
+fn check_values(node: &Node, kind: &Kind, problems: &mut Vec<Problem>) {
     for (name, value) in &node.values {
         match kind.key(name) {
-            Some(key) if key.of.takes(value) => {}
-            Some(key) => problems.push(Problem::Value {
+            Some(key) if key.value_type.accepts(value) => {}
+            Some(key) => problems.push(Problem::InvalidValue {
                 path: node.path.clone(),
                 key: name.clone(),
                 value: value.clone(),
-                wanted: key.of.to_string(),
+                wanted: key.value_type.to_string(),
             }),
-            None => problems.push(Problem::Key {
+            None => problems.push(Problem::UnknownKey {
                 path: node.path.clone(),
                 key: name.clone(),
             }),
@@ -42,7 +42,7 @@
     }
     for key in kind.keys {
         if key.required && node.value(key.name).is_none() {
-            problems.push(Problem::Missing {
+            problems.push(Problem::MissingValue {
                 path: node.path.clone(),
                 key: key.name.to_owned(),
             });
@@ -50,10 +50,10 @@
     }
 }
 
-fn references(tree: &Tree, node: &Node, kind: &Kind, problems: &mut Vec<Problem>) {
-    let mut dangling = |key: &str, target: String| {
+fn check_references(tree: &Tree, node: &Node, kind: &Kind, problems: &mut Vec<Problem>) {
+    let mut require_node = |key: &str, target: String| {
         if tree.node(&target).is_none() {
-            problems.push(Problem::Dangling {
+            problems.push(Problem::DanglingReference {
                 path: node.path.clone(),
                 key: key.to_owned(),
                 target,
@@ -63,7 +63,7 @@
     match kind.name {
         "endpoint" | "model" => {
             if let Some(service) = node.value("service") {
-                dangling("service", format!("service/{service}"));
+                require_node("service", format!("service/{service}"));
             }
         }
         "group" => {
@@ -72,22 +72,22 @@
                 .iter()
                 .flat_map(|names| names.split(','))
             {
-                dangling("models", format!("model/{}", model.trim()));
+                require_node("models", format!("model/{}", model.trim()));
             }
             // a group without its parent would inherit from nobody
             if let Some((parent, _)) = node.path.rsplit_once('/')
                 && parent.contains('/')
             {
-                dangling("parent", parent.to_owned());
+                require_node("parent", parent.to_owned());
             }
         }
         _ => {}
     }
 }
 
-fn shared_keys(tree: &Tree, problems: &mut Vec<Problem>) {
+fn check_caller_keys(tree: &Tree, problems: &mut Vec<Problem>) {
     let mut claims: Vec<(&str, &str)> = tree
-        .kind("group")
+        .nodes_of_kind("group")
         .flat_map(|(_, node)| {
             let keys = node
                 .value("keys")
@@ -99,7 +99,7 @@
     claims.sort_unstable();
     for pair in claims.windows(2) {
         if pair[0].0 == pair[1].0 {
-            problems.push(Problem::Taken {
+            problems.push(Problem::AlreadyClaimed {
                 path: pair[1].1.to_owned(),
                 what: "a caller's key".to_owned(),
                 other: pair[0].1.to_owned(),
--- a/components/settings/src/tree/mod.rs
+++ b/components/settings/src/tree/mod.rs
@@ -26,7 +26,7 @@
         self.values
             .binary_search_by(|(k, _)| k.as_str().cmp(key))
             .ok()
-            .map(|at| self.values[at].1.as_str())
+            .map(|index| self.values[index].1.as_str())
     }
 }
 
@@ -84,13 +84,13 @@
 pub enum Problem {
     /// The path does not start with a known kind, or has the wrong number of parts.
     #[display("{path}: no such kind of node; known are group, model, service, endpoint, fleet")]
-    Kind {
+    UnknownKind {
         /// Path of the node.
         path: String,
     },
     /// The node's kind has no such key.
     #[display("{path}: {key} is not a key of this kind of node")]
-    Key {
+    UnknownKey {
         /// Path of the node.
         path: String,
         /// The key.
@@ -98,7 +98,7 @@
     },
     /// The value is not of the key's type or out of its range.
     #[display("{path}: {key} = {value:?} is not {wanted}")]
-    Value {
+    InvalidValue {
         /// Path of the node.
         path: String,
         /// The key.
@@ -110,7 +110,7 @@
     },
     /// A required value is missing.
     #[display("{path}: {key} must be set")]
-    Missing {
+    MissingValue {
         /// Path of the node.
         path: String,
         /// The key.
@@ -118,7 +118,7 @@
     },
     /// A value names a node that does not exist.
     #[display("{path}: {key} names {target}, which does not exist")]
-    Dangling {
+    DanglingReference {
         /// Path of the node.
         path: String,
         /// The key.
@@ -128,13 +128,13 @@
     },
     /// The node to change does not exist.
     #[display("{path} does not exist")]
-    Absent {
+    NodeNotFound {
         /// Path of the node.
         path: String,
     },
     /// Two nodes claim what only one may have.
     #[display("{path}: {what} is already that of {other}")]
-    Taken {
+    AlreadyClaimed {
         /// Path of the node.
         path: String,
         /// What is claimed.
@@ -167,11 +167,11 @@
     /// The node at a path.
     #[must_use]
     pub fn node(&self, path: &str) -> Option<&Node> {
-        self.find(path).ok().map(|at| &self.nodes[at])
+        self.position(path).ok().map(|index| &self.nodes[index])
     }
 
     /// All nodes of a kind, with the path after the kind.
-    pub fn kind<'a>(&'a self, kind: &'a str) -> impl Iterator<Item = (&'a str, &'a Node)> {
+    pub fn nodes_of_kind<'a>(&'a self, kind: &'a str) -> impl Iterator<Item = (&'a str, &'a Node)> {
         self.nodes.iter().filter_map(move |node| {
             let rest = node.path.strip_prefix(kind)?.strip_prefix('/')?;
             Some((rest, node))
@@ -180,14 +180,14 @@
 
     /// The value at a path, or the one inherited from a parent group.
     #[must_use]
-    pub fn inherited(&self, path: &str, key: &str) -> Option<&str> {
-        let mut at = path;
+    pub fn effective_value(&self, path: &str, key: &str) -> Option<&str> {
+        let mut current = path;
         loop {
-            if let Some(value) = self.node(at).and_then(|node| node.value(key)) {
+            if let Some(value) = self.node(current).and_then(|node| node.value(key)) {
                 return Some(value);
             }
             // the kind itself is no node
-            at = match at.rsplit_once('/') {
+            current = match current.rsplit_once('/') {
                 Some((parent, _)) if parent.contains('/') && path.starts_with("group/") => parent,
                 _ => return None,
             };
@@ -203,7 +203,7 @@
         let mut next = self.clone();
         next.version += 1;
         for edit in edits {
-            next.step(edit).map_err(|problem| vec![problem])?;
+            next.apply_edit(edit).map_err(|problem| vec![problem])?;
         }
         match check::problems(&next) {
             problems if problems.is_empty() => Ok(next),
@@ -211,44 +211,44 @@
         }
     }
 
-    fn find(&self, path: &str) -> Result<usize, usize> {
+    fn position(&self, path: &str) -> Result<usize, usize> {
         self.nodes
             .binary_search_by(|node| node.path.as_str().cmp(path))
     }
 
-    fn step(&mut self, edit: &Edit) -> Result<(), Problem> {
-        let found = self.find(edit.path());
-        match (edit, found) {
-            (Edit::Set { key, value, .. }, Ok(at)) => {
-                set(&mut self.nodes[at].values, key, value);
+    fn apply_edit(&mut self, edit: &Edit) -> Result<(), Problem> {
+        let position = self.position(edit.path());
+        match (edit, position) {
+            (Edit::Set { key, value, .. }, Ok(index)) => {
+                insert_value(&mut self.nodes[index].values, key, value);
                 Ok(())
             }
-            (Edit::Set { path, key, value }, Err(at)) => {
+            (Edit::Set { path, key, value }, Err(index)) => {
                 let node = Node {
                     path: path.clone(),
                     values: vec![(key.clone(), value.clone())],
                 };
-                self.nodes.insert(at, node);
+                self.nodes.insert(index, node);
                 Ok(())
             }
-            (Edit::Unset { key, .. }, Ok(at)) => {
-                self.nodes[at].values.retain(|(k, _)| k != key);
+            (Edit::Unset { key, .. }, Ok(index)) => {
+                self.nodes[index].values.retain(|(k, _)| k != key);
                 Ok(())
             }
-            (Edit::Remove { .. }, Ok(at)) => {
-                self.nodes.remove(at);
+            (Edit::Remove { .. }, Ok(index)) => {
+                self.nodes.remove(index);
                 Ok(())
             }
             (Edit::Unset { path, .. } | Edit::Remove { path }, Err(_)) => {
-                Err(Problem::Absent { path: path.clone() })
+                Err(Problem::NodeNotFound { path: path.clone() })
             }
         }
     }
 }
 
-fn set(values: &mut Vec<(String, String)>, key: &str, value: &str) {
+fn insert_value(values: &mut Vec<(String, String)>, key: &str, value: &str) {
     match values.binary_search_by(|(k, _)| k.as_str().cmp(key)) {
-        Ok(at) => value.clone_into(&mut values[at].1),
-        Err(at) => values.insert(at, (key.to_owned(), value.to_owned())),
+        Ok(index) => value.clone_into(&mut values[index].1),
+        Err(index) => values.insert(index, (key.to_owned(), value.to_owned())),
     }
 }
--- a/components/settings/src/tree/resolve.rs
+++ b/components/settings/src/tree/resolve.rs
@@ -21,14 +21,14 @@
     /// Deadline of a request that names none, and the longest it may name.
     pub deadline: (Duration, Duration),
     /// Longest wait for a turn.
-    pub first_token: Duration,
+    pub max_queue_time: Duration,
     /// Models it may use; all when empty. Sorted.
     pub models: Vec<String>,
 }
 
 /// What stands behind a service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum ServiceKind {
     /// Language-model engines.
     Engines,
     /// Plain services, passed through whole.
@@ -37,7 +37,7 @@
 
 /// Whether a request may run twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeat {
+pub enum RetryPolicy {
     /// A failed try may be followed by another.
     Allowed,
     /// One try, ever.
@@ -50,11 +50,11 @@
     /// Path below `service/`.
     pub name: String,
     /// What stands behind it.
-    pub kind: Kind,
+    pub kind: ServiceKind,
     /// Whether its requests may run twice.
-    pub repeat: Repeat,
+    pub retry_policy: RetryPolicy,
     /// Path prefixes whose requests may not be repeated.
-    pub never: Vec<String>,
+    pub no_retry_prefixes: Vec<String>,
     /// How long claims are kept.
     pub retention: Duration,
 }
@@ -62,17 +62,17 @@
 impl Service {
     /// Whether a request to a path of this service may run twice.
     #[must_use]
-    pub fn repeat_of(&self, path: &str) -> Repeat {
-        match self.repeat {
-            Repeat::Allowed
+    pub fn retry_policy_for(&self, path: &str) -> RetryPolicy {
+        match self.retry_policy {
+            RetryPolicy::Allowed
                 if !self
-                    .never
+                    .no_retry_prefixes
                     .iter()
                     .any(|prefix| path.starts_with(prefix.as_str())) =>
             {
-                Repeat::Allowed
+                RetryPolicy::Allowed
             }
-            _ => Repeat::Never,
+            _ => RetryPolicy::Never,
         }
     }
 }
@@ -113,22 +113,22 @@
     /// Whether stewards change roles by themselves.
     pub adaptive: bool,
     /// Most changes an hour.
-    pub changes_per_hour: u32,
+    pub max_role_changes_per_hour: u32,
     /// Engines of each phase that stay.
-    pub reserve: u32,
+    pub min_engines_per_role: u32,
     /// How far ahead the gain of a change is counted.
     pub horizon: Duration,
 }
 
 /// One version of the settings, typed. Vectors are sorted by name.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Version {
+pub struct ResolvedTree {
     /// The version.
     pub version: u64,
     /// Groups by name, parents before children.
     pub groups: Vec<Group>,
     /// Digests of callers' keys with the index of their group.
-    keys: Vec<([u8; 32], usize)>,
+    caller_keys: Vec<([u8; 32], usize)>,
     /// Models by name.
     pub models: Vec<Model>,
     /// Services by name.
@@ -139,18 +139,18 @@
     pub fleet: Fleet,
 }
 
-impl Version {
+impl ResolvedTree {
     /// Types a checked tree. A value that does not parse takes its default.
     #[must_use]
     pub fn new(tree: &Tree) -> Self {
         let groups = groups(tree);
-        let keys = keys(tree, &groups);
+        let caller_keys = caller_keys(tree, &groups);
         Self {
             version: tree.version,
-            keys,
+            caller_keys,
             groups,
             models: tree
-                .kind("model")
+                .nodes_of_kind("model")
                 .map(|(name, node)| Model {
                     name: name.to_owned(),
                     service: text(tree, &node.path, "service"),
@@ -159,7 +159,7 @@
                 })
                 .collect(),
             services: tree
-                .kind("service")
+                .nodes_of_kind("service")
                 .map(|(name, node)| service(tree, name, &node.path))
                 .collect(),
             endpoints: endpoints(tree),
@@ -169,12 +169,14 @@
 
     /// The index of the group whose caller has this key. Each digest is compared in constant time.
     #[must_use]
-    pub fn caller(&self, key: &str) -> Option<usize> {
+    pub fn group_for_key(&self, key: &str) -> Option<usize> {
         let digest: [u8; 32] = Sha256::digest(key.as_bytes()).into();
         // the search leaks no more than the digest's order, which the caller can't steer
-        let at = self.keys.partition_point(|(other, _)| *other < digest);
-        self.keys
-            .get(at)
+        let index = self
+            .caller_keys
+            .partition_point(|(other, _)| *other < digest);
+        self.caller_keys
+            .get(index)
             .filter(|(other, _)| bool::from(other.ct_eq(&digest)))
             .map(|(_, group)| *group)
     }
@@ -182,17 +184,17 @@
     /// The model with a name.
     #[must_use]
     pub fn model(&self, name: &str) -> Option<&Model> {
-        let at = self.models.binary_search_by(|m| m.name.as_str().cmp(name));
-        at.ok().map(|at| &self.models[at])
+        let index = self.models.binary_search_by(|m| m.name.as_str().cmp(name));
+        index.ok().map(|index| &self.models[index])
     }
 
     /// The service with a name.
     #[must_use]
     pub fn service(&self, name: &str) -> Option<&Service> {
-        let at = self
+        let index = self
             .services
             .binary_search_by(|s| s.name.as_str().cmp(name));
-        at.ok().map(|at| &self.services[at])
+        index.ok().map(|index| &self.services[index])
     }
 
     /// The endpoint with a number in a data centre.
@@ -201,32 +203,34 @@
         self.endpoints
             .binary_search_by(|e| (e.data_centre.as_str(), e.number).cmp(&(data_centre, number)))
             .ok()
-            .map(|at| &self.endpoints[at])
+            .map(|index| &self.endpoints[index])
     }
 }
 
 fn text(tree: &Tree, path: &str, key: &str) -> String {
-    raw(tree, path, key).unwrap_or_default().to_owned()
+    value_or_default(tree, path, key)
+        .unwrap_or_default()
+        .to_owned()
 }
 
-fn raw<'a>(tree: &'a Tree, path: &str, key: &str) -> Option<&'a str> {
-    tree.inherited(path, key)
+fn value_or_default<'a>(tree: &'a Tree, path: &str, key: &str) -> Option<&'a str> {
+    tree.effective_value(path, key)
         .or_else(|| schema::kind_of(path)?.key(key)?.default)
 }
 
 fn number(tree: &Tree, path: &str, key: &str) -> u32 {
-    raw(tree, path, key)
+    value_or_default(tree, path, key)
         .and_then(|value| value.parse().ok())
         .unwrap_or_default()
 }
 
-fn time(tree: &Tree, path: &str, key: &str) -> Duration {
-    raw(tree, path, key)
+fn duration(tree: &Tree, path: &str, key: &str) -> Duration {
+    value_or_default(tree, path, key)
         .and_then(|value| humantime::parse_duration(value).ok())
         .unwrap_or_default()
 }
 
-fn names(value: Option<&str>) -> Vec<String> {
+fn sorted_names(value: Option<&str>) -> Vec<String> {
     let mut names: Vec<String> = value
         .iter()
         .flat_map(|names| names.split(','))
@@ -237,9 +241,9 @@
 }
 
 fn groups(tree: &Tree) -> Vec<Group> {
-    let paths: Vec<&str> = tree.kind("group").map(|(name, _)| name).collect();
+    let paths: Vec<&str> = tree.nodes_of_kind("group").map(|(name, _)| name).collect();
     let priority = |path: &str, key: &str| u8::try_from(number(tree, path, key)).unwrap_or(0);
-    tree.kind("group")
+    tree.nodes_of_kind("group")
         .map(|(name, node)| {
             let path = node.path.as_str();
             Group {
@@ -254,23 +258,23 @@
                     .unwrap_or(1),
                 priority: (priority(path, "priority"), priority(path, "priority_max")),
                 deadline: (
-                    time(tree, path, "deadline"),
-                    time(tree, path, "deadline_max"),
+                    duration(tree, path, "deadline"),
+                    duration(tree, path, "deadline_max"),
                 ),
-                first_token: time(tree, path, "first_token"),
-                models: names(raw(tree, path, "models")),
+                max_queue_time: duration(tree, path, "first_token"),
+                models: sorted_names(value_or_default(tree, path, "models")),
             }
         })
         .collect()
 }
 
-fn keys(tree: &Tree, groups: &[Group]) -> Vec<([u8; 32], usize)> {
+fn caller_keys(tree: &Tree, groups: &[Group]) -> Vec<([u8; 32], usize)> {
     let mut keys = Vec::new();
-    for (name, node) in tree.kind("group") {
-        let at = groups.binary_search_by(|group| group.name.as_str().cmp(name));
+    for (name, node) in tree.nodes_of_kind("group") {
+        let index = groups.binary_search_by(|group| group.name.as_str().cmp(name));
         for digest in node.value("keys").iter().flat_map(|keys| keys.split(',')) {
-            if let (Some(digest), Ok(at)) = (digest_of(digest), at) {
-                keys.push((digest, at));
+            if let (Some(digest), Ok(index)) = (parse_digest(digest), index) {
+                keys.push((digest, index));
             }
         }
     }
@@ -280,13 +284,13 @@
 
 /// The bytes of a SHA-256 digest in hexadecimal.
 #[must_use]
-pub fn digest_of(hex: &str) -> Option<[u8; 32]> {
+pub fn parse_digest(hex: &str) -> Option<[u8; 32]> {
     let mut digest = [0; 32];
     if hex.len() != 64 || !hex.is_ascii() {
         return None;
     }
-    for (at, byte) in digest.iter_mut().enumerate() {
-        *byte = u8::from_str_radix(&hex[2 * at..2 * at + 2], 16).ok()?;
+    for (index, byte) in digest.iter_mut().enumerate() {
+        *byte = u8::from_str_radix(&hex[2 * index..2 * index + 2], 16).ok()?;
     }
     Some(digest)
 }
@@ -295,7 +299,7 @@
 #[must_use]
 pub fn secret_matches(secret: &str, hex: &str) -> bool {
     let digest: [u8; 32] = Sha256::digest(secret.as_bytes()).into();
-    digest_of(hex).is_some_and(|wanted| bool::from(wanted.ct_eq(&digest)))
+    parse_digest(hex).is_some_and(|expected| bool::from(expected.ct_eq(&digest)))
 }
 
 /// The SHA-256 digest of a secret, in hexadecimal.
@@ -312,32 +316,32 @@
 fn service(tree: &Tree, name: &str, path: &str) -> Service {
     Service {
         name: name.to_owned(),
-        kind: match raw(tree, path, "kind") {
-            Some("engines") => Kind::Engines,
-            _ => Kind::Plain,
+        kind: match value_or_default(tree, path, "kind") {
+            Some("engines") => ServiceKind::Engines,
+            _ => ServiceKind::Plain,
         },
-        repeat: match raw(tree, path, "repeat") {
-            Some("never") => Repeat::Never,
-            _ => Repeat::Allowed,
+        retry_policy: match value_or_default(tree, path, "repeat") {
+            Some("never") => RetryPolicy::Never,
+            _ => RetryPolicy::Allowed,
         },
-        never: names(raw(tree, path, "repeat_never_routes")),
-        retention: time(tree, path, "retention"),
+        no_retry_prefixes: sorted_names(value_or_default(tree, path, "repeat_never_routes")),
+        retention: duration(tree, path, "retention"),
     }
 }
 
 fn endpoints(tree: &Tree) -> Vec<Endpoint> {
     let mut endpoints: Vec<Endpoint> = tree
-        .kind("endpoint")
+        .nodes_of_kind("endpoint")
         .filter_map(|(name, node)| {
             let (data_centre, number) = name.split_once('/')?;
             let path = node.path.as_str();
             Some(Endpoint {
                 data_centre: data_centre.to_owned(),
                 number: number.parse().ok()?,
-                address: raw(tree, path, "address")?.parse().ok()?,
+                address: value_or_default(tree, path, "address")?.parse().ok()?,
                 service: text(tree, path, "service"),
-                drain: raw(tree, path, "drain") == Some("true"),
-                fences: raw(tree, path, "fences") == Some("true"),
+                drain: value_or_default(tree, path, "drain") == Some("true"),
+                fences: value_or_default(tree, path, "fences") == Some("true"),
             })
         })
         .collect();
@@ -348,9 +352,9 @@
 fn fleet(tree: &Tree) -> Fleet {
     let path = "fleet/roles";
     Fleet {
-        adaptive: raw(tree, path, "roles") != Some("fixed"),
-        changes_per_hour: number(tree, path, "role_changes_per_hour"),
-        reserve: number(tree, path, "role_reserve"),
-        horizon: time(tree, path, "role_horizon"),
+        adaptive: value_or_default(tree, path, "roles") != Some("fixed"),
+        max_role_changes_per_hour: number(tree, path, "role_changes_per_hour"),
+        min_engines_per_role: number(tree, path, "role_reserve"),
+        horizon: duration(tree, path, "role_horizon"),
     }
 }
--- a/components/settings/src/tree/schema.rs
+++ b/components/settings/src/tree/schema.rs
@@ -8,11 +8,11 @@
     /// A whole number in a range.
     Number(u64, u64),
     /// `true` or `false`.
-    Switch,
+    Bool,
     /// A time such as `3s`, at least and at most so many milliseconds.
-    Time(u64, u64),
+    Duration(u64, u64),
     /// One of the words given.
-    Word(&'static [&'static str]),
+    OneOf(&'static [&'static str]),
     /// Any text of at least one character.
     Text,
     /// An IP number and port.
@@ -29,13 +29,13 @@
     /// Its name.
     pub name: &'static str,
     /// Its type, with unit and range.
-    pub of: Type,
+    pub value_type: Type,
     /// Its default, in the text form; none where the key must be set or may be absent.
     pub default: Option<&'static str>,
     /// Whether the node is refused without it.
     pub required: bool,
     /// What it is for, in one sentence.
-    pub about: &'static str,
+    pub description: &'static str,
 }
 
 /// A kind of node.
@@ -51,38 +51,38 @@
 
 const HOUR_MS: u64 = 3_600_000;
 
-const fn optional(name: &'static str, of: Type, about: &'static str) -> Key {
+const fn optional(name: &'static str, value_type: Type, description: &'static str) -> Key {
     Key {
         name,
-        of,
+        value_type,
         default: None,
         required: false,
-        about,
+        description,
     }
 }
 
-const fn required(name: &'static str, of: Type, about: &'static str) -> Key {
+const fn required(name: &'static str, value_type: Type, description: &'static str) -> Key {
     Key {
         name,
-        of,
+        value_type,
         default: None,
         required: true,
-        about,
+        description,
     }
 }
 
-const fn defaulted(
+const fn with_default(
     name: &'static str,
-    of: Type,
+    value_type: Type,
     default: &'static str,
-    about: &'static str,
+    description: &'static str,
 ) -> Key {
     Key {
         name,
-        of,
+        value_type,
         default: Some(default),
         required: false,
-        about,
+        description,
     }
 }
 
@@ -93,15 +93,15 @@
         depth: (2, 2),
         keys: &[
             required("address", Type::Address, "Where the endpoint listens."),
-            defaulted(
+            with_default(
                 "drain",
-                Type::Switch,
+                Type::Bool,
                 "false",
                 "Whether the endpoint takes no new work.",
             ),
-            defaulted(
+            with_default(
                 "fences",
-                Type::Switch,
+                Type::Bool,
                 "false",
                 "Whether the engine refuses orders with an old fencing number.",
             ),
@@ -116,27 +116,27 @@
         name: "fleet",
         depth: (1, 1),
         keys: &[
-            defaulted(
+            with_default(
                 "role_changes_per_hour",
                 Type::Number(0, 3600),
                 "12",
                 "Most role changes an hour in a service and data centre.",
             ),
-            defaulted(
+            with_default(
                 "role_horizon",
-                Type::Time(1000, HOUR_MS),
+                Type::Duration(1000, HOUR_MS),
                 "120s",
                 "How far ahead the gain of a role change is counted.",
             ),
-            defaulted(
+            with_default(
                 "role_reserve",
                 Type::Number(0, 1000),
                 "1",
                 "Engines of each phase that stay whatever the mix.",
             ),
-            defaulted(
+            with_default(
                 "roles",
-                Type::Word(&["adaptive", "fixed"]),
+                Type::OneOf(&["adaptive", "fixed"]),
                 "adaptive",
                 "Whether the stewards change roles by themselves.",
             ),
@@ -146,21 +146,21 @@
         name: "group",
         depth: (1, 8),
         keys: &[
-            defaulted(
+            with_default(
                 "deadline",
-                Type::Time(10, HOUR_MS),
+                Type::Duration(10, HOUR_MS),
                 "30s",
                 "Deadline of a request that names none.",
             ),
-            defaulted(
+            with_default(
                 "deadline_max",
-                Type::Time(10, HOUR_MS),
+                Type::Duration(10, HOUR_MS),
                 "10m",
                 "Longest deadline a request may name.",
             ),
-            defaulted(
+            with_default(
                 "first_token",
-                Type::Time(10, HOUR_MS),
+                Type::Duration(10, HOUR_MS),
                 "1h",
                 "Longest wait for a turn; a request that would wait longer is refused at once.",
             ),
@@ -174,19 +174,19 @@
                 Type::Names,
                 "Models the group may use; all when absent.",
             ),
-            defaulted(
+            with_default(
                 "priority",
                 Type::Number(0, 9),
                 "4",
                 "Priority of a request that names none; 9 goes first.",
             ),
-            defaulted(
+            with_default(
                 "priority_max",
                 Type::Number(0, 9),
                 "7",
                 "Highest priority a request may name.",
             ),
-            defaulted(
+            with_default(
                 "share",
                 Type::Number(1, 1_000_000),
                 "1",
@@ -198,7 +198,7 @@
         name: "model",
         depth: (1, 1),
         keys: &[
-            defaulted(
+            with_default(
                 "adapter",
                 Type::Text,
                 "none",
@@ -218,12 +218,12 @@
         keys: &[
             required(
                 "kind",
-                Type::Word(&["engines", "plain"]),
+                Type::OneOf(&["engines", "plain"]),
                 "What stands behind the service.",
             ),
-            defaulted(
+            with_default(
                 "repeat",
-                Type::Word(&["allowed", "never"]),
+                Type::OneOf(&["allowed", "never"]),
                 "allowed",
                 "Whether a request may run twice.",
             ),
@@ -232,9 +232,9 @@
                 Type::Names,
                 "Path prefixes whose requests may not be repeated.",
             ),
-            defaulted(
+            with_default(
                 "retention",
-                Type::Time(1000, 720 * HOUR_MS),
+                Type::Duration(1000, 720 * HOUR_MS),
                 "24h",
                 "How long a claim of an idempotency key is kept.",
             ),
@@ -247,8 +247,8 @@
 pub fn kind_of(path: &str) -> Option<&'static Kind> {
     let mut parts = path.split('/');
     let name = parts.next()?;
-    let at = KINDS.binary_search_by(|kind| kind.name.cmp(name)).ok()?;
-    let kind = &KINDS[at];
+    let index = KINDS.binary_search_by(|kind| kind.name.cmp(name)).ok()?;
+    let kind = &KINDS[index];
     let mut depth = 0;
     for part in parts {
         if part.is_empty() || part.chars().any(|c| c.is_whitespace() || c.is_control()) {
@@ -265,24 +265,24 @@
     /// The key with a name.
     #[must_use]
     pub fn key(&self, name: &str) -> Option<&'static Key> {
-        let at = self.keys.binary_search_by(|key| key.name.cmp(name)).ok()?;
-        Some(&self.keys[at])
+        let index = self.keys.binary_search_by(|key| key.name.cmp(name)).ok()?;
+        Some(&self.keys[index])
     }
 }
 
 impl Type {
     /// Whether a text is a value of this type.
     #[must_use]
-    pub fn takes(self, value: &str) -> bool {
+    pub fn accepts(self, value: &str) -> bool {
         match self {
-            Self::Number(least, most) => value
+            Self::Number(min, max) => value
                 .parse::<u64>()
-                .is_ok_and(|number| (least..=most).contains(&number)),
-            Self::Switch => matches!(value, "true" | "false"),
-            Self::Time(least, most) => humantime::parse_duration(value).is_ok_and(|time| {
-                (u128::from(least)..=u128::from(most)).contains(&time.as_millis())
+                .is_ok_and(|number| (min..=max).contains(&number)),
+            Self::Bool => matches!(value, "true" | "false"),
+            Self::Duration(min, max) => humantime::parse_duration(value).is_ok_and(|duration| {
+                (u128::from(min)..=u128::from(max)).contains(&duration.as_millis())
             }),
-            Self::Word(words) => words.contains(&value),
+            Self::OneOf(choices) => choices.contains(&value),
             Self::Text => !value.trim().is_empty(),
             Self::Address => value.parse::<std::net::SocketAddr>().is_ok(),
             Self::Digests => value
@@ -296,18 +296,18 @@
 impl std::fmt::Display for Type {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Self::Number(least, most) => write!(f, "a whole number from {least} to {most}"),
-            Self::Switch => write!(f, "true or false"),
-            Self::Time(least, most) => {
+            Self::Number(min, max) => write!(f, "a whole number from {min} to {max}"),
+            Self::Bool => write!(f, "true or false"),
+            Self::Duration(min, max) => {
                 let ms = std::time::Duration::from_millis;
-                let (least, most) = (ms(*least), ms(*most));
-                let (least, most) = (
-                    humantime::format_duration(least),
-                    humantime::format_duration(most),
+                let (min, max) = (ms(*min), ms(*max));
+                let (min, max) = (
+                    humantime::format_duration(min),
+                    humantime::format_duration(max),
                 );
-                write!(f, "a time from {least} to {most}, such as 3s")
+                write!(f, "a time from {min} to {max}, such as 3s")
             }
-            Self::Word(words) => write!(f, "one of {}", words.join(", ")),
+            Self::OneOf(choices) => write!(f, "one of {}", choices.join(", ")),
             Self::Text => write!(f, "a text"),
             Self::Address => write!(f, "an IP number and port"),
             Self::Digests => write!(f, "SHA-256 digests in hexadecimal, separated by commas"),
--- a/components/settings/tests/pages.rs
+++ b/components/settings/tests/pages.rs
@@ -3,7 +3,7 @@
 use std::path::{Path, PathBuf};
 
 use settings::{
-    process::Settings,
+    daemon::Settings,
     tree::schema::{KINDS, Key},
 };
 
@@ -19,7 +19,7 @@
     };
     format!(
         "| `{}` | {} | {default} | {} |",
-        key.name, key.of, key.about
+        key.name, key.value_type, key.description
     )
 }
 
@@ -31,17 +31,17 @@
         .lines()
         .filter(|line| line.starts_with("| `"))
         .collect();
-    let wanted: Vec<String> = KINDS
+    let expected: Vec<String> = KINDS
         .iter()
         .flat_map(|kind| kind.keys.iter().map(row))
         .collect();
-    assert_eq!(listed, wanted);
+    assert_eq!(listed, expected);
 }
 
 #[test]
 fn the_page_lists_each_key_of_a_daemons_file() {
     let page = std::fs::read_to_string(root().join("docs/SETTINGS.md")).expect("the page");
-    let code = std::fs::read_to_string(root().join("components/settings/src/process/mod.rs"));
+    let code = std::fs::read_to_string(root().join("components/settings/src/daemon/mod.rs"));
     let code = code.expect("the code");
     let keys = code
         .lines()
--- a/components/settings/tests/tree.rs
+++ b/components/settings/tests/tree.rs
@@ -21,60 +21,60 @@
             set("group/soils/lab", "deadline", "9s"),
         ])
         .expect("fine");
-    let version = resolve::Version::new(&tree);
-    let seconds: Vec<u64> = version
+    let resolved = resolve::ResolvedTree::new(&tree);
+    let seconds: Vec<u64> = resolved
         .groups
         .iter()
         .map(|g| g.deadline.0.as_secs())
         .collect();
     assert_eq!(seconds, [5, 5, 9]);
-    let shares: Vec<u32> = version.groups.iter().map(|g| g.share).collect();
+    let shares: Vec<u32> = resolved.groups.iter().map(|g| g.share).collect();
     assert_eq!(shares, [7, 1, 1]);
-    let parents: Vec<Option<usize>> = version.groups.iter().map(|g| g.parent).collect();
+    let parents: Vec<Option<usize>> = resolved.groups.iter().map(|g| g.parent).collect();
     assert_eq!(parents, [None, Some(0), Some(0)]);
 }
 
 #[test]
 fn a_wrong_change_is_refused_whole_with_every_problem() {
-    let wrong = [
+    let edits = [
         set("group/a", "share", "0"),
         set("group/b/c", "share", "1"),
         set("model/m", "service", "nowhere"),
         set("nothing/x", "y", "z"),
         set("service/s", "colour", "red"),
     ];
-    let problems = Tree::default().apply(&wrong).expect_err("refused");
-    let has = |wanted: &dyn Fn(&Problem) -> bool| problems.iter().any(wanted);
+    let problems = Tree::default().apply(&edits).expect_err("refused");
+    let has = |predicate: &dyn Fn(&Problem) -> bool| problems.iter().any(predicate);
     assert!(has(
-        &|p| matches!(p, Problem::Value { key, .. } if key == "share")
+        &|p| matches!(p, Problem::InvalidValue { key, .. } if key == "share")
     ));
     assert!(has(
-        &|p| matches!(p, Problem::Dangling { target, .. } if target == "group/b")
+        &|p| matches!(p, Problem::DanglingReference { target, .. } if target == "group/b")
     ));
     assert!(has(
-        &|p| matches!(p, Problem::Dangling { target, .. } if target == "service/nowhere")
+        &|p| matches!(p, Problem::DanglingReference { target, .. } if target == "service/nowhere")
     ));
     assert!(has(
-        &|p| matches!(p, Problem::Missing { key, .. } if key == "version")
+        &|p| matches!(p, Problem::MissingValue { key, .. } if key == "version")
     ));
     assert!(has(
-        &|p| matches!(p, Problem::Kind { path } if path == "nothing/x")
+        &|p| matches!(p, Problem::UnknownKind { path } if path == "nothing/x")
     ));
     assert!(has(
-        &|p| matches!(p, Problem::Key { key, .. } if key == "colour")
+        &|p| matches!(p, Problem::UnknownKey { key, .. } if key == "colour")
     ));
 }
 
 #[test]
 fn problems_are_told_in_the_operators_terms() {
-    let wrong = [
+    let edits = [
         set("group/a", "deadline", "soon"),
         set("model/m", "service", "s"),
         set("service/s", "kind", "engine"),
     ];
-    let problems = Tree::default().apply(&wrong).expect_err("refused");
-    let told: Vec<String> = problems.iter().map(ToString::to_string).collect();
-    insta::assert_snapshot!(told.join("\n"), @r#"
+    let problems = Tree::default().apply(&edits).expect_err("refused");
+    let messages: Vec<String> = problems.iter().map(ToString::to_string).collect();
+    insta::assert_snapshot!(messages.join("\n"), @r#"
     group/a: deadline = "soon" is not a time from 10ms to 1h, such as 3s
     model/m: version must be set
     service/s: kind = "engine" is not one of engines, plain
@@ -87,12 +87,15 @@
     let tree = Tree::default()
         .apply(&[set("group/a", "keys", &digest)])
         .expect("fine");
-    let version = resolve::Version::new(&tree);
-    assert_eq!((version.caller("k"), version.caller("K")), (Some(0), None));
+    let resolved = resolve::ResolvedTree::new(&tree);
+    assert_eq!(
+        (resolved.group_for_key("k"), resolved.group_for_key("K")),
+        (Some(0), None)
+    );
     let problems = tree
         .apply(&[set("group/b", "keys", &digest)])
         .expect_err("taken");
-    assert!(matches!(problems[0], Problem::Taken { .. }));
+    assert!(matches!(problems[0], Problem::AlreadyClaimed { .. }));
 }
 
 proptest! {
@@ -101,10 +104,10 @@
         let path = format!("group/{name}");
         let tree = Tree::default().apply(&[set(&path, "share", &share.to_string())]).expect("fine");
         prop_assert_eq!(tree.version, 1);
-        prop_assert_eq!(resolve::Version::new(&tree).groups[0].share, share);
-        let gone = tree.apply(&[Edit::Remove { path }]).expect("fine");
-        prop_assert_eq!(gone.version, 2);
-        prop_assert!(gone.nodes.is_empty());
+        prop_assert_eq!(resolve::ResolvedTree::new(&tree).groups[0].share, share);
+        let removed = tree.apply(&[Edit::Remove { path }]).expect("fine");
+        prop_assert_eq!(removed.version, 2);
+        prop_assert!(removed.nodes.is_empty());
     }
 
     #[test]
@@ -112,6 +115,6 @@
         let node = Node { path, values: vec![(key, value)] };
         let tree = Tree::new(1, vec![node]);
         let _ = check::problems(&tree);
-        let _ = resolve::Version::new(&tree);
+        let _ = resolve::ResolvedTree::new(&tree);
     }
 }
--- a/examples/demo_parts/fleet.rs
+++ b/examples/demo_parts/fleet.rs
@@ -4,7 +4,7 @@
 
 use daemon::Running;
 use protocol::order::{Role, Wanted};
-use settings::{process::Settings, tree::resolve};
+use settings::{daemon::Settings, tree::resolve};
 use standin::{
     batch::Speed,
     engine::{Engine, Setup},
@@ -164,7 +164,7 @@
     number: usize,
     platform: SocketAddr,
     seeds: &[SocketAddr],
-) -> Result<Settings, settings::process::Error> {
+) -> Result<Settings, settings::daemon::Error> {
     let seeds: Vec<String> = seeds.iter().map(|seed| format!("\"{seed}\"")).collect();
     let text = format!(
         r#"
--- a/examples/idle.rs
+++ b/examples/idle.rs
@@ -7,7 +7,7 @@
 use daemon::Running;
 use policy::to_f64;
 use settings::{
-    process::Settings,
+    daemon::Settings,
     tree::{Edit, Tree, resolve},
 };
 use standin::{
--- a/examples/slopes.rs
+++ b/examples/slopes.rs
@@ -87,7 +87,7 @@
         let tree = tree(size);
         let text = serde_json::to_string(&tree).unwrap_or_default();
         let us = time(|| {
-            std::hint::black_box(resolve::Version::new(&tree));
+            std::hint::black_box(resolve::ResolvedTree::new(&tree));
         });
         whole.push(Point {
             size,
@@ -109,7 +109,7 @@
         });
         let before = resident();
         let kept: Vec<_> = (0..4)
-            .map(|_| (tree.clone(), resolve::Version::new(&tree)))
+            .map(|_| (tree.clone(), resolve::ResolvedTree::new(&tree)))
             .collect();
         let bytes = (resident() - before) / 4.0;
         held.push(Point {
--- a/src/bin/wrenrampd.rs
+++ b/src/bin/wrenrampd.rs
@@ -6,7 +6,7 @@
 };
 
 use bpaf::Bpaf;
-use settings::{gateway, process::Settings};
+use settings::{daemon::Settings, gateway};
 use tokio::signal::unix::{SignalKind, signal};
 
 /// Serves callers, peers and operators on one entry VM.
