--- a/components/gateway/src/peer/changes.rs
+++ b/components/gateway/src/peer/changes.rs
@@ -1,4 +1,4 @@
-//! Changes of the endpoints as gateways tell them to each other.
+//! Messages in which gateways pass endpoint changes to each other.
 
 use std::sync::Arc;
 
@@ -9,36 +9,37 @@
     endpoint::{Id, Profile, Stage, State},
 };
 
-/// Changes of the endpoints that a reader of the list has just read.
+/// Endpoint changes that a peer has just read from the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Advertised {
-    /// They are all that changed after this revision.
-    pub after: u64,
-    /// They are all that changed up to this one.
-    pub to: u64,
-    /// Whether the store was away before they were read.
+pub struct Advertisement {
+    /// Revision before the first change: all changes after it are included.
+    pub after_revision: u64,
+    /// Revision of the last change: all changes up to it are included.
+    pub to_revision: u64,
+    /// Whether the reader's previous store calls had failed: the changes were read after an outage.
     pub after_outage: bool,
-    /// The changes, in their order.
+    /// The changes, in the order of the list.
     pub changes: Vec<Change>,
 }
 
-impl Advertised {
-    /// The message.
+impl Advertisement {
+    /// Encodes the changes as a message.
     pub fn encode(&self) -> EndpointChanges {
         EndpointChanges {
-            after: self.after,
-            to: self.to,
+            after: self.after_revision,
+            to: self.to_revision,
             after_outage: self.after_outage,
             changes: self.changes.iter().map(encode).collect(),
         }
     }
 
-    /// Reads a message; none if any of it makes no sense, as a part would look whole.
+    /// Decodes a message. Returns `None` if any change in it is invalid, since the remaining ones
+    /// would pass for the complete set.
     pub fn decode(message: &EndpointChanges) -> Option<Self> {
         let changes: Option<Vec<Change>> = message.changes.iter().map(decode).collect();
         Some(Self {
-            after: message.after,
-            to: message.to,
+            after_revision: message.after,
+            to_revision: message.to,
             after_outage: message.after_outage,
             changes: changes?,
         })
--- a/components/gateway/src/request/attempt.rs
+++ b/components/gateway/src/request/attempt.rs
@@ -15,7 +15,7 @@
 use super::{attempts::Phase, job::Job, timeout::Timeout};
 use crate::{
     edge::{Call, Directive},
-    endpoint::{Link, NotOpened, Run, Target, Verdict},
+    endpoint::{ConnectError, Connection, RequestGuard, Target, Verdict},
 };
 
 /// An endpoint's response.
@@ -25,11 +25,11 @@
     /// The body, still being received.
     pub body: Incoming,
     /// The connection on which it arrives.
-    pub link: Link,
+    pub connection: Connection,
     /// The endpoint that responds.
     pub target: Arc<Target>,
     /// The request in flight on the endpoint.
-    pub run: Run,
+    pub guard: RequestGuard,
 }
 
 impl Answer {
@@ -43,7 +43,7 @@
         match self.head.status {
             status if status.is_success() => Ok(self),
             status => {
-                self.run.answered();
+                self.guard.finish();
                 Err(Cause::ErrorStatus(status.as_u16()))
             }
         }
@@ -55,7 +55,7 @@
 pub enum Cause {
     /// No connection could be opened.
     #[display("no connection: {_0}")]
-    NotOpened(NotOpened),
+    NotOpened(ConnectError),
     /// The connection had closed before anything was sent.
     #[display("the connection had closed")]
     NotSent,
@@ -127,14 +127,14 @@
     /// Returns what the failure says about the endpoint's health, if anything.
     pub fn verdict(self) -> Option<Verdict> {
         match self {
-            Self::NotOpened(NotOpened::Silent | NotOpened::Refused) | Self::TimedOut => {
+            Self::NotOpened(ConnectError::Silent | ConnectError::Refused) | Self::TimedOut => {
                 Some(Verdict::Silent)
             }
             Self::NotRun(_) => Some(Verdict::Refused),
             Self::ConnectionBroken | Self::ForeignResponse | Self::ErrorStatus(_) => {
                 Some(Verdict::Failed)
             }
-            Self::NotOpened(NotOpened::Full)
+            Self::NotOpened(ConnectError::Full)
             | Self::NotSent
             | Self::NoDecodeCapacity
             | Self::RetryBudgetExhausted
@@ -158,7 +158,7 @@
 
 /// Waits until an incarnation of an endpoint has ended and nothing more can arrive from it.
 pub async fn wait_for_termination(target: &Target) {
-    target.ended().await;
+    target.terminated().await;
     clock::sleep(LATE_DATA_GRACE).await;
 }
 
@@ -169,7 +169,7 @@
     directive: &Directive,
     timeout: Timeout<'_>,
 ) -> Result<Answer, Cause> {
-    if job.gateway.withheld(job.fingerprint).is_some() {
+    if job.gateway.withheld_for(job.fingerprint).is_some() {
         return Err(Cause::Withheld);
     }
     let max_idle = if job.route.kind.is_retryable() {
@@ -177,7 +177,7 @@
     } else {
         MAX_IDLE_ONCE
     };
-    let mut link = target
+    let mut connection = target
         .connect(max_idle, job.max_connections())
         .await
         .map_err(Cause::NotOpened)?;
@@ -187,15 +187,15 @@
         Phase::Run
     };
     if !job.arrivals.record(job, phase) {
-        target.give_back(link);
+        target.return_connection(connection);
         return Err(Cause::RetryBudgetExhausted);
     }
     let request = build_request(job, directive);
     let suspect = job.gateway.is_suspect(job.fingerprint);
-    let run = Run::new(target, job.fingerprint, suspect);
+    let guard = RequestGuard::new(target, job.fingerprint, suspect);
     let runs = phase == Phase::Run;
     job.open.passed_on(&target.id.0, runs);
-    let sending = link.sender().try_send_request(request);
+    let sending = connection.sender().try_send_request(request);
     let answered = tokio::select! {
         answered = sending => answered,
         () = timeout.wait(job, target) => return Err(Cause::TimedOut),
@@ -207,41 +207,41 @@
             return Err(match error.take_message() {
                 // the connection had closed before any byte was written
                 Some(_) => {
-                    run.answered();
+                    guard.finish();
                     note_not_run(job, runs);
                     Cause::NotSent
                 }
                 None if error.error().is_parse() => Cause::ForeignResponse,
                 None => {
-                    run.broke();
-                    job.gateway.look_for_end(target, &job.metadata.id).await;
+                    guard.connection_broke();
+                    job.gateway.check_for_crash(target, &job.metadata.id).await;
                     Cause::ConnectionBroken
                 }
             });
         }
     };
-    target.progressed();
+    target.record_progress();
     let (head, body) = response.into_parts();
     let reply = job
         .gateway
-        .edges
+        .adapters
         .dialect
         .parse_reply(&job.metadata.id, &head);
-    target.keeps(reply.keep_alive);
+    target.set_idle_timeout(reply.keep_alive);
     match () {
         () if !reply.matches_request => Err(Cause::ForeignResponse),
         () if reply.not_run => {
-            run.answered();
+            guard.finish();
             note_not_run(job, runs);
-            drain_and_give_back(target, link, body);
+            drain_and_return(target, connection, body);
             Err(Cause::NotRun(head.status.as_u16()))
         }
         () => Ok(Answer {
             head,
             body,
-            link,
+            connection,
             target: Arc::clone(target),
-            run,
+            guard,
         }),
     }
 }
@@ -260,7 +260,7 @@
     *request.uri_mut() = job.uri.clone();
     let mut headers = job.headers.clone();
     job.gateway
-        .edges
+        .adapters
         .dialect
         .apply_directive(directive, &mut headers);
     *request.headers_mut() = headers;
@@ -271,7 +271,7 @@
 const MAX_DRAINED_BYTES: u64 = 4 << 10;
 
 /// Reads the short remainder of a response and returns its connection to the pool.
-fn drain_and_give_back(target: &Arc<Target>, link: Link, body: Incoming) {
+fn drain_and_return(target: &Arc<Target>, connection: Connection, body: Incoming) {
     if body
         .size_hint()
         .upper()
@@ -282,7 +282,7 @@
     let target = Arc::clone(target);
     tokio::spawn(async move {
         if body.collect().await.is_ok() {
-            target.give_back(link);
+            target.return_connection(connection);
         }
     });
 }
@@ -290,7 +290,7 @@
 /// Timeout of the gateway's own calls to endpoints.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 /// Largest response to such a call, in bytes. An engine's list of cached parts takes some 40 bytes
-/// for each part, and lists as many parts as [`policy::memory`] remembers.
+/// for each part, and lists as many parts as [`policy::prefix_cache`] remembers.
 const MAX_CALL_RESPONSE_BYTES: usize = 256 << 10;
 /// Connections to one endpoint that the gateway's own calls may use.
 const MAX_CALL_CONNECTIONS: usize = 64;
@@ -307,7 +307,7 @@
     target: &Arc<Target>,
     call: Call,
 ) -> Option<(StatusCode, Bytes)> {
-    let mut link = target
+    let mut connection = target
         .connect(MAX_IDLE_RETRYABLE, MAX_CALL_CONNECTIONS)
         .await
         .ok()?;
@@ -316,12 +316,12 @@
     *request.uri_mut() = call.path.parse().ok()?;
     *request.headers_mut() = call.headers;
     let exchange = async {
-        let response = link.sender().send_request(request).await.ok()?;
+        let response = connection.sender().send_request(request).await.ok()?;
         let status = response.status();
         let body = Limited::new(response.into_body(), MAX_CALL_RESPONSE_BYTES).collect();
         Some((status, body.await.ok()?.to_bytes()))
     };
     let answer = clock::timeout(timeout, exchange).await.ok()??;
-    target.give_back(link);
+    target.return_connection(connection);
     Some(answer)
 }
--- a/components/gateway/src/request/attempts.rs
+++ b/components/gateway/src/request/attempts.rs
@@ -10,7 +10,7 @@
     job::Job,
     refusal::{DEFAULT_RETRY_AFTER, Reason},
 };
-use crate::{endpoint::Target, process::Repeat};
+use crate::{endpoint::Target, process::RetryPermit};
 
 /// What an attempt is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -88,7 +88,7 @@
     /// Records a failed attempt. Returns the refusal for the caller if no other attempt may follow.
     pub fn record_failure(&mut self, job: &Job, failed: FailedAttempt) -> Result<(), Reason> {
         if let Some(verdict) = failed.cause.verdict() {
-            failed.target.note(verdict, &job.metadata.id);
+            failed.target.record_verdict(verdict, &job.metadata.id);
         }
         let labels = [&*job.service.name, failed.cause.label()];
         job.gateway
@@ -103,7 +103,7 @@
         let left = !job.time_left().is_zero();
         let attempts = self.runs < job.route.max_attempts;
         let budget = failed.cause != Cause::RetryBudgetExhausted;
-        let withheld = job.gateway.withheld(job.fingerprint);
+        let withheld = job.gateway.withheld_for(job.fingerprint);
         log::info!(
             request = job.metadata.id, endpoint = &*failed.target.id.0, cause:% = failed.cause,
             phase:? = failed.phase, runs = self.runs, not_run, repeats, left;
@@ -168,13 +168,13 @@
     /// A prefill in flight that is free if the engine accepts it.
     pending: Option<PendingPrefill>,
     /// Retries taken from the budget in advance.
-    reserved: Vec<Repeat>,
+    reserved: Vec<RetryPermit>,
 }
 
 #[derive(Debug)]
 struct PendingPrefill {
     /// The retry taken from the budget in case the prefill isn't accepted.
-    retry: Option<Repeat>,
+    retry: Option<RetryPermit>,
 }
 
 impl Arrivals {
@@ -199,7 +199,7 @@
     /// Takes `count` retries from the budget in advance. Returns whether it got all of them;
     /// otherwise it takes none.
     pub fn reserve(&self, job: &Job, count: usize) -> bool {
-        let taken: Vec<Repeat> = (0..count).map_while(|_| spend_retry(job)).collect();
+        let taken: Vec<RetryPermit> = (0..count).map_while(|_| spend_retry(job)).collect();
         let enough = taken.len() == count;
         self.0.lock().reserved.extend(taken);
         if !enough {
@@ -211,7 +211,7 @@
     /// Takes one retry from the budget for the next attempt, if there is one.
     pub fn reserve_one(&self, job: &Job) -> bool {
         // checked first because every retry that is requested writes a log line
-        job.gateway.may_repeat(&job.service.name) && self.reserve(job, 1)
+        job.gateway.has_retry_budget(&job.service.name) && self.reserve(job, 1)
     }
 
     /// Returns the retries that were reserved and not used.
@@ -241,12 +241,11 @@
     }
 }
 
-fn spend_retry(job: &Job) -> Option<Repeat> {
-    job.gateway
-        .spend_repeat(&job.service.name, &job.metadata.id)
+fn spend_retry(job: &Job) -> Option<RetryPermit> {
+    job.gateway.take_retry(&job.service.name, &job.metadata.id)
 }
 
-fn return_retry(job: &Job, retry: &Repeat) {
+fn return_retry(job: &Job, retry: &RetryPermit) {
     let gateway = &job.gateway;
-    gateway.give_back_repeat(&job.service.name, &job.metadata.id, retry);
+    gateway.return_retry(&job.service.name, &job.metadata.id, retry);
 }
--- a/components/gateway/src/request/generate/migrate.rs
+++ b/components/gateway/src/request/generate/migrate.rs
@@ -12,7 +12,7 @@
 use super::snapshot::{Snapshot, is_long_answer, placement_request};
 use crate::{
     edge::{Directive, KvHandle},
-    endpoint::{Target, Writing},
+    endpoint::{DecodeGuard, Target},
     request::{
         attempt::{self, Answer, Cause},
         job::Job,
@@ -56,10 +56,10 @@
     let asked_at = Instant::now();
     let snapshot = Snapshot::new(job, std::slice::from_ref(from));
     let weights = Weights::default();
-    let at = place::choose_writer(&snapshot.engines, &placement_request(job), &weights)?;
+    let at = place::choose_decode_engine(&snapshot.engines, &placement_request(job), &weights)?;
     let to = &snapshot.targets[at];
     let address = |target: &Target| target.with(|state| state.profile.address);
-    let dialect = &job.gateway.edges.dialect;
+    let dialect = &job.gateway.adapters.dialect;
     let call = dialect.migration_call(&job.metadata.id, address(to));
     // The engine stops the answer when it receives the call, and the time to copy the KV cache
     // depends on its size and the links. A shorter timeout would lose the answer.
@@ -96,9 +96,9 @@
     job: &Job,
     stopped: &StoppedAnswer,
     after: Option<u64>,
-) -> Result<(Answer, Writing), Cause> {
+) -> Result<(Answer, DecodeGuard), Cause> {
     let target = &stopped.target;
-    let writing = Writing::new(target, is_long_answer(job));
+    let decode_guard = DecodeGuard::new(target, is_long_answer(job));
     let directive = Directive {
         timeout: job.time_left(),
         expected_endpoint: Some(target.id.clone()),
@@ -107,5 +107,5 @@
         ..Directive::default()
     };
     let answer = attempt::send(job, target, &directive, Timeout::at(job.deadline)).await?;
-    Ok((answer.into_continuation()?, writing))
+    Ok((answer.into_continuation()?, decode_guard))
 }
--- a/components/gateway/src/request/generate/mod.rs
+++ b/components/gateway/src/request/generate/mod.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 
 use hyper::Response;
-use policy::place::{Choice, Plan};
+use policy::place::{Choice, Placement};
 
 use super::{
     attempt::{Answer, Cause},
@@ -20,7 +20,7 @@
     relay::{self, Body},
     timeout::Timeout,
 };
-use crate::endpoint::{Target, Writing};
+use crate::endpoint::{DecodeGuard, Target};
 use snapshot::Snapshot;
 use timing::Timing;
 
@@ -42,28 +42,33 @@
             snapshot.log_placement(&job, &choice, "placed for a retry");
             Timing::OnTime
         };
-        let outcome = match (timing, choice.plan) {
+        let outcome = match (timing, choice.placement) {
             (Timing::Deferred(deferred), _) => {
-                let mode = prefill::Mode::Deferred(deferred.read);
+                let mode = prefill::Mode::Deferred(deferred.prefill_us);
                 run::split(&job, &snapshot, deferred.engine, &attempts, mode).await
             }
-            (Timing::OnTime, Plan::Whole { engine }) => {
-                let timeout = timing::timeout(&job, &attempts, choice.first);
+            (Timing::OnTime, Placement::Single { engine }) => {
+                let timeout = timing::timeout(&job, &attempts, choice.first_event_us);
                 run::single_engine(&job, &snapshot, engine, timeout, None).await
             }
-            (Timing::OnTime, Plan::Split { prefill, .. }) => {
-                let mode = prefill::Mode::OnTime(choice.first);
+            (Timing::OnTime, Placement::Split { prefill, .. }) => {
+                let mode = prefill::Mode::OnTime(choice.first_event_us);
                 run::split(&job, &snapshot, prefill, &attempts, mode).await
             }
         };
         match outcome {
-            Ok((answer, writing)) => {
+            Ok((answer, decode_guard)) => {
                 if attempts.none_failed() && timing == Timing::OnTime {
                     let took = policy::micros(job.arrived.elapsed());
                     job.gateway
-                        .learn_margin(&job.service.name, choice.first, took);
+                        .learn_margin(&job.service.name, choice.first_event_us, took);
                 }
-                return Ok(relay::forward(job, answer, writing, attempts.runs() + 1));
+                return Ok(relay::forward(
+                    job,
+                    answer,
+                    decode_guard,
+                    attempts.runs() + 1,
+                ));
             }
             Err(failed) => {
                 // another prefill and another fetch would send the request twice more
@@ -88,7 +93,7 @@
         let choice = snapshot.choose(job);
         (snapshot, choice)
     };
-    let queue = job.gateway.line(&job.service.name);
+    let queue = job.gateway.queue(&job.service.name);
     let (snapshot, choice) = try_place();
     if attempts.none_failed() {
         snapshot::count_demand(job, &snapshot);
@@ -118,20 +123,20 @@
     job: &Job,
     after: Option<u64>,
     from: &Arc<Target>,
-) -> Result<(Answer, Writing), Cause> {
+) -> Result<(Answer, DecodeGuard), Cause> {
     let snapshot = Snapshot::new(job, std::slice::from_ref(from));
     let choice = snapshot.choose(job).ok_or(Cause::TimedOut)?;
-    let engine = match choice.plan {
-        Plan::Whole { engine } => engine,
-        Plan::Split { decode, .. } => decode,
+    let engine = match choice.placement {
+        Placement::Single { engine } => engine,
+        Placement::Split { decode, .. } => decode,
     };
     let resumed =
         run::single_engine(job, &snapshot, engine, Timeout::at(job.deadline), after).await;
     let resumed = resumed
         .map_err(|failed| failed.cause)
-        .and_then(|(answer, writing)| Ok((answer.into_continuation()?, writing)));
+        .and_then(|(answer, decode_guard)| Ok((answer.into_continuation()?, decode_guard)));
     if let Err(Some(verdict)) = resumed.as_ref().map_err(|cause| cause.verdict()) {
-        snapshot.targets[engine].note(verdict, &job.metadata.id);
+        snapshot.targets[engine].record_verdict(verdict, &job.metadata.id);
     }
     resumed
 }
--- a/components/gateway/src/request/generate/prefill.rs
+++ b/components/gateway/src/request/generate/prefill.rs
@@ -4,7 +4,7 @@
 
 use clock::Instant;
 use http_body_util::{BodyExt, Collected, Limited};
-use policy::learn::Stretch;
+use policy::estimate::WaitFactor;
 
 use super::{
     run::failed,
@@ -13,7 +13,7 @@
 };
 use crate::{
     edge::{Directive, KvHandle, Priority},
-    endpoint::{Reading, Target},
+    endpoint::{PrefillGuard, Target},
     process::Gateway,
     request::{
         attempt::{self, Cause},
@@ -29,7 +29,7 @@
 /// A prompt in flight on an engine, and the work queued ahead of it.
 pub struct InFlight {
     /// Counts the prompt in the engine's load as long as it lives.
-    pub guard: Reading,
+    pub guard: PrefillGuard,
     /// Work that was queued ahead of it.
     pub ahead: u64,
 }
@@ -38,23 +38,24 @@
 pub fn start(job: &Job, snapshot: &Snapshot, at: usize, deferred: bool) -> InFlight {
     let target = &snapshot.targets[at];
     let engine = &snapshot.engines[at];
-    let held = engine.held + engine.fetch.tokens;
-    let work = policy::prompt::work(placement_request(job).prompt, held);
+    let held = engine.cached_tokens + engine.fetch.tokens;
+    let work = policy::prompt::prefill_work(placement_request(job).prompt_tokens, held);
     let paces = job.gateway.paces(&job.service.name);
     let now = Instant::now();
     let ahead = target.with(|state| {
-        let common = paces.of(state.profile.stage);
-        let load = state.load();
-        let left = state.left(now, common);
-        let ahead = policy::place::ahead(left, load.late, load.late_prompts);
+        let common = paces.for_stage(state.profile.stage);
+        let load = state.total_load();
+        let left = state.remaining_prefill(now, common);
+        let ahead =
+            policy::place::work_ahead(left, load.low_priority_work, load.low_priority_prompts);
         if !deferred {
-            state.sends(now, common, work);
+            state.record_prefill(now, common, work);
         }
         ahead
     });
     note_parts(job, target, false);
     InFlight {
-        guard: Reading::new(target, work, deferred),
+        guard: PrefillGuard::new(target, work, deferred),
         ahead,
     }
 }
@@ -64,8 +65,10 @@
 pub fn note_parts(job: &Job, target: &Arc<Target>, fetched: bool) {
     if let Some(prompt) = &job.metadata.prompt {
         let common = job.gateway.common(&job.service.name);
-        target.with(|state| state.uses(Instant::now(), &common, &prompt.parts, fetched));
-        job.gateway.peers.placed(target.short, &prompt.parts);
+        target.with(|state| state.record_prompt(Instant::now(), &common, &prompt.parts, fetched));
+        job.gateway
+            .peers
+            .record_placement(target.short_id, &prompt.parts);
     }
 }
 
@@ -90,8 +93,8 @@
     }
 }
 
-/// The wait for a prefill. For a deferred prompt it updates the learned stretch of the queue, also
-/// if the caller leaves before the prefill ends.
+/// The wait for a prefill. For a deferred prompt it updates the learned wait factor, also if the
+/// caller leaves before the prefill ends.
 struct DeferredWait<'a> {
     job: &'a Job,
     /// Expected time of a deferred prefill; none once its actual time has been learned.
@@ -114,15 +117,15 @@
 
     /// Records that the prompt has been prefilled.
     fn finish(&mut self) {
-        self.learn(Stretch::learn);
+        self.learn(WaitFactor::observe);
     }
 
-    fn learn(&mut self, learn: impl FnOnce(&mut Stretch, f64, policy::Micros)) {
+    fn learn(&mut self, learn: impl FnOnce(&mut WaitFactor, f64, policy::Micros)) {
         if let Some(expected) = self.expected.take() {
             let took = policy::micros(self.begun.elapsed());
             let gateway = &self.job.gateway;
-            gateway.learn_stretch(&self.job.service.name, |stretch| {
-                learn(stretch, expected, took);
+            gateway.learn_stretch(&self.job.service.name, |wait_factor| {
+                learn(wait_factor, expected, took);
             });
         }
     }
@@ -130,7 +133,7 @@
 
 impl Drop for DeferredWait<'_> {
     fn drop(&mut self) {
-        self.learn(Stretch::give_up);
+        self.learn(WaitFactor::observe_cancelled);
     }
 }
 
@@ -179,27 +182,27 @@
     let body = match body {
         Ok(body) if status.is_success() => body,
         Ok(_) => {
-            answer.run.answered();
+            answer.guard.finish();
             job.arrivals.prefill_failed();
             return Err(failed(Cause::ErrorStatus(status.as_u16())));
         }
         Err(_) => {
             job.arrivals.prefill_failed();
-            answer.run.broke();
-            job.gateway.look_for_end(target, &job.metadata.id).await;
+            answer.guard.connection_broke();
+            job.gateway.check_for_crash(target, &job.metadata.id).await;
             return Err(failed(Cause::ConnectionBroken));
         }
     };
-    answer.run.answered();
+    answer.guard.finish();
     job.arrivals.prefill_accepted(job);
     wait.finish();
     let address = target.with(|state| state.profile.address);
-    let handle = job.gateway.edges.dialect.parse_handle(address, &body);
+    let handle = job.gateway.adapters.dialect.parse_handle(address, &body);
     let handle = handle.ok_or_else(|| failed(Cause::ForeignResponse))?;
     if !deferred {
         learn_pace(job, target, in_flight.ahead + in_flight.guard.work(), begun);
     }
-    target.give_back(answer.link);
+    target.return_connection(answer.connection);
     log::info!(
         request = job.metadata.id, endpoint = &*target.id.0, late = deferred, ahead = in_flight.ahead,
         work = in_flight.guard.work(), took_us = policy::micros(begun.elapsed());
@@ -217,7 +220,8 @@
 /// ahead of it when it was sent.
 pub fn learn_pace(job: &Job, target: &Target, work: u64, begun: Instant) {
     let took = policy::micros(begun.elapsed());
-    job.gateway.learn_pace(target, |pace| pace.read(work, took));
+    job.gateway
+        .learn_pace(target, |pace| pace.observe_prefill(work, took));
 }
 
 /// A KV cache held by an engine, which is released if no other engine fetches it.
@@ -241,7 +245,7 @@
         if self.fetched {
             return;
         }
-        let call = self.gateway.edges.dialect.release_call(&self.handle);
+        let call = self.gateway.adapters.dialect.release_call(&self.handle);
         let target = Arc::clone(&self.target);
         // failure is harmless: the engine drops the KV cache when its time to live is over
         tokio::spawn(async move { attempt::call(&target, call).await });
--- a/components/gateway/src/request/generate/run.rs
+++ b/components/gateway/src/request/generate/run.rs
@@ -12,7 +12,7 @@
 };
 use crate::{
     edge::Directive,
-    endpoint::{Target, Verdict, Writing},
+    endpoint::{DecodeGuard, Target, Verdict},
     request::{
         attempt::{self, Answer, Cause},
         attempts::{Attempts, FailedAttempt, Phase},
@@ -22,7 +22,7 @@
 };
 
 /// A response whose headers have arrived, with the slot that it takes; or the failed attempt.
-pub type AttemptResult = Result<(Answer, Writing), FailedAttempt>;
+pub type AttemptResult = Result<(Answer, DecodeGuard), FailedAttempt>;
 
 /// Creates the record of an attempt that failed on an endpoint.
 pub fn failed(target: &Arc<Target>, cause: Cause, phase: Phase) -> FailedAttempt {
@@ -51,11 +51,11 @@
         fetch_from: snapshot.fetch_from(at),
         ..Directive::default()
     };
-    let writing = Writing::new(target, is_long_answer(job));
+    let decode_guard = DecodeGuard::new(target, is_long_answer(job));
     let sent = attempt::send(job, target, &directive, timeout).await;
     let answer = sent.map_err(|cause| failed(target, cause, Phase::Run))?;
     prefill::learn_pace(job, target, ahead + in_flight.guard.work(), begun);
-    Ok((answer, writing))
+    Ok((answer, decode_guard))
 }
 
 /// Chooses the engine that decodes the answer to a prefilled prompt; waits in the queue if none has
@@ -63,7 +63,7 @@
 async fn wait_for_decode_engine(job: &Job, attempts: &Attempts) -> Option<(Snapshot, usize)> {
     let try_choose = || {
         let snapshot = Snapshot::new(job, attempts.tried());
-        let at = place::choose_writer(
+        let at = place::choose_decode_engine(
             &snapshot.engines,
             &placement_request(job),
             &Weights::default(),
@@ -73,7 +73,7 @@
     if let Some(found) = try_choose() {
         return Some(found);
     }
-    let queue = job.gateway.line(&job.service.name);
+    let queue = job.gateway.queue(&job.service.name);
     let ticket = queue.join(job);
     while ticket.wait_turn().await {
         if let Some(found) = try_choose() {
@@ -98,7 +98,7 @@
         return Err(failed(prefill, Cause::NoDecodeCapacity, Phase::Read));
     };
     let decode = &snapshot.targets[at];
-    let writing = Writing::new(decode, is_long_answer(job));
+    let decode_guard = DecodeGuard::new(decode, is_long_answer(job));
     let directive = Directive {
         timeout: job.time_left(),
         expected_endpoint: Some(decode.id.clone()),
@@ -107,19 +107,20 @@
     };
     prefill::note_parts(job, decode, true);
     let begun = Instant::now();
-    let timeout = timing::timeout(job, attempts, snapshot.engines[at].pace.start_us);
+    let timeout = timing::timeout(job, attempts, snapshot.engines[at].latency.overhead_us);
     match attempt::send(job, decode, &directive, timeout).await {
         Ok(answer) => {
             let took = policy::micros(begun.elapsed());
-            job.gateway.learn_pace(decode, |pace| pace.began(took));
-            prefill.note(Verdict::Fine, &job.metadata.id);
+            job.gateway
+                .learn_pace(decode, |pace| pace.observe_first_token(took));
+            prefill.record_verdict(Verdict::Fine, &job.metadata.id);
             handle.mark_fetched();
-            Ok((answer, writing))
+            Ok((answer, decode_guard))
         }
         // the decode engine can't report why, but in most cases the prefill engine has lost the KV
         // cache
         Err(Cause::NotRun(_)) => {
-            prefill.note(Verdict::Failed, &job.metadata.id);
+            prefill.record_verdict(Verdict::Failed, &job.metadata.id);
             Err(failed(decode, Cause::KvFetchFailed, Phase::Run))
         }
         Err(cause) => Err(failed(decode, cause, Phase::Run)),
--- a/components/gateway/src/request/generate/snapshot.rs
+++ b/components/gateway/src/request/generate/snapshot.rs
@@ -4,13 +4,13 @@
 
 use clock::Instant;
 use policy::{
-    place::{self, Ask, Choice, Plan, Weights},
+    place::{self, Choice, Placement, Request, Weights},
     prompt::Prompt,
 };
 
 use crate::{
-    endpoint::{Seen, Stage, Target},
-    process::Asked,
+    endpoint::{self, Stage, Target},
+    process::DemandTotals,
     request::job::Job,
 };
 
@@ -47,19 +47,22 @@
             .as_ref()
             .map_or(&[][..], |prompt| &prompt.parts);
         let local = &job.gateway.settings.gateway.data_centre;
-        let cut_off = job.gateway.peers.cut_off();
+        let cut_off = job.gateway.peers.unreachable_data_centres();
         let common = job.gateway.common(&job.service.name);
-        let mut candidates: Vec<(Arc<Target>, Seen)> = fleet
-            .used()
+        let mut candidates: Vec<(Arc<Target>, endpoint::Snapshot)> = fleet
+            .subset()
             .iter()
             .filter(|target| !tried.iter().any(|other| other.id == target.id))
-            .filter_map(|target| Some((Arc::clone(target), target.seen(now, parts, &common)?)))
+            .filter_map(|target| Some((Arc::clone(target), target.snapshot(now, parts, &common)?)))
             .filter(|(_, seen)| !cut_off.contains(&seen.profile.data_centre))
             .collect();
         if job.gateway.is_suspect(job.fingerprint) {
             isolate_suspects(&mut candidates);
         }
-        let fetchable: Vec<u64> = candidates.iter().map(|(_, seen)| seen.fetchable).collect();
+        let fetchable: Vec<u64> = candidates
+            .iter()
+            .map(|(_, seen)| seen.fetchable_tokens)
+            .collect();
         let (targets, engines) = candidates
             .into_iter()
             .map(|(target, seen)| {
@@ -103,11 +106,11 @@
         };
         let token_us = engines.transfer_per_token.as_secs_f64() * MICROS_PER_SECOND;
         for engine in &mut self.engines {
-            let tokens = held.saturating_sub(engine.held);
+            let tokens = held.saturating_sub(engine.cached_tokens);
             if tokens >= MIN_FETCH_TOKENS {
                 engine.fetch = place::Fetch {
                     tokens,
-                    time: policy::real(tokens) * token_us * FETCH_TIME_FACTOR,
+                    time_us: policy::to_f64(tokens) * token_us * FETCH_TIME_FACTOR,
                 };
             }
         }
@@ -132,33 +135,36 @@
     pub fn may_get_slot(&self, waiting: usize) -> bool {
         let decode_engines = self.engines.iter();
         let decode_engines = decode_engines.filter(|engine| engine.stage == place::Stage::Decode);
-        let slots: u64 = decode_engines.map(|engine| engine.slots).sum();
+        let slots: u64 = decode_engines.map(|engine| engine.decode_slots).sum();
         u64::try_from(waiting).is_ok_and(|waiting| waiting < slots)
     }
 
     /// Whether the plan prefills so few tokens on the engine that decodes the answer that it delays
     /// nobody. Then a late request is placed there too.
     pub fn has_negligible_prefill(&self, job: &Job, choice: &Choice) -> bool {
-        match choice.plan {
-            Plan::Whole { engine } => place::is_short(
+        match choice.placement {
+            Placement::Single { engine } => place::is_short_prefill(
                 &self.engines[engine],
                 &placement_request(job),
                 &Weights::default(),
             ),
-            Plan::Split { .. } => false,
+            Placement::Split { .. } => false,
         }
     }
 
     /// Returns the work for a prefill engine; zero if the prompt is short.
     fn prefill_work(&self, job: &Job) -> u64 {
-        let prompt = placement_request(job).prompt;
+        let prompt = placement_request(job).prompt_tokens;
         let prefill_engines = self
             .engines
             .iter()
             .filter(|engine| engine.stage == place::Stage::Prefill);
-        let held = prefill_engines.map(|engine| engine.held).max().unwrap_or(0);
-        if prompt.saturating_sub(held) > Weights::default().short_prompt {
-            policy::prompt::work(prompt, held)
+        let held = prefill_engines
+            .map(|engine| engine.cached_tokens)
+            .max()
+            .unwrap_or(0);
+        if prompt.saturating_sub(held) > Weights::default().short_prompt_max_tokens {
+            policy::prompt::prefill_work(prompt, held)
         } else {
             0
         }
@@ -166,23 +172,23 @@
 
     /// Logs where a request is placed, and the data that the decision was based on.
     pub fn log_placement(&self, job: &Job, choice: &Choice, message: &str) {
-        let (first, last) = match choice.plan {
-            Plan::Whole { engine } => (engine, engine),
-            Plan::Split { prefill, decode } => (prefill, decode),
+        let (first, last) = match choice.placement {
+            Placement::Single { engine } => (engine, engine),
+            Placement::Split { prefill, decode } => (prefill, decode),
         };
         let names = (&*self.targets[first].id.0, &*self.targets[last].id.0);
         let (prefill_engine, decode_engine) = (&self.engines[first], &self.engines[last]);
         let request = placement_request(job);
         log::info!(
             request = job.metadata.id, reads = names.0, writes = names.1,
-            expected_us = policy::count(choice.first),
-            margin_us = policy::count(job.gateway.margin(&job.service.name)), left_us = request.within,
-            prompt = request.prompt, held = prefill_engine.held, fetched = prefill_engine.fetch.tokens, output = request.output,
-            content:% = job.fingerprint, parts = format_parts(job), reading = prefill_engine.reading, writing = decode_engine.writing,
-            long = decode_engine.long, start_us = policy::count(decode_engine.pace.start_us),
-            read_ns = policy::count(prefill_engine.pace.read_us * NANOS_PER_MICRO),
-            step_us = policy::count(decode_engine.pace.step_us), late = prefill_engine.late,
-            slowed_us = decode_engine.pace.slowed_us.map(policy::count);
+            expected_us = policy::to_u64(choice.first_event_us),
+            margin_us = policy::to_u64(job.gateway.margin(&job.service.name)), left_us = request.first_event_timeout,
+            prompt = request.prompt_tokens, held = prefill_engine.cached_tokens, fetched = prefill_engine.fetch.tokens, output = request.expected_output_tokens,
+            content:% = job.fingerprint, parts = format_parts(job), reading = prefill_engine.prefill_work, writing = decode_engine.answers,
+            long = decode_engine.long_answers, start_us = policy::to_u64(decode_engine.latency.overhead_us),
+            read_ns = policy::to_u64(prefill_engine.latency.prefill_token_us * NANOS_PER_MICRO),
+            step_us = policy::to_u64(decode_engine.latency.decode_token_us), late = prefill_engine.deferred_work,
+            slowed_us = decode_engine.latency.contended_token_us.map(policy::to_u64);
             "{message}"
         );
     }
@@ -191,7 +197,7 @@
 /// Keeps only the engines with the fewest suspects of each stage. Of two requests that crash
 /// endpoints, or seem to, each must be observed on its own: a harmless one that was in flight
 /// beside the other would otherwise share its next crash as well.
-fn isolate_suspects(candidates: &mut Vec<(Arc<Target>, Seen)>) {
+fn isolate_suspects(candidates: &mut Vec<(Arc<Target>, endpoint::Snapshot)>) {
     for stage in [Some(Stage::Prefill), Some(Stage::Decode)] {
         let of_stage = candidates
             .iter()
@@ -216,51 +222,51 @@
 /// processes.
 fn tie_break_order(job: &Job, target: &Target) -> u64 {
     let seed = job.gateway.incarnation;
-    xxhash_rust::xxh3::xxh3_64_with_seed(&target.short.to_le_bytes(), seed)
+    xxhash_rust::xxh3::xxh3_64_with_seed(&target.short_id.to_le_bytes(), seed)
 }
 
-fn engine(seen: &Seen, local: &str, order: u64) -> place::Engine {
+fn engine(seen: &endpoint::Snapshot, local: &str, order: u64) -> place::Engine {
     let stage = seen.profile.stage.unwrap_or(Stage::Decode);
     place::Engine {
         stage: match stage {
             Stage::Prefill => place::Stage::Prefill,
             Stage::Decode => place::Stage::Decode,
         },
-        reading: seen.load.reading,
-        late: seen.load.late,
-        late_prompts: seen.load.late_prompts,
-        writing: seen.load.writing,
-        long: seen.load.long,
-        slots: seen.profile.slots,
-        held: seen.held,
+        prefill_work: seen.load.prefill_work,
+        deferred_work: seen.load.low_priority_work,
+        deferred_prompts: seen.load.low_priority_prompts,
+        answers: seen.load.decoding,
+        long_answers: seen.load.long_answers,
+        decode_slots: seen.profile.slots,
+        cached_tokens: seen.cached_tokens,
         fetch: place::Fetch::default(),
-        pace: seen.pace,
-        distance: if *seen.profile.data_centre == *local {
+        latency: seen.pace,
+        extra_round_trip: if *seen.profile.data_centre == *local {
             0
         } else {
             REMOTE_RTT_US
         },
-        failures: seen.failures,
-        order,
+        failure_ratio: seen.failure_ratio,
+        rank: order,
     }
 }
 
 /// Returns what a request asks of placement.
-pub fn placement_request(job: &Job) -> Ask {
+pub fn placement_request(job: &Job) -> Request {
     let none = Prompt::default();
     let prompt = job.metadata.prompt.as_ref().unwrap_or(&none);
     let left = job.objective.saturating_duration_since(Instant::now());
-    Ask {
-        prompt: prompt.tokens,
-        output: prompt.expected_output(),
-        within: policy::micros(left),
-        pace: policy::real(policy::micros(job.time_left()))
-            / policy::real(prompt.most_output.max(1)),
-        bearable: max_inter_token_latency(job),
-        event: tokens_per_event(job),
-        pause: job
+    Request {
+        prompt_tokens: prompt.tokens,
+        expected_output_tokens: prompt.expected_output_tokens(),
+        first_event_timeout: policy::micros(left),
+        max_inter_token_latency_us: policy::to_f64(policy::micros(job.time_left()))
+            / policy::to_f64(prompt.max_output_tokens.max(1)),
+        service_max_inter_token_latency_us: max_inter_token_latency(job),
+        tokens_per_event: tokens_per_event(job),
+        max_stall_us: job
             .max_stall
-            .map_or(f64::MAX, |stall| policy::real(policy::micros(stall))),
+            .map_or(f64::MAX, |stall| policy::to_f64(policy::micros(stall))),
     }
 }
 
@@ -273,17 +279,17 @@
 /// Returns the longest inter-token latency that long answers of the request's service tolerate, in
 /// microseconds.
 fn max_inter_token_latency(job: &Job) -> f64 {
-    let whole = job.gateway.bearable(&job.service.name);
+    let whole = job.gateway.max_inter_token_latency(&job.service.name);
     let event = tokens_per_event(job);
     let limit = job.max_stall.map_or(f64::MAX, |stall| {
-        policy::real(policy::micros(stall)) / policy::real(event)
+        policy::to_f64(policy::micros(stall)) / policy::to_f64(event)
     });
     whole.min(limit)
 }
 
 /// Whether the answer is expected to be long.
 pub fn is_long_answer(job: &Job) -> bool {
-    placement_request(job).output > Weights::default().long_answer
+    placement_request(job).expected_output_tokens > Weights::default().short_answer_max_tokens
 }
 
 /// Adds a request to the demand of its service.
@@ -291,17 +297,17 @@
     let gateway = &job.gateway;
     let service = &job.service.name;
     let writing = if is_long_answer(job) {
-        placement_request(job).output
+        placement_request(job).expected_output_tokens
     } else {
         0
     };
-    let asked = Asked {
-        reading: snapshot.prefill_work(job),
-        writing,
+    let asked = DemandTotals {
+        prefill_work: snapshot.prefill_work(job),
+        decode_tokens: writing,
     };
     gateway.count_demand(service, asked);
     if let Some(prompt) = job.metadata.prompt.as_ref().filter(|_| is_long_answer(job)) {
         let time = job.deadline - job.arrived;
-        gateway.count_long(service, prompt.most_output, time);
+        gateway.record_long_answer(service, prompt.max_output_tokens, time);
     }
 }
--- a/components/gateway/src/request/generate/timing.rs
+++ b/components/gateway/src/request/generate/timing.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use clock::Instant;
-use policy::place::{self, Choice, Plan, Weights};
+use policy::place::{self, Choice, Placement, Weights};
 
 use super::snapshot::{Snapshot, placement_request};
 use crate::request::{
@@ -39,14 +39,14 @@
     OnTime,
     /// It won't, but there is enough time for a late answer; its prompt is prefilled on this engine
     /// when no other prompt waits there.
-    Deferred(place::Late),
+    Deferred(place::Deferred),
 }
 
 /// Decides whether a request is served in time, deferred or refused; a refusal is sent immediately.
 pub fn decide(job: &Job, snapshot: &Snapshot, choice: &Choice) -> Result<Timing, Reason> {
     let left = policy::micros(job.objective.saturating_duration_since(Instant::now()));
     let margin = job.gateway.margin(&job.service.name);
-    let expected = policy::count(choice.first + margin);
+    let expected = policy::to_u64(choice.first_event_us + margin);
     if expected <= left {
         snapshot.log_placement(job, choice, "placed");
         return Ok(Timing::OnTime);
@@ -56,7 +56,7 @@
         return Ok(Timing::OnTime);
     }
     let request = placement_request(job);
-    if let Some(deferred) = place::choose_late(
+    if let Some(deferred) = place::choose_deferred(
         &snapshot.engines,
         &request,
         &Weights::default(),
@@ -75,10 +75,10 @@
 /// Returns the longest expected prefill time of a deferred prompt, in microseconds: the caller must
 /// not have given up by then, and there must be time left to decode.
 fn max_deferred_prefill_us(job: &Job) -> f64 {
-    let begin = policy::real(policy::micros(job.first_event_timeout()));
-    let whole = policy::real(policy::micros(job.time_left())) * DEFERRED_PREFILL_RATIO;
-    let stretch = job.gateway.stretch(&job.service.name).times();
-    (begin * FIRST_EVENT_RATIO / stretch).min(whole)
+    let begin = policy::to_f64(policy::micros(job.first_event_timeout()));
+    let whole = policy::to_f64(policy::micros(job.time_left())) * DEFERRED_PREFILL_RATIO;
+    let wait_factor = job.gateway.stretch(&job.service.name).factor();
+    (begin * FIRST_EVENT_RATIO / wait_factor).min(whole)
 }
 
 /// Returns how long to wait for an answer that is expected to begin after `expected` microseconds.
@@ -106,7 +106,7 @@
 /// Returns the longest time for which a healthy engine makes no progress.
 fn max_silence(job: &Job, expected: f64) -> Duration {
     let expected = expected + job.gateway.margin(&job.service.name);
-    let limit = Duration::from_micros(policy::count(expected)) * SILENCE_FACTOR;
+    let limit = Duration::from_micros(policy::to_u64(expected)) * SILENCE_FACTOR;
     limit.max(job.time_left() / MIN_WAIT_DIVISOR)
 }
 
@@ -115,13 +115,14 @@
 
 /// Whether an answer ends before this process shuts down, if a shutdown is in progress.
 pub fn ends_before_stop(job: &Job, snapshot: &Snapshot, choice: &Choice) -> bool {
-    let decode_engine = match choice.plan {
-        Plan::Whole { engine } => engine,
-        Plan::Split { decode, .. } => decode,
+    let decode_engine = match choice.placement {
+        Placement::Single { engine } => engine,
+        Placement::Split { decode, .. } => decode,
     };
-    let step = snapshot.engines[decode_engine].pace.step_us;
-    let us = choice.first + policy::real(placement_request(job).output) * step;
-    job.ends_before_stop(Duration::from_micros(policy::count(
+    let step = snapshot.engines[decode_engine].latency.decode_token_us;
+    let us = choice.first_event_us
+        + policy::to_f64(placement_request(job).expected_output_tokens) * step;
+    job.ends_before_stop(Duration::from_micros(policy::to_u64(
         us * STOP_MARGIN_FACTOR,
     )))
 }
--- a/components/gateway/src/request/job.rs
+++ b/components/gateway/src/request/job.rs
@@ -89,11 +89,11 @@
         let timeout = route.timeout.unwrap_or(caller_timeout);
         let deadline = arrived + caller_timeout.min(timeout);
         let objective = arrived + route.objective.saturating_sub(CALLER_TRANSIT);
-        let headers = gateway.edges.dialect.forwarded_headers(&head.headers);
+        let headers = gateway.adapters.dialect.forwarded_headers(&head.headers);
         let max_stall = gateway
             .configuration()
             .and_then(|version| version.tightest_max_stall(&service.name));
-        let in_flight = CountGuard::new(&gateway.under_way);
+        let in_flight = CountGuard::new(&gateway.in_flight);
         let fingerprint = Fingerprint::of(&head.method, super::host(&head), &head.uri, &body);
         Self {
             gateway,
@@ -133,20 +133,21 @@
     /// deadline fits.
     pub fn ends_before_stop(&self, expected: Duration) -> bool {
         let now = Instant::now();
-        self.gateway.stop().is_none_or(|stop| {
-            // until `quiet` the load balancer still sends requests, and tolerates one that is cut off
-            let ends = if now < stop.quiet {
+        self.gateway.shutdown().is_none_or(|stop| {
+            // until `quiet` the load balancer still sends requests, and tolerates one that is cut
+            // off
+            let ends = if now < stop.balancer_removed {
                 (now + expected).min(self.deadline)
             } else {
                 self.deadline
             };
-            ends <= stop.end
+            ends <= stop.deadline
         })
     }
 
     /// Returns how many connections this process may hold to one endpoint of the service.
     pub fn max_connections(&self) -> usize {
-        let sharers = usize::try_from(self.gateway.peers.count()).unwrap_or(0) + 1;
+        let sharers = usize::try_from(self.gateway.peers.count_alive()).unwrap_or(0) + 1;
         (self.service.max_connections / sharers).max(MIN_CONNECTIONS)
     }
 }
--- a/components/gateway/src/request/mod.rs
+++ b/components/gateway/src/request/mod.rs
@@ -40,7 +40,7 @@
 ) -> Response<Body> {
     let arrived = Instant::now();
     let (head, body) = request.into_parts();
-    let metadata = gateway.edges.dialect.parse_request(&head);
+    let metadata = gateway.adapters.dialect.parse_request(&head);
     let id = metadata.id.clone();
     let open = exchange.begin(&id, head.version, arrived);
     let path = head.uri.path().to_owned();
@@ -57,7 +57,7 @@
     let served = tokio::select! {
         biased;
         served = serving => served.unwrap_or_else(|_| Err(failure_reason(Reason::Panicked))),
-        () = gateway.stop_is_over() => Err(failure_reason(Reason::Stopping)),
+        () = gateway.shutdown_deadline_reached() => Err(failure_reason(Reason::Stopping)),
     };
     let mut response = match served {
         Ok(response) => response,
@@ -113,7 +113,7 @@
     };
     let job = Job::new(Arc::clone(gateway), route, service, received);
     gateway.count_request(&job.service.name);
-    if let Some(lapses) = gateway.withheld(job.fingerprint) {
+    if let Some(lapses) = gateway.withheld_for(job.fingerprint) {
         log::info!(
             request = job.metadata.id, content:% = job.fingerprint,
             lapses_ms = policy::micros(lapses) / 1_000;
--- a/components/gateway/src/request/plain.rs
+++ b/components/gateway/src/request/plain.rs
@@ -16,7 +16,7 @@
 };
 use crate::{
     edge::Directive,
-    endpoint::{Common, Target, Verdict, Writing},
+    endpoint::{DecodeGuard, ServiceDefaults, Target, Verdict},
 };
 
 /// Cost of an endpoint in another data centre, in slots' worth of load.
@@ -48,7 +48,7 @@
         let Some(target) = choose(&job, attempts.tried()) else {
             break attempts.exhausted_refusal();
         };
-        let writing = Writing::new(&target, false);
+        let decode_guard = DecodeGuard::new(&target, false);
         let outcome = attempt(&job, &target, &attempts).await;
         match outcome {
             Ok(answer) if should_retry_failure(&job, &answer, &attempts) => {
@@ -57,12 +57,17 @@
             }
             Ok(answer) => {
                 if let Some((failure, _)) = failure {
-                    failure.run.answered();
+                    failure.guard.finish();
                 }
-                return Ok(relay::forward(job, answer, writing, attempts.runs() + 1));
+                return Ok(relay::forward(
+                    job,
+                    answer,
+                    decode_guard,
+                    attempts.runs() + 1,
+                ));
             }
             Err(cause) => {
-                drop(writing);
+                drop(decode_guard);
                 let phase = Phase::Run;
                 let failed = FailedAttempt {
                     target,
@@ -76,8 +81,8 @@
         }
     };
     let (answer, attempts) = failure.ok_or(reason)?;
-    let writing = Writing::new(&answer.target, false);
-    Ok(relay::forward(job, answer, writing, attempts))
+    let decode_guard = DecodeGuard::new(&answer.target, false);
+    Ok(relay::forward(job, answer, decode_guard, attempts))
 }
 
 /// Chooses the endpoint with the least load relative to its slots, with a penalty for other data
@@ -86,27 +91,28 @@
     let now = Instant::now();
     let fleet = job.gateway.registry.fleet(&job.service.name);
     let local = &job.gateway.settings.gateway.data_centre;
-    let cut_off = job.gateway.peers.cut_off();
+    let cut_off = job.gateway.peers.unreachable_data_centres();
     let suspect = job.gateway.is_suspect(job.fingerprint);
     let mut best: Option<(f64, &Arc<Target>)> = None;
-    for target in fleet.used() {
+    for target in fleet.subset() {
         if tried.iter().any(|other| other.id == target.id) {
             continue;
         }
-        let Some(seen) = target.seen(now, &[], &Common::default()) else {
+        let Some(seen) = target.snapshot(now, &[], &ServiceDefaults::default()) else {
             continue;
         };
         if cut_off.contains(&seen.profile.data_centre) {
             continue;
         }
-        let load = policy::real(seen.load.writing) / policy::real(seen.profile.slots.max(1));
+        let load = policy::to_f64(seen.load.decoding) / policy::to_f64(seen.profile.slots.max(1));
         let remote = if *seen.profile.data_centre == **local {
             0.0
         } else {
             REMOTE_PENALTY
         };
-        let suspects = policy::real(if suspect { seen.load.suspects } else { 0 });
-        let cost = load + remote + seen.failures * FAILURE_PENALTY + suspects * SUSPECT_PENALTY;
+        let suspects = policy::to_f64(if suspect { seen.load.suspects } else { 0 });
+        let cost =
+            load + remote + seen.failure_ratio * FAILURE_PENALTY + suspects * SUSPECT_PENALTY;
         if best.is_none_or(|(least, _)| cost < least) {
             best = Some((cost, target));
         }
@@ -145,7 +151,9 @@
     if !status.is_server_error() {
         return false;
     }
-    answer.target.note(Verdict::Failed, &job.metadata.id);
+    answer
+        .target
+        .record_verdict(Verdict::Failed, &job.metadata.id);
     let may = attempts.may_retry_after_next(job)
         && Instant::now() < job.objective
         && has_alternative(job, attempts, &answer.target)
--- a/components/gateway/src/request/relay.rs
+++ b/components/gateway/src/request/relay.rs
@@ -23,7 +23,7 @@
     job::Job,
 };
 use crate::{
-    endpoint::{Id, Link, Run, Target, Verdict, Writing},
+    endpoint::{Connection, DecodeGuard, Id, RequestGuard, Target, Verdict},
     version::Kind,
 };
 
@@ -83,33 +83,38 @@
 /// The endpoint's response that is currently relayed.
 struct Source {
     body: Incoming,
-    link: Link,
+    connection: Connection,
     target: Arc<Target>,
     last_event: Option<Instant>,
     /// Time that the prompts in flight on the engine still needed when the last event arrived, in
     /// microseconds.
     prefill_left: Option<policy::Micros>,
-    _writing: Writing,
+    _decode_guard: DecodeGuard,
     /// The request in flight on the endpoint; none once its connection broke.
-    run: Option<Run>,
+    guard: Option<RequestGuard>,
 }
 
 impl Source {
-    fn new(answer: Answer, writing: Writing) -> Self {
+    fn new(answer: Answer, decode_guard: DecodeGuard) -> Self {
         Self {
             body: answer.body,
-            link: answer.link,
+            connection: answer.connection,
             target: answer.target,
             last_event: None,
             prefill_left: None,
-            _writing: writing,
-            run: Some(answer.run),
+            _decode_guard: decode_guard,
+            guard: Some(answer.guard),
         }
     }
 }
 
 /// Starts to relay a response. `attempts` counts the attempts so far, this one included.
-pub fn forward(job: Job, answer: Answer, writing: Writing, attempts: u32) -> Response<Body> {
+pub fn forward(
+    job: Job,
+    answer: Answer,
+    decode_guard: DecodeGuard,
+    attempts: u32,
+) -> Response<Body> {
     let mut response = Response::new(());
     *response.status_mut() = answer.head.status;
     *response.headers_mut() = call::headers::end_to_end(&answer.head.headers);
@@ -121,7 +126,7 @@
     let mut relay = Relay {
         status: answer.head.status,
         endpoint: answer.target.id.clone(),
-        source: Some(Source::new(answer, writing)),
+        source: Some(Source::new(answer, decode_guard)),
         job,
         splitter,
         attempts,
@@ -167,7 +172,7 @@
                     }
                     return Err(self.fail(RelayError::Endpoint));
                 }
-                () = source.target.left(), if may_migrate => {
+                () = source.target.migration_needed(), if may_migrate => {
                     self.migrate().await;
                     continue;
                 }
@@ -211,12 +216,12 @@
     /// Records that the endpoint aborted its response, and checks whether it has crashed.
     async fn note_break(&mut self) {
         if let Some(source) = &mut self.source {
-            if let Some(run) = source.run.take() {
-                run.broke();
+            if let Some(guard) = source.guard.take() {
+                guard.connection_broke();
             }
             let gateway = &self.job.gateway;
             gateway
-                .look_for_end(&source.target, &self.job.metadata.id)
+                .check_for_crash(&source.target, &self.job.metadata.id)
                 .await;
         }
     }
@@ -232,15 +237,17 @@
         let gap = source.last_event.replace(now).map(|last| now - last);
         let gateway = &self.job.gateway;
         let common = gateway.common(&self.job.service.name);
-        let left = source.target.with(|state| state.time_to_read(now, &common));
+        let left = source
+            .target
+            .with(|state| state.remaining_prefill_time(now, &common));
         let before = std::mem::replace(&mut source.prefill_left, left);
-        source.target.progressed();
+        source.target.record_progress();
         self.longest_gap = self.longest_gap.max(gap.unwrap_or_default());
         let engines = self.job.service.engines.as_ref();
         if let (Some(gap), Some(engines)) = (gap, engines) {
             let gap = policy::micros(gap);
             gateway.learn_pace(&source.target, |pace| {
-                pace.event(engines.tokens_per_event, gap, before, left);
+                pace.observe_event(engines.tokens_per_event, gap, before, left);
             });
         }
     }
@@ -250,14 +257,16 @@
         let rest = self.splitter.as_mut().and_then(EventSplitter::finish);
         self.log_outcome("answered");
         if let Some(source) = self.source.take() {
-            if let Some(run) = source.run {
-                run.answered();
+            if let Some(guard) = source.guard {
+                guard.finish();
             }
             if self.status.is_success() {
-                self.job.gateway.note_served(self.job.fingerprint);
+                self.job.gateway.record_served(self.job.fingerprint);
             }
-            source.target.note(Verdict::Fine, &self.job.metadata.id);
-            source.target.give_back(source.link);
+            source
+                .target
+                .record_verdict(Verdict::Fine, &self.job.metadata.id);
+            source.target.return_connection(source.connection);
         }
         rest
     }
@@ -269,7 +278,7 @@
         };
         self.log_outcome(outcome);
         if let Some(source) = self.source.take() {
-            source.target.note(verdict, &self.job.metadata.id);
+            source.target.record_verdict(verdict, &self.job.metadata.id);
         }
         error
     }
@@ -280,7 +289,11 @@
         let Some(source) = &self.source else {
             return;
         };
-        let withheld = self.job.gateway.withheld(self.job.fingerprint).is_some();
+        let withheld = self
+            .job
+            .gateway
+            .withheld_for(self.job.fingerprint)
+            .is_some();
         if withheld || !self.job.arrivals.reserve(&self.job, MIGRATION_RETRIES) {
             return;
         }
@@ -308,9 +321,9 @@
         let mut next = Some(stopped);
         while let Some(stopped) = next {
             match migrate::resume(&self.job, &stopped, after).await {
-                Ok((answer, writing)) => {
+                Ok((answer, decode_guard)) => {
                     self.endpoint = answer.target.id.clone();
-                    self.source = Some(Source::new(answer, writing));
+                    self.source = Some(Source::new(answer, decode_guard));
                     return true;
                 }
                 Err(cause) => {
@@ -339,7 +352,9 @@
         let Some(broken) = self.source.take() else {
             return false;
         };
-        broken.target.note(Verdict::Failed, &self.job.metadata.id);
+        broken
+            .target
+            .record_verdict(Verdict::Failed, &self.job.metadata.id);
         let from = Arc::clone(&broken.target);
         drop(broken);
         if self.attempts >= self.job.route.max_attempts {
@@ -347,9 +362,9 @@
         }
         self.attempts += 1;
         match generate::resume(&self.job, after, &from).await {
-            Ok((answer, writing)) => {
+            Ok((answer, decode_guard)) => {
                 self.endpoint = answer.target.id.clone();
-                self.source = Some(Source::new(answer, writing));
+                self.source = Some(Source::new(answer, decode_guard));
                 true
             }
             Err(cause) => {
