--- a/components/gateway/src/request/generate/migrate.rs
+++ b/components/gateway/src/request/generate/migrate.rs
@@ -98,7 +98,7 @@
     after: Option<u64>,
 ) -> Result<(Answer, DecodeGuard), Cause> {
     let target = &stopped.target;
-    let writing = DecodeGuard::new(target, is_long_answer(job));
+    let decode_guard = DecodeGuard::new(target, is_long_answer(job));
     let directive = Directive {
         timeout: job.time_left(),
         expected_endpoint: Some(target.id.clone()),
@@ -107,5 +107,5 @@
         ..Directive::default()
     };
     let answer = attempt::send(job, target, &directive, Timeout::at(job.deadline)).await?;
-    Ok((answer.into_continuation()?, writing))
+    Ok((answer.into_continuation()?, decode_guard))
 }
--- a/components/gateway/src/request/generate/prefill.rs
+++ b/components/gateway/src/request/generate/prefill.rs
@@ -93,8 +93,8 @@
     }
 }
 
-/// The wait for a prefill. For a deferred prompt it updates the learned stretch of the queue, also
-/// if the caller leaves before the prefill ends.
+/// The wait for a prefill. For a deferred prompt it updates the learned wait factor, also if the
+/// caller leaves before the prefill ends.
 struct DeferredWait<'a> {
     job: &'a Job,
     /// Expected time of a deferred prefill; none once its actual time has been learned.
@@ -124,8 +124,8 @@
         if let Some(expected) = self.expected.take() {
             let took = policy::micros(self.begun.elapsed());
             let gateway = &self.job.gateway;
-            gateway.learn_stretch(&self.job.service.name, |stretch| {
-                learn(stretch, expected, took);
+            gateway.learn_stretch(&self.job.service.name, |wait_factor| {
+                learn(wait_factor, expected, took);
             });
         }
     }
@@ -182,18 +182,18 @@
     let body = match body {
         Ok(body) if status.is_success() => body,
         Ok(_) => {
-            answer.run.finish();
+            answer.guard.finish();
             job.arrivals.prefill_failed();
             return Err(failed(Cause::ErrorStatus(status.as_u16())));
         }
         Err(_) => {
             job.arrivals.prefill_failed();
-            answer.run.connection_broke();
+            answer.guard.connection_broke();
             job.gateway.check_for_crash(target, &job.metadata.id).await;
             return Err(failed(Cause::ConnectionBroken));
         }
     };
-    answer.run.finish();
+    answer.guard.finish();
     job.arrivals.prefill_accepted(job);
     wait.finish();
     let address = target.with(|state| state.profile.address);
@@ -202,7 +202,7 @@
     if !deferred {
         learn_pace(job, target, in_flight.ahead + in_flight.guard.work(), begun);
     }
-    target.return_connection(answer.link);
+    target.return_connection(answer.connection);
     log::info!(
         request = job.metadata.id, endpoint = &*target.id.0, late = deferred, ahead = in_flight.ahead,
         work = in_flight.guard.work(), took_us = policy::micros(begun.elapsed());
--- a/components/gateway/src/request/generate/run.rs
+++ b/components/gateway/src/request/generate/run.rs
@@ -51,11 +51,11 @@
         fetch_from: snapshot.fetch_from(at),
         ..Directive::default()
     };
-    let writing = DecodeGuard::new(target, is_long_answer(job));
+    let decode_guard = DecodeGuard::new(target, is_long_answer(job));
     let sent = attempt::send(job, target, &directive, timeout).await;
     let answer = sent.map_err(|cause| failed(target, cause, Phase::Run))?;
     prefill::learn_pace(job, target, ahead + in_flight.guard.work(), begun);
-    Ok((answer, writing))
+    Ok((answer, decode_guard))
 }
 
 /// Chooses the engine that decodes the answer to a prefilled prompt; waits in the queue if none has
@@ -98,7 +98,7 @@
         return Err(failed(prefill, Cause::NoDecodeCapacity, Phase::Read));
     };
     let decode = &snapshot.targets[at];
-    let writing = DecodeGuard::new(decode, is_long_answer(job));
+    let decode_guard = DecodeGuard::new(decode, is_long_answer(job));
     let directive = Directive {
         timeout: job.time_left(),
         expected_endpoint: Some(decode.id.clone()),
@@ -115,7 +115,7 @@
                 .learn_pace(decode, |pace| pace.observe_first_token(took));
             prefill.record_verdict(Verdict::Fine, &job.metadata.id);
             handle.mark_fetched();
-            Ok((answer, writing))
+            Ok((answer, decode_guard))
         }
         // the decode engine can't report why, but in most cases the prefill engine has lost the KV
         // cache
--- a/components/gateway/src/request/job.rs
+++ b/components/gateway/src/request/job.rs
@@ -134,7 +134,8 @@
     pub fn ends_before_stop(&self, expected: Duration) -> bool {
         let now = Instant::now();
         self.gateway.shutdown().is_none_or(|stop| {
-            // until `quiet` the load balancer still sends requests, and tolerates one that is cut off
+            // until `quiet` the load balancer still sends requests, and tolerates one that is cut
+            // off
             let ends = if now < stop.balancer_removed {
                 (now + expected).min(self.deadline)
             } else {
