--- a/components/gateway/src/request/generate/timing.rs
+++ b/components/gateway/src/request/generate/timing.rs
@@ -77,8 +77,8 @@
 fn max_deferred_prefill_us(job: &Job) -> f64 {
     let begin = policy::to_f64(policy::micros(job.first_event_timeout()));
     let whole = policy::to_f64(policy::micros(job.time_left())) * DEFERRED_PREFILL_RATIO;
-    let stretch = job.gateway.stretch(&job.service.name).factor();
-    (begin * FIRST_EVENT_RATIO / stretch).min(whole)
+    let wait_factor = job.gateway.stretch(&job.service.name).factor();
+    (begin * FIRST_EVENT_RATIO / wait_factor).min(whole)
 }
 
 /// Returns how long to wait for an answer that is expected to begin after `expected` microseconds.
