--- a/components/cli/src/cli.rs
+++ b/components/cli/src/cli.rs
@@ -1,17 +1,17 @@
-//! The command line.
+//! Command-line options.
 
 use std::{net::SocketAddr, path::PathBuf};
 
 use bpaf::Bpaf;
 
-/// Operates wrenramp, through any of its daemons.
+/// Operates wrenramp through any of its daemons.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version)]
 pub struct Options {
-    /// A daemon's address for peers and operators
+    /// Address of a daemon for peers and operators
     #[bpaf(long, env("WRENRAMP_DAEMON"), argument("ADDRESS"))]
     pub daemon: SocketAddr,
-    /// A file that holds the operator's token; otherwise it is taken from `WRENRAMP_TOKEN`
+    /// File that holds the operator's token; without it, `WRENRAMP_TOKEN` is used
     #[bpaf(long, argument("FILE"))]
     pub token_file: Option<PathBuf>,
     /// Print JSON
@@ -20,10 +20,10 @@
     pub command: Command,
 }
 
-/// What to do.
+/// Commands:
 #[derive(Clone, Debug, Bpaf)]
 pub enum Command {
-    /// Show one value, or all of a node
+    /// Show one value, or all values of a node
     #[bpaf(command)]
     Get {
         /// Path of the node, such as group/soils
@@ -33,12 +33,12 @@
         #[bpaf(positional("KEY"))]
         key: Option<String>,
     },
-    /// Set a value; makes the node when there is none
+    /// Set values; creates the node if it does not exist
     #[bpaf(command)]
     Set {
         /// Wait until the version is in force in all daemons
         wait: bool,
-        /// Refuse if the newest version is not this one
+        /// Refuse if this is not the latest version
         #[bpaf(argument("VERSION"))]
         base: Option<u64>,
         /// Path of the node
@@ -48,7 +48,7 @@
         #[bpaf(positional("KEY=VALUE"), some("give at least one KEY=VALUE"))]
         values: Vec<String>,
     },
-    /// Take a value away, so that the inherited one or the default holds
+    /// Remove a value, so that the inherited one or the default applies
     #[bpaf(command)]
     Unset {
         /// Path of the node
@@ -67,49 +67,49 @@
         #[bpaf(external(group_command))]
         step: GroupCommand,
     },
-    /// Show what a tree file would change
+    /// Show what applying a tree file would change
     #[bpaf(command)]
     Diff {
-        /// The file
+        /// The tree file
         #[bpaf(positional("FILE"))]
         file: PathBuf,
     },
     /// Show accepted changes
     #[bpaf(command)]
     History {
-        /// From this version on
+        /// Start with this version
         #[bpaf(argument("VERSION"), fallback(0))]
         from: u64,
     },
-    /// Make the tree as a file says: all of it in one change
+    /// Make the tree equal to a file, in one change
     #[bpaf(command)]
     Apply {
-        /// Only check
+        /// Only check whether the change would be accepted
         dry_run: bool,
         /// Wait until the version is in force in all daemons
         wait: bool,
-        /// The file
+        /// The tree file
         #[bpaf(positional("FILE"))]
         file: PathBuf,
     },
     /// Show daemons, endpoints, stewards and the versions in force
     #[bpaf(command)]
     Status,
-    /// Keep new work from an endpoint; what is under way goes on
+    /// Send no new requests to an endpoint; requests in flight continue
     #[bpaf(command)]
     Drain {
         /// The endpoint, as DATA-CENTRE/NUMBER
         #[bpaf(positional("ENDPOINT"))]
         endpoint: String,
     },
-    /// Let an endpoint have work again
+    /// Send requests to a drained endpoint again
     #[bpaf(command)]
     Undrain {
         /// The endpoint, as DATA-CENTRE/NUMBER
         #[bpaf(positional("ENDPOINT"))]
         endpoint: String,
     },
-    /// Order an engine into a role, by way of its steward
+    /// Order an engine to change its role, through its steward
     #[bpaf(command)]
     Role {
         /// The endpoint, as DATA-CENTRE/NUMBER
@@ -119,64 +119,64 @@
         #[bpaf(positional("ROLE"))]
         role: String,
     },
-    /// Order an engine to load a model, by way of its steward
+    /// Order an engine to load a model, through its steward
     #[bpaf(command)]
     Load {
-        /// The role it should have
+        /// Role of the engine afterwards
         #[bpaf(argument("ROLE"), fallback("mixed".to_owned()))]
         role: String,
         /// The endpoint, as DATA-CENTRE/NUMBER
         #[bpaf(positional("ENDPOINT"))]
         endpoint: String,
-        /// The model
+        /// Name of the model
         #[bpaf(positional("MODEL"))]
         model: String,
-        /// The adapter
+        /// Adapter to load
         #[bpaf(positional("ADAPTER"))]
         adapter: String,
-        /// The version
+        /// Version of the model
         #[bpaf(positional("VERSION"))]
         version: String,
     },
-    /// Show events of all daemons in one order
+    /// Show the events of all daemons, merged into one time line
     #[bpaf(command)]
     Timeline {
-        /// Only those of this request
+        /// Only events of this request
         #[bpaf(argument("ID"))]
         request: Option<String>,
-        /// Only those of this endpoint, as DATA-CENTRE/NUMBER
+        /// Only events of this endpoint, as DATA-CENTRE/NUMBER
         #[bpaf(argument("ENDPOINT"))]
         engine: Option<String>,
-        /// Only those of this time back, in seconds
+        /// Only events of the last so many seconds
         #[bpaf(argument("SECONDS"))]
         since: Option<u64>,
     },
-    /// Check a tree file by itself, without a daemon's tree
+    /// Check a tree file without contacting a daemon
     #[bpaf(command)]
     Check {
-        /// The file
+        /// The tree file
         #[bpaf(positional("FILE"))]
         file: PathBuf,
     },
 }
 
-/// What to do with a group.
+/// Commands on a group.
 #[derive(Clone, Debug, Bpaf)]
 pub enum GroupCommand {
     /// Add a group
     #[bpaf(command)]
     Add {
-        /// Its share against its siblings
+        /// Share of the group relative to its siblings
         #[bpaf(argument("SHARE"), fallback(1))]
         share: u32,
-        /// Its path below group/, such as soils/field
+        /// Path of the group below group/, such as soils/field
         #[bpaf(positional("GROUP"))]
         group: String,
     },
     /// Remove a group
     #[bpaf(command)]
     Remove {
-        /// Its path below group/
+        /// Path of the group below group/
         #[bpaf(positional("GROUP"))]
         group: String,
     },
--- a/components/cli/src/client.rs
+++ b/components/cli/src/client.rs
@@ -1,4 +1,4 @@
-//! The connection to a daemon.
+//! Client for the operator interface of a daemon.
 
 use tonic::transport::Channel;
 use wire::{
@@ -9,14 +9,14 @@
 
 use crate::{cli::Options, error::Error};
 
-/// A daemon, as an operator with a token speaks to it.
+/// A connection to a daemon, authenticated by the operator's token.
 pub struct Client {
     inner: OperatorClient<Channel>,
     token: String,
 }
 
 impl Client {
-    /// Connects to the daemon that the options name.
+    /// Connects to the daemon given in the options.
     pub async fn connect(options: &Options) -> Result<Self, Error> {
         let token = read_token(options)?;
         let address = options.daemon;
@@ -27,13 +27,13 @@
         Ok(Self { inner, token })
     }
 
-    /// The tree in force at the daemon.
+    /// Reads the tree in force at the daemon.
     pub async fn read(&mut self) -> Result<Tree, Error> {
         let token = self.token.clone();
         Ok(self.inner.read(ReadRequest { token }).await?.into_inner())
     }
 
-    /// Commits a change.
+    /// Commits a change, or only checks it with `dry_run`.
     pub async fn commit(
         &mut self,
         base: u64,
@@ -50,14 +50,14 @@
         Ok(self.inner.commit(request).await?.into_inner())
     }
 
-    /// The accepted changes from a version on.
+    /// Reads the accepted changes, starting with a version.
     pub async fn log(&mut self, from: u64) -> Result<LogReply, Error> {
         let token = self.token.clone();
         let request = LogRequest { token, from, to: 0 };
         Ok(self.inner.log(request).await?.into_inner())
     }
 
-    /// What the daemon knows of the fleet.
+    /// Reads the state of the fleet as the daemon sees it.
     pub async fn status(&mut self) -> Result<StatusReply, Error> {
         let token = self.token.clone();
         Ok(self
@@ -67,13 +67,13 @@
             .into_inner())
     }
 
-    /// Asks the steward for an order.
+    /// Requests an order to an engine, which its steward carries out.
     pub async fn order(&mut self, mut request: OrderRequest) -> Result<OrderReply, Error> {
         request.token.clone_from(&self.token);
         Ok(self.inner.order(request).await?.into_inner())
     }
 
-    /// Events of all daemons.
+    /// Reads the events of all daemons.
     pub async fn timeline(
         &mut self,
         subject: String,
--- a/components/cli/src/cmd/change.rs
+++ b/components/cli/src/cmd/change.rs
@@ -14,15 +14,16 @@
     error::Error,
 };
 
-/// Whether to wait until a version is in force everywhere.
+/// Whether to wait until all daemons have applied the new version.
 #[derive(Clone, Copy, Debug)]
 pub struct Wait(pub bool);
 
-/// The target for a settings change.
+/// Time-out for all daemons to apply a version: the target for a settings change.
 const APPLY_TIMEOUT: Duration = Duration::from_secs(7);
+/// Interval between status requests while waiting.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// `set`: one or more values of a node.
+/// `set`: sets one or more values of a node.
 pub async fn set(
     client: &mut Client,
     path: &str,
@@ -33,7 +34,7 @@
     let mut edits = Vec::new();
     for value in values {
         let Some((key, value)) = value.split_once('=') else {
-            console::print_line(format!("{value} is not KEY=VALUE"));
+            console::print_line(format!("{value} is not of the form KEY=VALUE"));
             return Ok(ExitCode::from(FAILED));
         };
         edits.push(value_edit(path, key, Some(value)));
@@ -41,7 +42,7 @@
     commit(client, base, edits, false, wait).await
 }
 
-/// `unset`: takes a value away.
+/// `unset`: removes a value.
 pub async fn unset(client: &mut Client, path: &str, key: &str) -> Result<ExitCode, Error> {
     commit(
         client,
@@ -53,20 +54,20 @@
     .await
 }
 
-/// `group add`.
+/// `group add`: creates a group with its share.
 pub async fn add_group(client: &mut Client, group: &str, share: u32) -> Result<ExitCode, Error> {
     let path = format!("group/{group}");
     let edits = vec![value_edit(&path, "share", Some(&share.to_string()))];
     commit(client, 0, edits, false, Wait(false)).await
 }
 
-/// `group remove`.
+/// `group remove`: removes a group.
 pub async fn remove_group(client: &mut Client, group: &str) -> Result<ExitCode, Error> {
     let edits = vec![removal_edit(&format!("group/{group}"))];
     commit(client, 0, edits, false, Wait(false)).await
 }
 
-/// `drain` and `undrain`.
+/// `drain` and `undrain`: sets whether an endpoint is drained, and waits until that is in force.
 pub async fn drain(client: &mut Client, endpoint: &str, drain: bool) -> Result<ExitCode, Error> {
     let (data_centre, number) = engine::parse_endpoint(endpoint)?;
     let path = format!("endpoint/{data_centre}/{number}");
@@ -83,7 +84,7 @@
     commit(client, 0, edits, false, Wait(true)).await
 }
 
-/// A step that sets or takes away a value.
+/// An edit that sets a value or, without one, removes it.
 pub fn value_edit(path: &str, key: &str, value: Option<&str>) -> Edit {
     Edit {
         path: path.to_owned(),
@@ -93,7 +94,7 @@
     }
 }
 
-/// A step that takes a node away.
+/// An edit that removes a node.
 pub fn removal_edit(path: &str) -> Edit {
     Edit {
         path: path.to_owned(),
@@ -102,7 +103,7 @@
     }
 }
 
-/// Commits a change and waits, if asked, until it is in force.
+/// Commits a change and, if asked, waits until all daemons have applied it.
 pub async fn commit(
     client: &mut Client,
     base: u64,
@@ -118,7 +119,7 @@
     }
 }
 
-/// Says where a version is in force and who lags.
+/// Waits until all daemons have applied a version, and prints which have not at the time-out.
 async fn wait_until_applied(client: &mut Client, version: u64) -> Result<ExitCode, Error> {
     let deadline = Instant::now() + APPLY_TIMEOUT;
     loop {
@@ -131,7 +132,10 @@
             return Ok(ExitCode::SUCCESS);
         }
         if Instant::now() > deadline {
-            console::print_line(format!("in force in {} daemons; not in:", applied.len()));
+            console::print_line(format!(
+                "in force in {} daemons, not yet in:",
+                applied.len()
+            ));
             for daemon in lagging {
                 let member = daemon.member.clone().unwrap_or_default();
                 let state = if daemon.answered { "lags" } else { "silent" };
--- a/components/cli/src/cmd/engine.rs
+++ b/components/cli/src/cmd/engine.rs
@@ -1,4 +1,4 @@
-//! Commands that ask the steward for orders to an engine.
+//! Commands that request an order to an engine from its steward.
 
 use std::process::ExitCode;
 
@@ -6,7 +6,7 @@
 
 use crate::{client::Client, console, error::Error};
 
-/// `role`: orders an engine into a role.
+/// `role`: orders an engine to change its role.
 pub async fn role(client: &mut Client, endpoint: &str, role: &str) -> Result<ExitCode, Error> {
     let empty = String::new();
     load(client, endpoint, role, [&empty, &empty, &empty]).await
@@ -35,7 +35,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Data centre and number of an endpoint.
+/// Parses an endpoint written as `DATA-CENTRE/NUMBER`.
 pub fn parse_endpoint(endpoint: &str) -> Result<(&str, u32), Error> {
     endpoint
         .split_once('/')
--- a/components/cli/src/cmd/file.rs
+++ b/components/cli/src/cmd/file.rs
@@ -1,6 +1,6 @@
 //! Commands that read a tree file.
 //!
-//! A tree file is TOML: a table a node, named by its path, `["group/soils"]`.
+//! A tree file is TOML with a table for each node, named by its path: `["group/soils"]`.
 
 use std::{path::Path, process::ExitCode};
 
@@ -14,19 +14,19 @@
     error::Error,
 };
 
-/// `check`: checks a file by itself.
+/// `check`: validates a file without contacting a daemon.
 pub fn check(path: &Path) -> Result<ExitCode, Error> {
     let tree = Tree::new(0, read_nodes(path)?);
     let problems = checks::problems(&tree);
     if problems.is_empty() {
-        console::print_line(format!("{} nodes, no problem", tree.nodes.len()));
+        console::print_line(format!("{} nodes, no problems found", tree.nodes.len()));
         return Ok(ExitCode::SUCCESS);
     }
     problems.iter().for_each(console::print_line);
     Ok(ExitCode::from(FAILED))
 }
 
-/// `diff`: what a file would change.
+/// `diff`: shows what applying a file would change.
 pub async fn diff(client: &mut Client, path: &Path) -> Result<ExitCode, Error> {
     let (_, edits) = edits_to_apply(client, path).await?;
     edits
@@ -36,7 +36,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// `apply`: makes the tree as a file says, in one change on the version that was read.
+/// `apply`: makes the tree equal to a file, in one change based on the version that was read.
 pub async fn apply(
     client: &mut Client,
     path: &Path,
--- a/components/cli/src/cmd/mod.rs
+++ b/components/cli/src/cmd/mod.rs
@@ -1,4 +1,4 @@
-//! One file a command; no logic of the domain here.
+//! The commands, grouped by what they do. The domain logic is in the daemon and in `settings`.
 
 mod change;
 mod engine;
@@ -14,7 +14,7 @@
 };
 use change::Wait;
 
-/// Runs the command that the options name.
+/// Runs the command given in the options.
 pub async fn run(options: &Options) -> Result<ExitCode, Error> {
     if let Command::Check { file } = &options.command {
         return file::check(file);
@@ -59,7 +59,7 @@
             adapter,
             version,
         } => engine::load(client, endpoint, role, [model, adapter, version]).await,
-        // done above, without a daemon
+        // handled above, before connecting to a daemon
         Command::Check { file } => file::check(file),
     }
 }
--- a/components/cli/src/cmd/show.rs
+++ b/components/cli/src/cmd/show.rs
@@ -1,4 +1,4 @@
-//! Commands that only show.
+//! Read-only commands.
 
 use std::{
     collections::BTreeMap,
@@ -15,7 +15,7 @@
     error::Error,
 };
 
-/// `get`: one value, or all of a node.
+/// `get`: shows one value, or all values of a node.
 pub async fn get(
     client: &mut Client,
     path: &str,
@@ -53,7 +53,7 @@
     }
 }
 
-/// `tree`: all nodes.
+/// `tree`: shows all nodes.
 pub async fn tree(client: &mut Client, json: bool) -> Result<ExitCode, Error> {
     let tree = client.read().await?;
     let nodes: BTreeMap<&str, BTreeMap<&str, &str>> = tree
@@ -86,7 +86,7 @@
     steps: Vec<String>,
 }
 
-/// `history`: accepted changes.
+/// `history`: shows accepted changes.
 pub async fn history(client: &mut Client, from: u64, json: bool) -> Result<ExitCode, Error> {
     let log = client.log(from).await?;
     if json {
@@ -145,7 +145,7 @@
     holder: String,
 }
 
-/// `status`: daemons, endpoints, stewards, versions in force.
+/// `status`: shows daemons, endpoints, stewards and the versions in force.
 pub async fn status(client: &mut Client, json: bool) -> Result<ExitCode, Error> {
     let status = client.status().await?;
     if json {
@@ -196,7 +196,7 @@
     silent: Vec<String>,
 }
 
-/// `timeline`: events of all daemons.
+/// `timeline`: shows events of all daemons.
 pub async fn timeline(
     client: &mut Client,
     request: Option<&str>,
--- a/components/cli/src/console.rs
+++ b/components/cli/src/console.rs
@@ -1,4 +1,4 @@
-//! Everything that an operator reads.
+//! Output for operators.
 
 use std::process::ExitCode;
 
@@ -7,12 +7,12 @@
 
 use crate::error::Error;
 
-/// The code for a command that was refused or failed.
+/// Exit code of a command that was refused or failed.
 pub const FAILED: u8 = 1;
-/// The code for a command that is done in part.
+/// Exit code of a command that succeeded in part, or whose outcome is not known.
 pub const PARTIAL: u8 = 3;
 
-/// Tells why a command failed.
+/// Prints why a command failed and returns the exit code.
 pub fn report_error(error: &Error) -> ExitCode {
     eprintln!("{error}");
     ExitCode::from(FAILED)
@@ -20,7 +20,7 @@
 
 /// Prints a value as JSON.
 pub fn print_json<T: Serialize>(value: &T) {
-    // plain values always have a JSON form
+    // values of this client can always be serialised
     println!(
         "{}",
         serde_json::to_string_pretty(value).unwrap_or_default()
@@ -32,7 +32,7 @@
     println!("{text}");
 }
 
-/// Tells how a change was taken.
+/// Prints the outcome of a change and returns the exit code.
 pub fn report_commit(reply: &CommitReply, dry_run: bool) -> ExitCode {
     match reply {
         CommitReply { unknown: true, .. } => {
@@ -44,7 +44,7 @@
             conflict: Some(winner),
             ..
         } => {
-            eprintln!("not accepted: another change was first");
+            eprintln!("not accepted: another change was committed first");
             eprintln!("{}", format_change(winner));
             ExitCode::from(FAILED)
         }
@@ -70,7 +70,7 @@
     }
 }
 
-/// An accepted change in a few lines.
+/// Formats an accepted change, with a line for each edit.
 pub fn format_change(change: &Conflict) -> String {
     let edits: Vec<String> = change.edits.iter().map(format_edit).collect();
     format!(
@@ -81,7 +81,7 @@
     )
 }
 
-/// One step of a change.
+/// Formats an edit of a change.
 pub fn format_edit(edit: &Edit) -> String {
     match &edit.value {
         _ if edit.remove_node => format!("  remove {}", edit.path),
@@ -90,7 +90,7 @@
     }
 }
 
-/// The state of the fleet as one daemon sees it.
+/// Prints the state of the fleet as one daemon sees it.
 pub fn print_status(status: &StatusReply) {
     let store = if status.store_up {
         "answers"
@@ -134,7 +134,7 @@
     }
 }
 
-/// One event.
+/// Formats an event of the time line.
 pub fn format_event(event: &Event) -> String {
     format!(
         "{}.{:03} {:016x} {} {} {} {}",
--- a/components/cli/src/error.rs
+++ b/components/cli/src/error.rs
@@ -1,52 +1,52 @@
-//! What can go wrong, told in the operator's terms.
+//! Errors of the client, with messages for operators.
 
 use derive_more::{Display, Error};
 
 /// Why a command failed.
 #[derive(Debug, Display, Error)]
 pub enum Error {
-    /// The runtime did not start.
-    #[display("cannot start: {_0}")]
+    /// The async runtime could not be started.
+    #[display("cannot start the async runtime: {_0}")]
     Runtime(std::io::Error),
-    /// No token was given.
-    #[display("an operator's token is needed: set WRENRAMP_TOKEN or give --token-file")]
+    /// No operator token was given.
+    #[display("no operator token given: set WRENRAMP_TOKEN or use --token-file")]
     NoToken,
-    /// A file can't be read.
+    /// A file could not be read.
     #[display("cannot read {path}: {source}")]
     Read {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// What the system said.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// A file is no valid tree.
+    /// A tree file is not valid TOML.
     #[display("{path}: {source}")]
     Parse {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// What is wrong, with its line.
+        /// The parser's error, with the line.
         source: Box<toml::de::Error>,
     },
-    /// A value of a tree file is a list or a date, which no key takes.
-    #[display("{path}: {key} must be a text, a number or true or false")]
+    /// A value of a tree file has a TOML type that no key accepts, such as a float, an array or a date.
+    #[display("{path}: {key} must be a string, an integer or a boolean")]
     UnsupportedValue {
-        /// The file.
+        /// Path of the file.
         path: String,
         /// The key.
         key: String,
     },
-    /// The daemon can't be reached.
-    #[display("no daemon answers at {address}: {source}")]
+    /// The daemon is unreachable.
+    #[display("cannot connect to a daemon at {address}: {source}")]
     Unreachable {
-        /// Where it was looked for.
+        /// Address of the daemon.
         address: std::net::SocketAddr,
-        /// What the transport said.
+        /// Error of the transport.
         source: tonic::transport::Error,
     },
-    /// The daemon refused.
+    /// The daemon refused the request.
     #[display("the daemon refused: {}", _0.message())]
     Refused(Box<tonic::Status>),
-    /// There is no such node or value.
+    /// The node or value does not exist.
     #[display("{_0} is not set")]
     NotSet(#[error(not(source))] String),
     /// An endpoint is not written as `DATA-CENTRE/NUMBER`.
--- a/components/cli/src/lib.rs
+++ b/components/cli/src/lib.rs
@@ -8,8 +8,9 @@
 
 use std::process::ExitCode;
 
-/// Parses the arguments, runs the command and gives its exit code: 0 done, 1 refused or failed,
-/// 2 wrong arguments, 3 done in part (some daemons lag or are silent).
+/// Parses the arguments, runs the command and returns its exit code: 0 on success, 1 if it was refused
+/// or failed, 2 for invalid arguments, 3 if it succeeded in part (some daemons lag or are unreachable, or
+/// it is not known whether a change was accepted).
 #[must_use]
 pub fn main() -> ExitCode {
     let options = cli::options().run();
--- a/components/settings/examples/page.rs
+++ b/components/settings/examples/page.rs
@@ -1,4 +1,4 @@
-//! Prints the tree's part of `docs/SETTINGS.md`.
+//! Prints the tables of `docs/SETTINGS.md` for the settings tree.
 
 use settings::tree::schema::KINDS;
 
--- a/components/settings/src/daemon/mod.rs
+++ b/components/settings/src/daemon/mod.rs
@@ -1,4 +1,4 @@
-//! The settings of one daemon, read from a TOML file, see `docs/SETTINGS.md#a-daemons-file`.
+//! Settings file of a daemon, see `docs/SETTINGS.md#a-daemons-file`.
 
 use std::{net::SocketAddr, path::Path, time::Duration};
 
@@ -12,33 +12,33 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Who and where this daemon is.
+    /// Identity and addresses of this daemon.
     pub daemon: Daemon,
-    /// Where the platform's services are.
+    /// Addresses of the platform's services.
     pub platform: Platform,
-    /// Bounds towards callers.
+    /// Limits on callers.
     #[serde(default)]
     pub limits: Limits,
-    /// Periods and terms of the control loops.
+    /// Intervals and time-outs of the control loops.
     #[serde(default)]
     pub control: Control,
 }
 
-/// Addresses and data centre of this daemon.
+/// Identity and addresses of this daemon.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Daemon {
-    /// The name of this process in logs and the time line.
+    /// Name in logs and in the time line of events.
     pub name: String,
-    /// The data centre that this VM stands in.
+    /// Data centre of its VM.
     pub data_centre: String,
-    /// Where callers connect.
+    /// Listening address for callers.
     pub callers: SocketAddr,
-    /// Where peers and operators connect.
+    /// Listening address for peers and operators.
     pub peers: SocketAddr,
-    /// Where metrics and health are read.
+    /// Listening address for metrics and health checks.
     pub status: SocketAddr,
-    /// Peers to ask first, before the table can be read.
+    /// Peers to contact before the table can be read.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
     /// SHA-256 of the operators' token, in hexadecimal.
@@ -49,32 +49,32 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Platform {
-    /// The table service.
+    /// Address of the table service.
     pub table: SocketAddr,
-    /// The VM list.
+    /// Address of the VM list.
     pub vms: SocketAddr,
 }
 
-/// Bounds that hold towards callers, also under attack.
+/// Limits on callers, which also hold under attack.
 #[serde_as]
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// Largest request body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: usize,
-    /// Largest request head, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub header_bytes: usize,
-    /// Time for a caller to send its request head.
+    /// Time-out for a caller to send its request head.
     #[serde_as(as = "DisplayFromStr")]
     pub header_time: humantime::Duration,
-    /// Time for a caller to send its request body.
+    /// Time-out for a caller to send its request body.
     #[serde_as(as = "DisplayFromStr")]
     pub body_time: humantime::Duration,
-    /// Open connections of callers.
+    /// Maximum number of open caller connections.
     pub connections: usize,
-    /// Requests waiting for an engine, over all groups.
+    /// Maximum number of requests of a service that wait for an engine, over all groups.
     pub queue_requests: usize,
-    /// Bytes of bodies held by waiting requests.
+    /// Maximum total size of the bodies of requests in flight, in bytes.
     pub queue_bytes: usize,
 }
 
@@ -92,42 +92,43 @@
     }
 }
 
-/// Periods and terms of the control loops.
+/// Intervals and time-outs of the control loops.
 #[serde_as]
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Control {
-    /// Between two heartbeats to a peer.
+    /// Interval between heartbeats to a peer.
     #[serde_as(as = "DisplayFromStr")]
     pub heartbeat: humantime::Duration,
-    /// Between two reads of the head of the settings.
+    /// Interval between reads of the head row of the settings.
     #[serde_as(as = "DisplayFromStr")]
     pub settings_poll: humantime::Duration,
-    /// Between two reads of the VM list.
+    /// Interval between reads of the VM list.
     #[serde_as(as = "DisplayFromStr")]
     pub vm_poll: humantime::Duration,
-    /// How far the VM list may lag behind what happens.
+    /// Maximum time by which the VM list may lag behind the actual state: a daemon that is missing from it
+    /// is considered gone only after this time.
     #[serde_as(as = "DisplayFromStr")]
     pub vm_lag: humantime::Duration,
-    /// Between two load reports of an endpoint.
+    /// Interval between reads of the load report of an endpoint.
     #[serde_as(as = "DisplayFromStr")]
     pub report_poll: humantime::Duration,
-    /// Term of a stewardship.
+    /// Duration of a steward's lease.
     #[serde_as(as = "DisplayFromStr")]
     pub lease_term: humantime::Duration,
-    /// Longest wait for the beginning of an answer of the table, and longest pause in it.
+    /// Time-out for the first bytes of an answer of the table service, and for each pause in it.
     #[serde_as(as = "DisplayFromStr")]
     pub table_timeout: humantime::Duration,
-    /// Longest wait for all daemons to close an endpoint.
+    /// Time-out for all daemons to close an endpoint.
     #[serde_as(as = "DisplayFromStr")]
     pub close_wait: humantime::Duration,
-    /// Between two decisions on roles.
+    /// Interval between decisions on roles.
     #[serde_as(as = "DisplayFromStr")]
     pub role_period: humantime::Duration,
-    /// How long new requests are still served after a planned stop began.
+    /// Time after the start of a graceful shutdown during which new requests are still accepted.
     #[serde_as(as = "DisplayFromStr")]
     pub stop_lag: humantime::Duration,
-    /// After this long a planned stop ends the streams that remain.
+    /// Time after which a graceful shutdown aborts the remaining streams.
     #[serde_as(as = "DisplayFromStr")]
     pub stop_grace: humantime::Duration,
 }
@@ -151,16 +152,16 @@
 }
 
 impl Settings {
-    /// Reads and checks a settings file.
+    /// Reads, parses and validates a settings file.
     ///
     /// # Errors
     ///
-    /// [`Error`] names the file and, where there is one, the line and the key.
+    /// [`Error`] names the file and, if known, the line and the key.
     pub fn load(path: &Path) -> Result<Self, Error> {
         file::load(path, Self::out_of_range)
     }
 
-    /// Parses and checks the text of a settings file; `name` is told in errors.
+    /// Parses and validates the text of a settings file; errors name it as `name`.
     ///
     /// # Errors
     ///
--- a/components/settings/src/file.rs
+++ b/components/settings/src/file.rs
@@ -1,49 +1,49 @@
-//! Settings files: read, parsed and checked whole, whatever process they are for.
+//! Reads, parses and validates a settings file of any process.
 
 use std::path::Path;
 
 use derive_more::{Display, Error};
 use serde::de::DeserializeOwned;
 
-/// Why a settings file cannot be used.
+/// Why a settings file was rejected.
 #[derive(Debug, Display, Error)]
 pub enum Error {
     /// The file could not be read.
     #[display("cannot read {path}: {source}")]
     Read {
-        /// The file asked for.
+        /// Path of the file.
         path: String,
-        /// What the system said.
+        /// The I/O error.
         source: std::io::Error,
     },
     /// The file is not valid TOML, or a key is unknown or of the wrong type.
     #[display("{path}: {source}")]
     Parse {
-        /// The file asked for.
+        /// Path of the file.
         path: String,
-        /// What is wrong, with line and key.
+        /// The parser's error, with line and key.
         source: Box<toml::de::Error>,
     },
-    /// A value is out of its range.
+    /// A value is outside its permitted range.
     #[display("{path}: {key} is out of range: {range}")]
     Range {
-        /// The file asked for.
+        /// Path of the file.
         path: String,
-        /// The key with its section.
+        /// The key with its section, such as `limits.connections`.
         key: &'static str,
-        /// What is allowed.
+        /// Description of the permitted range.
         range: &'static str,
     },
 }
 
-/// A key that is out of its range, and the range.
+/// A key whose value is out of range, and a description of the permitted range.
 pub type OutOfRange = (&'static str, &'static str);
 
-/// Reads and checks a settings file.
+/// Reads, parses and validates a settings file.
 ///
 /// # Errors
 ///
-/// [`Error`] names the file and, where there is one, the line and the key.
+/// [`Error`] names the file and, if known, the line and the key.
 pub fn load<T: DeserializeOwned>(
     path: &Path,
     validate: impl Fn(&T) -> Option<OutOfRange>,
@@ -56,7 +56,7 @@
     parse(&text, &name, validate)
 }
 
-/// Parses and checks the text of a settings file; `name` is told in errors.
+/// Parses and validates the text of a settings file; errors name it as `name`.
 ///
 /// # Errors
 ///
--- a/components/settings/src/gateway/mod.rs
+++ b/components/settings/src/gateway/mod.rs
@@ -1,5 +1,6 @@
-//! The settings of a gateway: a process that passes requests through to a fleet which an operators'
-//! platform describes. See `docs/SETTINGS.md#a-gateways-file`.
+//! Settings file of a gateway, which forwards requests to the fleet that the operators' platform lists.
+//!
+//! See `docs/SETTINGS.md#a-gateways-file`.
 
 use std::{net::SocketAddr, path::Path, time::Duration};
 
@@ -12,54 +13,54 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Who and where this process is.
+    /// Identity and addresses of this process.
     pub gateway: Gateway,
-    /// Where the platform's store is, and what it bears.
+    /// Address and capacity of the platform's store.
     pub store: Store,
-    /// Bounds that the operators set for all gateways together.
+    /// Limits that the operators set for all gateways together.
     #[serde(default)]
     pub bounds: Bounds,
-    /// What this process may use of its VM.
+    /// Resources of its VM that this process may use.
     #[serde(default)]
     pub resources: Resources,
 }
 
-/// Name, data centre and addresses of this process.
+/// Identity and addresses of this process.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Gateway {
-    /// Its name in logs and among its peers; one process at a time bears it.
+    /// Name in logs and among peers. Only one process at a time may use it.
     pub name: String,
-    /// The data centre that its VM stands in.
+    /// Data centre of its VM.
     pub data_centre: String,
-    /// Where callers connect.
+    /// Listening address for callers.
     pub callers: SocketAddr,
-    /// Where the balancer asks whether this process is ready.
+    /// Listening address for the readiness checks of the load balancer.
     pub ready: SocketAddr,
-    /// Where metrics are read.
+    /// Listening address for metrics.
     pub metrics: SocketAddr,
-    /// Where peers send their digests, by UDP, and fetch from, by TCP.
+    /// Listening address for peers: digests over UDP, fetches over TCP.
     pub peers: SocketAddr,
-    /// VMs on which peers may be found before the store can be read. Only their IP numbers count:
-    /// peers listen at the same port as this process.
+    /// VMs on which to look for peers before the store can be read. Only the IP addresses are used:
+    /// peers listen on the same port as this process.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// Whether the system has run before: this process may then follow one that used its part of what
-    /// all gateways share.
+    /// Whether the system has run before. If so, this process may replace one that has already used its
+    /// share of the retry budget, and starts with a reduced share for the first retry window.
     #[serde(default)]
     pub restarted: bool,
 }
 
-/// The platform's store.
+/// Address and capacity of the platform's store.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Store {
-    /// Where it listens.
+    /// Address of the store.
     pub address: SocketAddr,
-    /// Writes that all gateways together may make in a second.
+    /// Maximum number of writes per second by all gateways together.
     #[serde(default = "Store::default_writes_per_second")]
     pub writes_per_second: f64,
-    /// Reads that all gateways together may make in a second.
+    /// Maximum number of reads per second by all gateways together.
     #[serde(default = "Store::default_reads_per_second")]
     pub reads_per_second: f64,
 }
@@ -74,31 +75,31 @@
     }
 }
 
-/// Bounds that the operators set. The defaults are those of the first deployments.
+/// Limits that the operators set. The defaults are those of the first deployments.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Bounds {
-    /// A leaving endpoint gets nothing later than this after it said so.
+    /// An endpoint receives no new request later than this after it announced that it is leaving.
     #[serde_as(as = "DurationMilliSeconds<f64>")]
     pub drain_ms: Duration,
-    /// A planned stop ends after this, with a kill.
+    /// Grace period of a graceful shutdown, after which the process is killed.
     #[serde_as(as = "DurationSecondsWithFrac")]
     pub grace_s: Duration,
-    /// A configuration is in force this long after it was accepted.
+    /// Maximum time from the acceptance of a configuration until gateways use it.
     #[serde_as(as = "DurationMilliSeconds<f64>")]
     pub configuration_ms: Duration,
-    /// Repeats that all gateways together may send to a service, as a part of its requests.
+    /// Retry budget of all gateways together, for each service: maximum ratio of retries to requests.
     pub retry_ratio: f64,
-    /// The time over which repeats are counted.
+    /// Length of the window over which retries are counted.
     #[serde_as(as = "DurationSecondsWithFrac")]
     pub retry_window_s: Duration,
-    /// Repeats that are allowed besides, for each service and window.
+    /// Retries that each service is allowed in a window in addition to the ratio.
     pub retry_slack: f64,
-    /// Two holders may not give orders to an endpoint within this time of each other.
+    /// Minimum time between the orders of two different lease holders to an endpoint.
     #[serde_as(as = "DurationMilliSeconds<f64>")]
     pub lease_ms: Duration,
-    /// The longest that an event of a stream may take from its endpoint to its caller.
+    /// Maximum time that an event of a stream may take from its endpoint to its caller.
     #[serde_as(as = "DurationMilliSeconds<f64>")]
     pub transit_ms: Duration,
 }
@@ -118,15 +119,15 @@
     }
 }
 
-/// What this process may use.
+/// Resources of its VM that this process may use.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Resources {
-    /// Threads that serve; each is worth a core at most.
+    /// Number of worker threads; each uses at most one core.
     pub threads: usize,
-    /// Memory, in megabytes.
+    /// Memory in megabytes.
     pub memory_mb: usize,
-    /// Open sockets and files.
+    /// Maximum number of open sockets and files.
     pub descriptors: usize,
 }
 
@@ -141,16 +142,16 @@
 }
 
 impl Settings {
-    /// Reads and checks a settings file.
+    /// Reads, parses and validates a settings file.
     ///
     /// # Errors
     ///
-    /// [`Error`] names the file and, where there is one, the line and the key.
+    /// [`Error`] names the file and, if known, the line and the key.
     pub fn load(path: &Path) -> Result<Self, Error> {
         file::load(path, Self::out_of_range)
     }
 
-    /// Parses and checks the text of a settings file; `name` is told in errors.
+    /// Parses and validates the text of a settings file; errors name it as `name`.
     ///
     /// # Errors
     ///
--- a/components/settings/src/lib.rs
+++ b/components/settings/src/lib.rs
@@ -1,6 +1,7 @@
-//! Settings of a process (TOML file) and the settings tree of the operators.
+//! Settings files of daemons and gateways (TOML), and the settings tree that operators change at run
+//! time.
 //!
-//! Both are checked whole before anything uses them. Every key is listed in `docs/SETTINGS.md`.
+//! Both are validated completely before any value is used. Every key is listed in `docs/SETTINGS.md`.
 
 pub mod daemon;
 pub mod file;
--- a/components/settings/src/tree/check.rs
+++ b/components/settings/src/tree/check.rs
@@ -1,11 +1,11 @@
-//! Checks of a whole tree, made before a change is committed.
+//! Validates a whole tree before a change is committed.
 
 use super::{
     Node, Problem, Tree,
     schema::{self, Kind},
 };
 
-/// All problems of a tree; none when it may be committed.
+/// Finds all problems of a tree; it may be committed if there are none.
 #[must_use]
 pub fn problems(tree: &Tree) -> Vec<Problem> {
     let mut problems = Vec::new();
@@ -74,7 +74,7 @@
             {
                 require_node("models", format!("model/{}", model.trim()));
             }
-            // a group without its parent would inherit from nobody
+            // a group whose parent does not exist would have nothing to inherit from
             if let Some((parent, _)) = node.path.rsplit_once('/')
                 && parent.contains('/')
             {
--- a/components/settings/src/tree/mod.rs
+++ b/components/settings/src/tree/mod.rs
@@ -1,7 +1,7 @@
-//! The settings tree: nodes with values, groups that inherit, checks of a whole change.
+//! The settings tree: nodes with values, inheritance between groups, and atomic changes.
 //!
-//! See `docs/SETTINGS.md#the-tree`. A node's path starts with its kind (`group/soils/field`); the
-//! text of each value is typed by [`schema`].
+//! See `docs/SETTINGS.md#the-tree`. The path of a node starts with its kind (`group/soils/field`). Values
+//! are stored as text; [`schema`] defines the type of each.
 
 pub mod check;
 pub mod resolve;
@@ -10,17 +10,17 @@
 use derive_more::{Display, Error};
 use serde::{Deserialize, Serialize};
 
-/// One node with its own values, sorted by key.
+/// A node with the values set on it, sorted by key.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Node {
     /// Kind and name, joined by `/`.
     pub path: String,
-    /// The values set on this node itself.
+    /// Values set on this node itself, without inherited ones.
     pub values: Vec<(String, String)>,
 }
 
 impl Node {
-    /// The value set on this node itself.
+    /// The value set on this node itself, without inheritance.
     #[must_use]
     pub fn value(&self, key: &str) -> Option<&str> {
         self.values
@@ -30,10 +30,10 @@
     }
 }
 
-/// One step of a change.
+/// A single edit of a change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Edit {
-    /// Sets a value; makes the node when there is none.
+    /// Sets a value; creates the node if it does not exist.
     Set {
         /// Path of the node.
         path: String,
@@ -42,14 +42,14 @@
         /// The new value.
         value: String,
     },
-    /// Takes a value away, so that the inherited one or the default holds.
+    /// Removes a value, so that the inherited one or the default applies.
     Unset {
         /// Path of the node.
         path: String,
         /// Key of the value.
         key: String,
     },
-    /// Takes a node away with its values.
+    /// Removes a node with its values.
     Remove {
         /// Path of the node.
         path: String,
@@ -57,7 +57,7 @@
 }
 
 impl Edit {
-    /// The node that the step touches.
+    /// Path of the node that is edited.
     #[must_use]
     pub fn path(&self) -> &str {
         match self {
@@ -66,20 +66,20 @@
     }
 }
 
-/// An accepted change, as the table keeps it.
+/// An accepted change, as stored in the table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
-    /// The version that this change made.
+    /// Version of the tree that this change produced.
     pub version: u64,
-    /// Who made it, as the operator's client said.
+    /// Name of the operator, as reported by the client.
     pub operator: String,
-    /// The steps.
+    /// The edits, in order.
     pub edits: Vec<Edit>,
-    /// The write's own token, to tell after a lost answer whether it took effect.
+    /// Random token of the write; shows whether it took effect if the answer of the table was lost.
     pub token: u64,
 }
 
-/// Why a change is refused. Nothing was committed.
+/// Why a change was rejected. Nothing was committed.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum Problem {
     /// The path does not start with a known kind, or has the wrong number of parts.
@@ -96,7 +96,7 @@
         /// The key.
         key: String,
     },
-    /// The value is not of the key's type or out of its range.
+    /// The value has the wrong type or is out of range.
     #[display("{path}: {key} = {value:?} is not {wanted}")]
     InvalidValue {
         /// Path of the node.
@@ -105,7 +105,7 @@
         key: String,
         /// The value.
         value: String,
-        /// The type, unit and range.
+        /// Expected type, unit and range.
         wanted: String,
     },
     /// A required value is missing.
@@ -116,30 +116,30 @@
         /// The key.
         key: String,
     },
-    /// A value names a node that does not exist.
+    /// A value refers to a node that does not exist.
     #[display("{path}: {key} names {target}, which does not exist")]
     DanglingReference {
         /// Path of the node.
         path: String,
         /// The key.
         key: String,
-        /// The node that is named.
+        /// Path of the node that is referred to.
         target: String,
     },
-    /// The node to change does not exist.
+    /// The node to edit does not exist.
     #[display("{path} does not exist")]
     NodeNotFound {
         /// Path of the node.
         path: String,
     },
-    /// Two nodes claim what only one may have.
+    /// Two nodes claim something that only one may have.
     #[display("{path}: {what} is already that of {other}")]
     AlreadyClaimed {
         /// Path of the node.
         path: String,
         /// What is claimed.
         what: String,
-        /// Who has it.
+        /// Path of the other node that claims it.
         other: String,
     },
 }
@@ -147,14 +147,14 @@
 /// One version of the tree, sorted by path.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tree {
-    /// The version; each accepted change adds one.
+    /// Version number; each accepted change increases it by one.
     pub version: u64,
     /// The nodes, sorted by path.
     pub nodes: Vec<Node>,
 }
 
 impl Tree {
-    /// A tree from nodes in any order.
+    /// Builds a tree from nodes in any order.
     #[must_use]
     pub fn new(version: u64, mut nodes: Vec<Node>) -> Self {
         for node in &mut nodes {
@@ -170,7 +170,7 @@
         self.position(path).ok().map(|index| &self.nodes[index])
     }
 
-    /// All nodes of a kind, with the path after the kind.
+    /// All nodes of a kind, each with the rest of its path.
     pub fn nodes_of_kind<'a>(&'a self, kind: &'a str) -> impl Iterator<Item = (&'a str, &'a Node)> {
         self.nodes.iter().filter_map(move |node| {
             let rest = node.path.strip_prefix(kind)?.strip_prefix('/')?;
@@ -178,7 +178,7 @@
         })
     }
 
-    /// The value at a path, or the one inherited from a parent group.
+    /// The value set at a path or, for a group, on its nearest ancestor that has one.
     #[must_use]
     pub fn effective_value(&self, path: &str, key: &str) -> Option<&str> {
         let mut current = path;
@@ -186,7 +186,7 @@
             if let Some(value) = self.node(current).and_then(|node| node.value(key)) {
                 return Some(value);
             }
-            // the kind itself is no node
+            // the kind alone is not the path of a node
             current = match current.rsplit_once('/') {
                 Some((parent, _)) if parent.contains('/') && path.starts_with("group/") => parent,
                 _ => return None,
@@ -194,11 +194,12 @@
         }
     }
 
-    /// The tree after a change, one version on; the whole of it is checked.
+    /// Applies a change and returns the tree of the next version, which is validated as a whole.
     ///
     /// # Errors
     ///
-    /// All [`Problem`]s of the change; the tree stays as it is.
+    /// All [`Problem`]s of the resulting tree, or the one of the first edit of a node that does not exist.
+    /// This tree stays unchanged.
     pub fn apply(&self, edits: &[Edit]) -> Result<Self, Vec<Problem>> {
         let mut next = self.clone();
         next.version += 1;
--- a/components/settings/src/tree/resolve.rs
+++ b/components/settings/src/tree/resolve.rs
@@ -1,4 +1,4 @@
-//! One version of the tree in typed form, with what groups inherit worked out.
+//! Typed form of one version of the tree, with inheritance and defaults resolved.
 
 use std::{fmt::Write as _, net::SocketAddr, time::Duration};
 
@@ -7,40 +7,40 @@
 
 use super::{Tree, schema};
 
-/// A group with its own and inherited values.
+/// A group, with inherited values filled in.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Group {
     /// Path below `group/`.
     pub name: String,
-    /// Index of the parent among the groups; none at the top.
+    /// Index of the parent in [`ResolvedTree::groups`]; `None` for a top-level group.
     pub parent: Option<usize>,
-    /// Share against its siblings.
+    /// Weight relative to its siblings.
     pub share: u32,
-    /// Priority of a request that names none, and the highest it may name.
+    /// Default priority of requests, and the highest that a request may ask for.
     pub priority: (u8, u8),
-    /// Deadline of a request that names none, and the longest it may name.
+    /// Default deadline of requests, and the longest that a request may ask for.
     pub deadline: (Duration, Duration),
-    /// Longest wait for a turn.
+    /// Maximum time that a request waits in the queue; one that would wait longer is refused at once.
     pub max_queue_time: Duration,
-    /// Models it may use; all when empty. Sorted.
+    /// Names of the models it may use, sorted; empty means all.
     pub models: Vec<String>,
 }
 
-/// What stands behind a service.
+/// The type of back end of a service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServiceKind {
     /// Language-model engines.
     Engines,
-    /// Plain services, passed through whole.
+    /// Plain services, to which whole requests are forwarded.
     Plain,
 }
 
-/// Whether a request may run twice.
+/// Whether a failed request may be retried, so that it may run twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryPolicy {
-    /// A failed try may be followed by another.
+    /// A failed attempt may be retried.
     Allowed,
-    /// One try, ever.
+    /// At most one attempt.
     Never,
 }
 
@@ -49,18 +49,18 @@
 pub struct Service {
     /// Path below `service/`.
     pub name: String,
-    /// What stands behind it.
+    /// Type of its back end.
     pub kind: ServiceKind,
-    /// Whether its requests may run twice.
+    /// Whether its requests may be retried.
     pub retry_policy: RetryPolicy,
-    /// Path prefixes whose requests may not be repeated.
+    /// Path prefixes whose requests may never be retried.
     pub no_retry_prefixes: Vec<String>,
-    /// How long claims are kept.
+    /// How long claims of idempotency keys are kept.
     pub retention: Duration,
 }
 
 impl Service {
-    /// Whether a request to a path of this service may run twice.
+    /// Whether a request to a path of this service may be retried.
     #[must_use]
     pub fn retry_policy_for(&self, path: &str) -> RetryPolicy {
         match self.retry_policy {
@@ -77,20 +77,20 @@
     }
 }
 
-/// An endpoint: an engine or a plain service's instance.
+/// An endpoint: an engine or an instance of a plain service.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Endpoint {
-    /// Its data centre.
+    /// Data centre that it is in.
     pub data_centre: String,
-    /// Its number, unique in its data centre.
+    /// Number, unique in its data centre.
     pub number: u32,
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
-    /// Its service.
+    /// Name of its service.
     pub service: String,
     /// Whether operators have drained it.
     pub drain: bool,
-    /// Whether it refuses orders with an old fencing number.
+    /// Whether it rejects orders with an outdated fencing number.
     pub fences: bool,
 }
 
@@ -99,48 +99,51 @@
 pub struct Model {
     /// Path below `model/`.
     pub name: String,
-    /// The service whose engines run it.
+    /// Name of the service whose engines run it.
     pub service: String,
-    /// The adapter.
+    /// Adapter that its requests use.
     pub adapter: String,
-    /// The version.
+    /// Version of the model that its requests use.
     pub version: String,
 }
 
-/// Settings of the stewards.
+/// Settings for the stewards' role changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Fleet {
-    /// Whether stewards change roles by themselves.
+    /// Whether stewards change roles automatically.
     pub adaptive: bool,
-    /// Most changes an hour.
+    /// Maximum number of role changes per hour in a service and data centre.
     pub max_role_changes_per_hour: u32,
-    /// Engines of each phase that stay.
+    /// Minimum number of engines for each phase, whatever the traffic.
     pub min_engines_per_role: u32,
-    /// How far ahead the gain of a change is counted.
+    /// Time ahead over which the gain of a role change is estimated.
     pub horizon: Duration,
 }
 
-/// One version of the settings, typed. Vectors are sorted by name.
+/// Typed form of one version of the tree.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ResolvedTree {
-    /// The version.
+    /// Version number of the tree.
     pub version: u64,
-    /// Groups by name, parents before children.
+    /// Groups, sorted by name: parents come before their children.
     pub groups: Vec<Group>,
-    /// Digests of callers' keys with the index of their group.
+    /// SHA-256 digests of the callers' keys, each with the index of its group, sorted.
     caller_keys: Vec<([u8; 32], usize)>,
-    /// Models by name.
+    /// Models, sorted by name.
     pub models: Vec<Model>,
-    /// Services by name.
+    /// Services, sorted by name.
     pub services: Vec<Service>,
-    /// Endpoints by data centre and number.
+    /// Endpoints, sorted by data centre and number.
     pub endpoints: Vec<Endpoint>,
-    /// The stewards' settings.
+    /// Settings for the stewards' role changes.
     pub fleet: Fleet,
 }
 
 impl ResolvedTree {
-    /// Types a checked tree. A value that does not parse takes its default.
+    /// Resolves a tree that has passed [`check::problems`](super::check::problems).
+    ///
+    /// A value that does not parse becomes zero, 1 for a share, or the default variant of its type. An
+    /// endpoint whose number or address does not parse is left out.
     #[must_use]
     pub fn new(tree: &Tree) -> Self {
         let groups = groups(tree);
@@ -167,11 +170,11 @@
         }
     }
 
-    /// The index of the group whose caller has this key. Each digest is compared in constant time.
+    /// Index of the group that a caller's key belongs to. The digests are compared in constant time.
     #[must_use]
     pub fn group_for_key(&self, key: &str) -> Option<usize> {
         let digest: [u8; 32] = Sha256::digest(key.as_bytes()).into();
-        // the search leaks no more than the digest's order, which the caller can't steer
+        // the timing of the search reveals only how the digest sorts, which a caller cannot control
         let index = self
             .caller_keys
             .partition_point(|(other, _)| *other < digest);
@@ -251,7 +254,7 @@
                 parent: name
                     .rsplit_once('/')
                     .and_then(|(parent, _)| paths.binary_search(&parent).ok()),
-                // a share is a group's own: a child does not weigh as its parent does
+                // shares are not inherited: the weight of the parent does not apply among its children
                 share: node
                     .value("share")
                     .and_then(|v| v.parse().ok())
@@ -282,7 +285,7 @@
     keys
 }
 
-/// The bytes of a SHA-256 digest in hexadecimal.
+/// Parses a SHA-256 digest in hexadecimal.
 #[must_use]
 pub fn parse_digest(hex: &str) -> Option<[u8; 32]> {
     let mut digest = [0; 32];
@@ -307,7 +310,7 @@
 pub fn secret_digest(secret: &str) -> String {
     let digest: [u8; 32] = Sha256::digest(secret.as_bytes()).into();
     digest.iter().fold(String::new(), |mut hex, byte| {
-        // writing into memory does not fail
+        // writing to a `String` cannot fail
         let _ = write!(hex, "{byte:02x}");
         hex
     })
--- a/components/settings/src/tree/schema.rs
+++ b/components/settings/src/tree/schema.rs
@@ -1,21 +1,21 @@
-//! The keys of each kind of node, with type, default and range.
+//! Schema of the settings tree: the keys of each kind of node, with type, range and default.
 //!
-//! `docs/SETTINGS.md` lists the same; a test keeps the two equal.
+//! `docs/SETTINGS.md` lists the same keys; a test compares the two.
 
 /// The type of a value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Type {
-    /// A whole number in a range.
+    /// A whole number between a minimum and a maximum.
     Number(u64, u64),
     /// `true` or `false`.
     Bool,
-    /// A time such as `3s`, at least and at most so many milliseconds.
+    /// A duration such as `3s`, between a minimum and a maximum in milliseconds.
     Duration(u64, u64),
-    /// One of the words given.
+    /// One of the listed words.
     OneOf(&'static [&'static str]),
-    /// Any text of at least one character.
+    /// Any text that is not blank.
     Text,
-    /// An IP number and port.
+    /// An IP address and port.
     Address,
     /// SHA-256 digests in hexadecimal, separated by commas.
     Digests,
@@ -23,29 +23,29 @@
     Names,
 }
 
-/// One key of a kind of node.
+/// A key of a kind of node.
 #[derive(Clone, Copy, Debug)]
 pub struct Key {
     /// Its name.
     pub name: &'static str,
-    /// Its type, with unit and range.
+    /// Type and range of its value.
     pub value_type: Type,
-    /// Its default, in the text form; none where the key must be set or may be absent.
+    /// Default value as text; `None` if the key is required, or optional without a default.
     pub default: Option<&'static str>,
-    /// Whether the node is refused without it.
+    /// Whether every node of the kind must set it.
     pub required: bool,
-    /// What it is for, in one sentence.
+    /// Description for operators, in one sentence.
     pub description: &'static str,
 }
 
 /// A kind of node.
 #[derive(Clone, Copy, Debug)]
 pub struct Kind {
-    /// First part of the path.
+    /// First segment of the path.
     pub name: &'static str,
-    /// How many parts may follow it.
+    /// Minimum and maximum number of path segments after it.
     pub depth: (usize, usize),
-    /// Its keys, sorted by name.
+    /// Keys of the nodes, sorted by name.
     pub keys: &'static [Key],
 }
 
@@ -242,7 +242,7 @@
     },
 ];
 
-/// The kind of the node at a path, when the path is well formed.
+/// The kind of the node at a path; `None` if the kind is unknown or the path malformed.
 #[must_use]
 pub fn kind_of(path: &str) -> Option<&'static Kind> {
     let mut parts = path.split('/');
@@ -271,7 +271,7 @@
 }
 
 impl Type {
-    /// Whether a text is a value of this type.
+    /// Whether a text is a valid value of this type.
     #[must_use]
     pub fn accepts(self, value: &str) -> bool {
         match self {
--- a/components/settings/tests/pages.rs
+++ b/components/settings/tests/pages.rs
@@ -1,4 +1,4 @@
-//! `docs/SETTINGS.md` and the samples must be true.
+//! `docs/SETTINGS.md` must list the keys that the code accepts, and the sample files must be valid.
 
 use std::path::{Path, PathBuf};
 
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn the_page_lists_each_key_of_the_tree_and_no_other() {
+fn settings_page_lists_exactly_the_keys_of_the_tree() {
     let page = std::fs::read_to_string(root().join("docs/SETTINGS.md")).expect("the page");
     let tree = page.split("## The tree").nth(1).expect("the tree's part");
     let listed: Vec<&str> = tree
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn the_page_lists_each_key_of_a_daemons_file() {
+fn settings_page_lists_every_key_of_a_daemon_file() {
     let page = std::fs::read_to_string(root().join("docs/SETTINGS.md")).expect("the page");
     let code = std::fs::read_to_string(root().join("components/settings/src/daemon/mod.rs"));
     let code = code.expect("the code");
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn the_samples_are_accepted() {
+fn sample_files_are_valid() {
     for site in ["association", "thrystivakt"] {
         let path = root().join("examples").join(site).join("daemon.toml");
         if let Err(error) = Settings::load(&path) {
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn an_error_names_file_line_and_key() {
+fn parse_error_names_file_line_and_key() {
     let error = Settings::parse("[daemon]\nname = \"x\"\ncolour = 1\n", "entry.toml");
     let text = error.expect_err("refused").to_string();
     for part in ["entry.toml", "line 3", "colour"] {
--- a/components/settings/tests/tree.rs
+++ b/components/settings/tests/tree.rs
@@ -1,4 +1,4 @@
-//! The tree: inheritance, checks, changes.
+//! The settings tree: inheritance, validation and changes.
 
 use proptest::prelude::*;
 use settings::tree::{Edit, Node, Problem, Tree, check, resolve};
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_group_inherits_unless_it_overrides_and_its_share_is_its_own() {
+fn groups_inherit_values_but_not_shares() {
     let tree = Tree::default()
         .apply(&[
             set("group/soils", "deadline", "5s"),
@@ -20,7 +20,7 @@
             set("group/soils/field", "priority", "6"),
             set("group/soils/lab", "deadline", "9s"),
         ])
-        .expect("fine");
+        .expect("valid change");
     let resolved = resolve::ResolvedTree::new(&tree);
     let seconds: Vec<u64> = resolved
         .groups
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_wrong_change_is_refused_whole_with_every_problem() {
+fn invalid_change_is_rejected_with_all_its_problems() {
     let edits = [
         set("group/a", "share", "0"),
         set("group/b/c", "share", "1"),
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn problems_are_told_in_the_operators_terms() {
+fn problem_messages_name_path_key_and_value() {
     let edits = [
         set("group/a", "deadline", "soon"),
         set("model/m", "service", "s"),
@@ -82,11 +82,11 @@
 }
 
 #[test]
-fn a_callers_key_belongs_to_one_group() {
+fn caller_key_belongs_to_only_one_group() {
     let digest = resolve::secret_digest("k");
     let tree = Tree::default()
         .apply(&[set("group/a", "keys", &digest)])
-        .expect("fine");
+        .expect("valid change");
     let resolved = resolve::ResolvedTree::new(&tree);
     assert_eq!(
         (resolved.group_for_key("k"), resolved.group_for_key("K")),
@@ -94,24 +94,24 @@
     );
     let problems = tree
         .apply(&[set("group/b", "keys", &digest)])
-        .expect_err("taken");
+        .expect_err("key already claimed");
     assert!(matches!(problems[0], Problem::AlreadyClaimed { .. }));
 }
 
 proptest! {
     #[test]
-    fn a_change_goes_up_by_one_and_holds(share in 1_u32..1_000_000, name in "[a-z]{1,8}") {
+    fn change_increments_version_and_takes_effect(share in 1_u32..1_000_000, name in "[a-z]{1,8}") {
         let path = format!("group/{name}");
-        let tree = Tree::default().apply(&[set(&path, "share", &share.to_string())]).expect("fine");
+        let tree = Tree::default().apply(&[set(&path, "share", &share.to_string())]).expect("valid change");
         prop_assert_eq!(tree.version, 1);
         prop_assert_eq!(resolve::ResolvedTree::new(&tree).groups[0].share, share);
-        let removed = tree.apply(&[Edit::Remove { path }]).expect("fine");
+        let removed = tree.apply(&[Edit::Remove { path }]).expect("valid change");
         prop_assert_eq!(removed.version, 2);
         prop_assert!(removed.nodes.is_empty());
     }
 
     #[test]
-    fn any_texts_are_checked_without_a_panic(path in ".{0,40}", key in ".{0,20}", value in ".{0,40}") {
+    fn arbitrary_text_does_not_panic(path in ".{0,40}", key in ".{0,20}", value in ".{0,40}") {
         let node = Node { path, values: vec![(key, value)] };
         let tree = Tree::new(1, vec![node]);
         let _ = check::problems(&tree);
