--- a/components/call/src/body.rs
+++ b/components/call/src/body.rs
@@ -9,12 +9,12 @@
 
 /// Why a body was not read whole.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
-pub enum Unread {
+pub enum BodyError {
     /// It is larger than is taken.
-    #[display("larger than {most} bytes")]
+    #[display("larger than {max_bytes} bytes")]
     TooLarge {
-        /// The most that is taken, in bytes.
-        most: usize,
+        /// The max_bytes that is taken, in bytes.
+        max_bytes: usize,
     },
     /// It broke off, or nothing more came.
     #[display("ended after {bytes} bytes")]
@@ -24,7 +24,7 @@
     },
 }
 
-/// Reads a body whole, however long that takes, as long as no pause in it is longer than `silence`.
+/// Reads a body whole, however long that takes, as long as no pause in it is longer than `idle_timeout`.
 ///
 /// How long a body takes follows from its size and the link, which nobody bounds. A bound on the whole time throws
 /// away what has come and asks for it again: a configuration of 680 KB over 10 Mbit/s never came within 600 ms, and
@@ -32,29 +32,33 @@
 ///
 /// # Errors
 ///
-/// [`Unread`] when it is larger than `most` bytes, breaks off or falls silent.
-pub async fn whole<B>(body: B, most: usize, silence: Duration) -> Result<Bytes, Unread>
+/// [`BodyError`] when it is larger than `max_bytes` bytes, breaks off or falls silent.
+pub async fn read_body<B>(
+    body: B,
+    max_bytes: usize,
+    idle_timeout: Duration,
+) -> Result<Bytes, BodyError>
 where
     B: Body<Data = Bytes> + Unpin,
 {
-    // a length that is announced is believed, so that nothing of what is too large is read
-    let announced = usize::try_from(body.size_hint().lower()).unwrap_or(usize::MAX);
-    if announced > most {
-        return Err(Unread::TooLarge { most });
+    // a length that is content_length is believed, so that nothing of what is too large is read
+    let content_length = usize::try_from(body.size_hint().lower()).unwrap_or(usize::MAX);
+    if content_length > max_bytes {
+        return Err(BodyError::TooLarge { max_bytes });
     }
     let mut body = body;
-    let mut bytes = BytesMut::with_capacity(announced);
+    let mut bytes = BytesMut::with_capacity(content_length);
     loop {
-        let partial = Unread::Partial { bytes: bytes.len() };
-        let frame = match tokio::time::timeout(silence, body.frame()).await {
+        let partial = BodyError::Partial { bytes: bytes.len() };
+        let frame = match tokio::time::timeout(idle_timeout, body.frame()).await {
             Ok(Some(Ok(frame))) => frame,
             Ok(None) => return Ok(bytes.freeze()),
             Ok(Some(Err(_))) | Err(_) => return Err(partial),
         };
         // trailers carry nothing that is read
         let data = frame.into_data().unwrap_or_default();
-        if bytes.len() + data.len() > most {
-            return Err(Unread::TooLarge { most });
+        if bytes.len() + data.len() > max_bytes {
+            return Err(BodyError::TooLarge { max_bytes });
         }
         bytes.extend_from_slice(&data);
     }
--- a/components/call/src/headers/mod.rs
+++ b/components/call/src/headers/mod.rs
@@ -21,7 +21,7 @@
 /// The headers of the message, without those of the connection.
 #[must_use]
 pub fn end_to_end(headers: &HeaderMap) -> HeaderMap {
-    let named: Vec<String> = headers
+    let connection_options: Vec<String> = headers
         .get_all(header::CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
@@ -30,7 +30,9 @@
         .collect();
     headers
         .iter()
-        .filter(|(name, _)| !HOP_BY_HOP.contains(name) && !named.iter().any(|n| n == name.as_str()))
+        .filter(|(name, _)| {
+            !HOP_BY_HOP.contains(name) && !connection_options.iter().any(|n| n == name.as_str())
+        })
         .map(|(name, value)| (name.clone(), value.clone()))
         .collect()
 }
--- a/components/call/src/lib.rs
+++ b/components/call/src/lib.rs
@@ -5,7 +5,7 @@
 
 use std::{net::SocketAddr, time::Duration};
 
-pub use body::{Unread, whole};
+pub use body::{BodyError, read_body};
 use bytes::Bytes;
 use derive_more::{Display, Error};
 use http_body_util::Full;
@@ -30,11 +30,11 @@
     Lost,
     /// The answer could not be read; there may have been an effect.
     #[display("the answer could not be read")]
-    Garbage,
+    Malformed,
 }
 
 /// The largest answer that is read, in bytes.
-const ANSWER_BYTES: usize = 64 << 20;
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
 /// A client for JSON calls, with its pool of connections.
 #[derive(Clone, Debug)]
@@ -50,30 +50,30 @@
 
 /// How long a silent peer is waited for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bounds {
+pub struct Timeouts {
     /// A new connection may take this long.
     pub connect: Duration,
     /// What was sent may stay unacknowledged this long.
     pub unacknowledged: Duration,
-    /// After this silence the system asks an open connection's peer for a sign of life, and so often
+    /// After this idle_timeout the system asks an open connection's peer for a sign of life, and so often
     /// again.
-    pub probe: Duration,
+    pub keepalive_interval: Duration,
 }
 
 /// Probes without an answer that break a connection.
-const PROBES: u32 = 3;
+const KEEPALIVE_RETRIES: u32 = 3;
 
 impl Client {
-    /// A client that notices a silent peer within bounds.
+    /// A client that notices a silent peer within timeouts.
     #[must_use]
-    pub fn bounded(bounds: Bounds) -> Self {
+    pub fn with_timeouts(timeouts: Timeouts) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
-        connector.set_connect_timeout(Some(bounds.connect));
-        connector.set_keepalive(Some(bounds.probe));
-        connector.set_keepalive_interval(Some(bounds.probe));
-        connector.set_keepalive_retries(Some(PROBES));
-        connector.set_tcp_user_timeout(Some(bounds.unacknowledged));
+        connector.set_connect_timeout(Some(timeouts.connect));
+        connector.set_keepalive(Some(timeouts.keepalive_interval));
+        connector.set_keepalive_interval(Some(timeouts.keepalive_interval));
+        connector.set_keepalive_retries(Some(KEEPALIVE_RETRIES));
+        connector.set_tcp_user_timeout(Some(timeouts.unacknowledged));
         Self(legacy::Client::builder(TokioExecutor::new()).build(connector))
     }
 
@@ -95,8 +95,8 @@
         })
     }
 
-    /// Posts a JSON body and reads a JSON answer: its head within `silence`, and its body whole as long as it goes
-    /// on coming, see [`whole`].
+    /// Posts a JSON body and reads a JSON answer: its head within `idle_timeout`, and its body whole as long as it goes
+    /// on coming, see [`read_body`].
     ///
     /// # Errors
     ///
@@ -106,7 +106,7 @@
         address: SocketAddr,
         path: &str,
         body: &B,
-        silence: Duration,
+        idle_timeout: Duration,
     ) -> Result<A, Error> {
         let body = serde_json::to_vec(body).map_err(|_| Error::NotSent)?;
         let request = Request::builder()
@@ -115,16 +115,16 @@
             .header(header::CONTENT_TYPE, "application/json")
             .body(Full::new(Bytes::from(body)))
             .map_err(|_| Error::NotSent)?;
-        let response = tokio::time::timeout(silence, self.send(request))
+        let response = tokio::time::timeout(idle_timeout, self.send(request))
             .await
             .unwrap_or(Err(Error::Lost))?;
         let status = response.status();
         if !status.is_success() {
             return Err(Error::Status(status.as_u16()));
         }
-        let bytes = whole(response.into_body(), ANSWER_BYTES, silence)
+        let bytes = read_body(response.into_body(), MAX_RESPONSE_BYTES, idle_timeout)
             .await
             .map_err(|_| Error::Lost)?;
-        serde_json::from_slice(&bytes).map_err(|_| Error::Garbage)
+        serde_json::from_slice(&bytes).map_err(|_| Error::Malformed)
     }
 }
--- a/components/caller/src/exchange.rs
+++ b/components/caller/src/exchange.rs
@@ -17,7 +17,7 @@
     /// It has come whole, and nothing of its answer has been sent.
     Waiting,
     /// Its answer is being sent.
-    Answering,
+    Responding,
 }
 
 /// A request under way on a connection.
@@ -51,18 +51,18 @@
 pub struct Exchange {
     state: Mutex<State>,
     /// Attempts in which the last request may have run; also known when it is over.
-    runs: AtomicU32,
+    executions: AtomicU32,
 }
 
 #[derive(Debug)]
 struct State {
     request: Option<Request>,
     /// Since when no request has been under way.
-    idle: Instant,
+    idle_since: Instant,
     /// When the first bytes of the next head came.
-    head: Option<Instant>,
+    head_since: Option<Instant>,
     /// Requests so far.
-    count: u64,
+    requests: u64,
 }
 
 impl Default for Exchange {
@@ -78,11 +78,11 @@
         Self {
             state: Mutex::new(State {
                 request: None,
-                idle: Instant::now(),
-                head: None,
-                count: 0,
+                idle_since: Instant::now(),
+                head_since: None,
+                requests: 0,
             }),
-            runs: AtomicU32::new(0),
+            executions: AtomicU32::new(0),
         }
     }
 
@@ -90,34 +90,34 @@
     #[must_use]
     pub fn wait(&self) -> Wait {
         let state = self.state.lock();
-        match (&state.request, state.head) {
+        match (&state.request, state.head_since) {
             (Some(_), _) => Wait::Request,
             (None, Some(since)) => Wait::Head(since),
-            (None, None) => Wait::Idle(state.idle),
+            (None, None) => Wait::Idle(state.idle_since),
         }
     }
 
     /// Whether it has had a request.
     #[must_use]
     pub fn is_used(&self) -> bool {
-        self.state.lock().count > 0
+        self.state.lock().requests > 0
     }
 
     /// Notes that bytes were received.
     pub fn received_bytes(&self) {
         let mut state = self.state.lock();
         if state.request.is_none() {
-            state.head.get_or_insert_with(Instant::now);
+            state.head_since.get_or_insert_with(Instant::now);
         }
     }
 
     /// Notes a request whose head has come.
     #[must_use]
-    pub fn begin(self: &Arc<Self>, id: &str, version: Version, arrived: Instant) -> Open {
-        self.runs.store(0, Ordering::Relaxed);
+    pub fn begin(self: &Arc<Self>, id: &str, version: Version, arrived: Instant) -> ExchangeGuard {
+        self.executions.store(0, Ordering::Relaxed);
         let mut state = self.state.lock();
-        state.count += 1;
-        state.head = None;
+        state.requests += 1;
+        state.head_since = None;
         state.request = Some(Request {
             id: id.to_owned(),
             arrived,
@@ -126,12 +126,12 @@
             endpoint: None,
         });
         drop(state);
-        Open(Arc::clone(self))
+        ExchangeGuard(Arc::clone(self))
     }
 
     /// The request that is under way.
     #[must_use]
-    pub fn under_way(&self) -> Option<Request> {
+    pub fn in_flight(&self) -> Option<Request> {
         self.state.lock().request.clone()
     }
 
@@ -144,7 +144,7 @@
 
     /// Whether the caller may be sent an interim response now: it understands those, and its answer has not begun.
     #[must_use]
-    pub fn takes_interim(&self) -> bool {
+    pub fn accepts_interim_response(&self) -> bool {
         let state = self.state.lock();
         state.request.as_ref().is_some_and(|request| {
             request.stage == Stage::Waiting && request.version == Version::HTTP_11
@@ -153,16 +153,16 @@
 
     /// Whether the last request may have run.
     #[must_use]
-    pub fn may_have_run(&self) -> bool {
-        self.runs.load(Ordering::Relaxed) > 0
+    pub fn may_have_executed(&self) -> bool {
+        self.executions.load(Ordering::Relaxed) > 0
     }
 
     /// Notes that bytes of the answer were sent.
-    pub fn sent(&self) {
+    pub fn sent_bytes(&self) {
         if let Some(request) = &mut self.state.lock().request {
             request.stage = match request.stage {
                 Stage::Receiving => Stage::Receiving,
-                Stage::Waiting | Stage::Answering => Stage::Answering,
+                Stage::Waiting | Stage::Responding => Stage::Responding,
             };
         }
     }
@@ -170,23 +170,25 @@
 
 /// A request under way. It is over when this is dropped: answered whole, or given up with its connection.
 #[derive(Debug)]
-pub struct Open(Arc<Exchange>);
+pub struct ExchangeGuard(Arc<Exchange>);
 
-impl Open {
+impl ExchangeGuard {
     /// Notes that the request has come whole.
     pub fn received(&self) {
         self.with(|request| request.stage = Stage::Waiting);
     }
 
     /// Notes that the request is sent to an endpoint, and whether to be run there.
-    pub fn passed_on(&self, endpoint: &Arc<str>, runs: bool) {
-        self.0.runs.fetch_add(u32::from(runs), Ordering::Relaxed);
+    pub fn forwarded(&self, endpoint: &Arc<str>, executes: bool) {
+        self.0
+            .executions
+            .fetch_add(u32::from(executes), Ordering::Relaxed);
         self.with(|request| request.endpoint = Some(Arc::clone(endpoint)));
     }
 
     /// Notes that an attempt to have the request run has certainly not done so.
-    pub fn not_run(&self) {
-        self.0.runs.fetch_sub(1, Ordering::Relaxed);
+    pub fn not_executed(&self) {
+        self.0.executions.fetch_sub(1, Ordering::Relaxed);
     }
 
     fn with(&self, change: impl FnOnce(&mut Request)) {
@@ -196,10 +198,10 @@
     }
 }
 
-impl Drop for Open {
+impl Drop for ExchangeGuard {
     fn drop(&mut self) {
         let mut state = self.0.state.lock();
         state.request = None;
-        state.idle = Instant::now();
+        state.idle_since = Instant::now();
     }
 }
--- a/components/caller/src/socket.rs
+++ b/components/caller/src/socket.rs
@@ -22,12 +22,12 @@
 use crate::{Exchange, Stage};
 
 /// What a caller that may have left is sent. HTTP/1.1 callers read interim responses and go on waiting.
-const INTERIM: &[u8] = b"HTTP/1.1 102 Processing\r\n\r\n";
+const INTERIM_RESPONSE: &[u8] = b"HTTP/1.1 102 Processing\r\n\r\n";
 /// Between the end of what a caller sends and the first look whether it has left: a few times the way there and back.
-const FIRST_LOOK: Duration = Duration::from_millis(10);
+const FIRST_CHECK_DELAY: Duration = Duration::from_millis(10);
 /// Each further look comes after twice the time, up to this: operators grant half a second to notice that a caller has
 /// left.
-const MOST_BETWEEN: Duration = Duration::from_millis(160);
+const MAX_CHECK_INTERVAL: Duration = Duration::from_millis(160);
 
 /// A caller's socket.
 #[derive(Debug)]
@@ -37,28 +37,28 @@
     /// Set once the caller sends nothing any more.
     half_closed: Option<HalfClosed>,
     /// Whether the last write found no room.
-    blocked: bool,
+    write_blocked: bool,
 }
 
 #[derive(Debug)]
 struct HalfClosed {
-    look: Pin<Box<Sleep>>,
-    between: Duration,
+    check: Pin<Box<Sleep>>,
+    interval: Duration,
 }
 
 impl HalfClosed {
     fn new() -> Self {
         Self {
-            look: Box::pin(tokio::time::sleep(FIRST_LOOK)),
-            between: FIRST_LOOK,
+            check: Box::pin(tokio::time::sleep(FIRST_CHECK_DELAY)),
+            interval: FIRST_CHECK_DELAY,
         }
     }
 
     /// Waits for the next look.
-    fn poll_look(&mut self, cx: &mut Context<'_>) -> Poll<()> {
-        ready!(self.look.as_mut().poll(cx));
-        self.between = (self.between * 2).min(MOST_BETWEEN);
-        self.look.as_mut().reset(Instant::now() + self.between);
+    fn poll_check(&mut self, cx: &mut Context<'_>) -> Poll<()> {
+        ready!(self.check.as_mut().poll(cx));
+        self.interval = (self.interval * 2).min(MAX_CHECK_INTERVAL);
+        self.check.as_mut().reset(Instant::now() + self.interval);
         Poll::Ready(())
     }
 }
@@ -70,29 +70,29 @@
             stream,
             exchange,
             half_closed: None,
-            blocked: false,
+            write_blocked: false,
         }
     }
 
     /// Whether a request that has come whole is not answered yet.
-    fn owes_answer(&self) -> bool {
+    fn response_pending(&self) -> bool {
         match self.exchange.stage() {
-            Some(Stage::Waiting | Stage::Answering) => true,
+            Some(Stage::Waiting | Stage::Responding) => true,
             Some(Stage::Receiving) => false,
-            None => self.blocked,
+            None => self.write_blocked,
         }
     }
 
     /// Waits until the caller has left, or until nothing is owed to it any more.
-    fn poll_left(&mut self, cx: &mut Context<'_>) -> Poll<()> {
-        let begins = self.half_closed.is_none();
+    fn poll_disconnected(&mut self, cx: &mut Context<'_>) -> Poll<()> {
+        let first_poll = self.half_closed.is_none();
         let mut half_closed = self.half_closed.take().unwrap_or_else(HalfClosed::new);
-        let mut left = begins && self.has_left();
-        while !left && self.owes_answer() && half_closed.poll_look(cx).is_ready() {
-            left = self.has_left();
+        let mut disconnected = first_poll && self.is_disconnected();
+        while !disconnected && self.response_pending() && half_closed.poll_check(cx).is_ready() {
+            disconnected = self.is_disconnected();
         }
         self.half_closed = Some(half_closed);
-        if left || !self.owes_answer() {
+        if disconnected || !self.response_pending() {
             Poll::Ready(())
         } else {
             Poll::Pending
@@ -100,29 +100,33 @@
     }
 
     /// Whether the caller's system has reset the connection. Gives it cause to if the caller has left.
-    fn has_left(&self) -> bool {
+    fn is_disconnected(&self) -> bool {
         // an error of the connection means that nobody reads what is sent
-        let is_sound = matches!(self.stream.take_error(), Ok(None));
-        if !is_sound || self.blocked || !self.exchange.takes_interim() {
-            return !is_sound;
+        let is_healthy = matches!(self.stream.take_error(), Ok(None));
+        if !is_healthy || self.write_blocked || !self.exchange.accepts_interim_response() {
+            return !is_healthy;
         }
-        match self.stream.try_write(INTERIM) {
-            Ok(written) => written < INTERIM.len(),
+        match self.stream.try_write(INTERIM_RESPONSE) {
+            Ok(written) => written < INTERIM_RESPONSE.len(),
             Err(error) => error.kind() != io::ErrorKind::WouldBlock,
         }
     }
 
     /// Notes how a write went.
-    fn wrote<T>(&mut self, cx: &Context<'_>, written: Poll<io::Result<T>>) -> Poll<io::Result<T>> {
-        if std::mem::replace(&mut self.blocked, written.is_pending())
-            && !self.blocked
+    fn record_write<T>(
+        &mut self,
+        cx: &Context<'_>,
+        written: Poll<io::Result<T>>,
+    ) -> Poll<io::Result<T>> {
+        if std::mem::replace(&mut self.write_blocked, written.is_pending())
+            && !self.write_blocked
             && self.half_closed.is_some()
         {
             // the end of what the caller sends was kept back until all is written
             cx.waker().wake_by_ref();
         }
         if written.is_ready() {
-            self.exchange.sent();
+            self.exchange.sent_bytes();
         }
         written
     }
@@ -141,12 +145,12 @@
             if buf.filled().len() > before {
                 this.exchange.received_bytes();
             }
-            let ended = buf.filled().len() == before && buf.remaining() > 0;
-            if !ended || !this.owes_answer() {
+            let eof = buf.filled().len() == before && buf.remaining() > 0;
+            if !eof || !this.response_pending() {
                 return Poll::Ready(Ok(()));
             }
         }
-        this.poll_left(cx).map(Ok)
+        this.poll_disconnected(cx).map(Ok)
     }
 }
 
@@ -158,7 +162,7 @@
     ) -> Poll<io::Result<usize>> {
         let this = self.get_mut();
         let written = Pin::new(&mut this.stream).poll_write(cx, buf);
-        this.wrote(cx, written)
+        this.record_write(cx, written)
     }
 
     fn poll_write_vectored(
@@ -168,7 +172,7 @@
     ) -> Poll<io::Result<usize>> {
         let this = self.get_mut();
         let written = Pin::new(&mut this.stream).poll_write_vectored(cx, bufs);
-        this.wrote(cx, written)
+        this.record_write(cx, written)
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/components/cli/src/client.rs
+++ b/components/cli/src/client.rs
@@ -23,7 +23,7 @@
         let inner = OperatorClient::connect(format!("http://{address}"))
             .await
             .map_err(|source| Error::Unreachable { address, source })?
-            .max_decoding_message_size(wire::MESSAGE_BYTES);
+            .max_decoding_message_size(wire::MAX_MESSAGE_BYTES);
         Ok(Self { inner, token })
     }
 
--- a/components/clock/src/lib.rs
+++ b/components/clock/src/lib.rs
@@ -4,12 +4,12 @@
 //! is suspended; callers, peers and the store go on. A lease or a deadline that is counted on it lasts too long by the
 //! time that was missed. See `docs/DESIGN.md#clocks`.
 
-mod missed;
+mod suspension;
 mod timer;
 
 use std::time::Duration;
 
-pub use missed::{skip, watch};
+pub use suspension::{simulate_suspension, watch_suspensions};
 pub use timer::{Elapsed, sleep, sleep_until, timeout, timeout_at};
 
 /// A moment of this clock.
@@ -20,7 +20,7 @@
     /// Now. It never goes back.
     #[must_use]
     pub fn now() -> Self {
-        Self(tokio::time::Instant::now() + missed::missed())
+        Self(tokio::time::Instant::now() + suspension::suspended_time())
     }
 
     /// The time since then, zero for a moment to come.
--- a/components/clock/src/timer.rs
+++ b/components/clock/src/timer.rs
@@ -2,7 +2,7 @@
 
 use std::{future::Future, pin::pin, time::Duration};
 
-use super::{Instant, missed::RESUMED};
+use super::{Instant, suspension::RESUMED};
 
 /// The time was over first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -12,12 +12,12 @@
 pub async fn sleep_until(until: Instant) {
     loop {
         let resumed = RESUMED.notified();
-        let left = until.duration_since(Instant::now());
-        if left.is_zero() {
+        let remaining = until.duration_since(Instant::now());
+        if remaining.is_zero() {
             return;
         }
         tokio::select! {
-            () = tokio::time::sleep(left) => {}
+            () = tokio::time::sleep(remaining) => {}
             () = resumed => {}
         }
     }
--- a/components/clock/tests/suspension.rs
+++ b/components/clock/tests/suspension.rs
@@ -4,20 +4,23 @@
 
 use clock::Instant;
 
-const MISSED: Duration = Duration::from_secs(5);
+const SUSPENSION: Duration = Duration::from_secs(5);
 
 #[tokio::test]
-async fn timers_fire_and_ages_count_also_for_the_time_that_the_steady_clock_missed() {
-    let watching = tokio::spawn(clock::watch(|_| {}));
-    let begun = Instant::now();
-    let steady = std::time::Instant::now();
-    let long = tokio::spawn(clock::sleep(MISSED));
-    let pending = clock::timeout(MISSED, std::future::pending::<()>());
+async fn timers_and_elapsed_times_include_a_suspension() {
+    let watcher = tokio::spawn(clock::watch_suspensions(|_| {}));
+    let start = Instant::now();
+    let monotonic_start = std::time::Instant::now();
+    let sleeper = tokio::spawn(clock::sleep(SUSPENSION));
+    let timeout = clock::timeout(SUSPENSION, std::future::pending::<()>());
     tokio::time::sleep(Duration::from_millis(100)).await;
-    clock::skip(MISSED);
-    assert!(begun.elapsed() >= MISSED);
-    assert!(pending.await.is_err());
-    long.await.expect("it slept");
-    assert!(steady.elapsed() < MISSED / 2, "it did not wait once more");
-    watching.abort();
+    clock::simulate_suspension(SUSPENSION);
+    assert!(start.elapsed() >= SUSPENSION);
+    assert!(timeout.await.is_err());
+    sleeper.await.expect("it slept");
+    assert!(
+        monotonic_start.elapsed() < SUSPENSION / 2,
+        "it did not wait once more"
+    );
+    watcher.abort();
 }
--- a/components/cloud/src/table/adapter.rs
+++ b/components/cloud/src/table/adapter.rs
@@ -12,17 +12,17 @@
 pub struct Http {
     client: Client,
     address: SocketAddr,
-    silence: Duration,
+    idle_timeout: Duration,
 }
 
 impl Http {
-    /// An adapter to a service; a call ends when nothing comes for `silence`.
+    /// An adapter to a service; a call ends when nothing comes for `idle_timeout`.
     #[must_use]
-    pub fn new(address: SocketAddr, silence: Duration) -> Self {
+    pub fn new(address: SocketAddr, idle_timeout: Duration) -> Self {
         Self {
             client: Client::default(),
             address,
-            silence,
+            idle_timeout,
         }
     }
 }
@@ -30,8 +30,8 @@
 impl From<call::Error> for Error {
     fn from(error: call::Error) -> Self {
         match error {
-            call::Error::NotSent | call::Error::Status(_) => Self::Refused,
-            call::Error::Lost | call::Error::Garbage => Self::Unclear,
+            call::Error::NotSent | call::Error::Status(_) => Self::NotApplied,
+            call::Error::Lost | call::Error::Malformed => Self::OutcomeUnknown,
         }
     }
 }
@@ -41,7 +41,7 @@
         async move {
             let call = self
                 .client
-                .post(self.address, "/table/read", &read, self.silence);
+                .post(self.address, "/table/read", &read, self.idle_timeout);
             Ok(call.await?)
         }
         .boxed()
@@ -49,9 +49,12 @@
 
     fn commit(&self, transaction: Transaction) -> BoxFuture<'_, Result<Outcome, Error>> {
         async move {
-            let call = self
-                .client
-                .post(self.address, "/table/commit", &transaction, self.silence);
+            let call = self.client.post(
+                self.address,
+                "/table/commit",
+                &transaction,
+                self.idle_timeout,
+            );
             Ok(call.await?)
         }
         .boxed()
--- a/components/cloud/src/table/mod.rs
+++ b/components/cloud/src/table/mod.rs
@@ -102,10 +102,10 @@
 pub enum Error {
     /// The service was not reached or refused: the transaction has no effect.
     #[display("the table service refused or was not reached; nothing took effect")]
-    Refused,
+    NotApplied,
     /// The answer did not come: the transaction may have taken effect, or may yet.
     #[display("the table service did not answer; the write may have taken effect")]
-    Unclear,
+    OutcomeUnknown,
 }
 
 /// The table service as the daemon needs it.
--- a/components/cloud/src/vms/mod.rs
+++ b/components/cloud/src/vms/mod.rs
@@ -44,12 +44,12 @@
 /// The list could not be read.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 #[display("the VM list was not read")]
-pub struct Unread;
+pub struct ReadError;
 
 /// The VM list as the daemon needs it.
 pub trait List: Send + Sync {
     /// Reads the whole list.
-    fn read(&self) -> BoxFuture<'_, Result<Vec<Vm>, Unread>>;
+    fn read(&self) -> BoxFuture<'_, Result<Vec<Vm>, ReadError>>;
 }
 
 /// A VM list reached over HTTP.
@@ -57,26 +57,28 @@
 pub struct Http {
     client: Client,
     address: SocketAddr,
-    silence: Duration,
+    idle_timeout: Duration,
 }
 
 impl Http {
-    /// An adapter to a list; a call ends when nothing comes for `silence`.
+    /// An adapter to a list; a call ends when nothing comes for `idle_timeout`.
     #[must_use]
-    pub fn new(address: SocketAddr, silence: Duration) -> Self {
+    pub fn new(address: SocketAddr, idle_timeout: Duration) -> Self {
         Self {
             client: Client::default(),
             address,
-            silence,
+            idle_timeout,
         }
     }
 }
 
 impl List for Http {
-    fn read(&self) -> BoxFuture<'_, Result<Vec<Vm>, Unread>> {
+    fn read(&self) -> BoxFuture<'_, Result<Vec<Vm>, ReadError>> {
         async move {
-            let call = self.client.post(self.address, "/vms", &(), self.silence);
-            call.await.map_err(|_| Unread)
+            let call = self
+                .client
+                .post(self.address, "/vms", &(), self.idle_timeout);
+            call.await.map_err(|_| ReadError)
         }
         .boxed()
     }
--- a/components/cloud/tests/contract.rs
+++ b/components/cloud/tests/contract.rs
@@ -13,21 +13,21 @@
 
 const TIMEOUT: Duration = Duration::from_millis(200);
 
-async fn pair() -> (Platform, Http) {
+async fn start_pair() -> (Platform, Http) {
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let platform = Platform::start(any).await.expect("platform");
     let table = Http::new(platform.address(), TIMEOUT);
     (platform, table)
 }
 
-struct Own {
+struct HttpPair {
     platform: Platform,
     table: Http,
 }
 
-impl Pair for Own {
+impl Pair for HttpPair {
     async fn start() -> Self {
-        let (platform, table) = pair().await;
+        let (platform, table) = start_pair().await;
         Self { platform, table }
     }
 
@@ -54,32 +54,32 @@
 }
 
 #[tokio::test]
-async fn a_transaction_is_whole_and_compares_versions() {
-    contract::transaction_is_whole::<Own>().await;
+async fn a_transaction_is_atomic_and_compares_versions() {
+    contract::transaction_is_whole::<HttpPair>().await;
 }
 
 #[tokio::test]
-async fn a_prefix_reads_its_rows_sorted_and_no_others() {
-    contract::prefix_reads_its_rows::<Own>().await;
+async fn a_prefix_read_returns_only_its_rows_in_order() {
+    contract::prefix_reads_its_rows::<HttpPair>().await;
 }
 
 #[tokio::test]
-async fn each_failure_says_truly_whether_it_may_have_taken_effect() {
-    contract::failures_are_told_truly::<Own>().await;
+async fn each_error_says_correctly_whether_the_write_may_have_taken_effect() {
+    contract::failures_are_told_truly::<HttpPair>().await;
 }
 
 #[tokio::test]
-async fn a_service_that_is_not_there_had_no_effect() {
-    let (platform, table) = pair().await;
+async fn a_write_to_an_unreachable_service_has_no_effect() {
+    let (platform, table) = start_pair().await;
     drop(platform);
     tokio::time::sleep(TIMEOUT).await;
     let write = Transaction::default().write("k", "v".to_owned());
-    assert_eq!(table.commit(write).await, Err(Error::Refused));
+    assert_eq!(table.commit(write).await, Err(Error::NotApplied));
 }
 
 #[tokio::test]
-async fn the_vm_list_tells_who_leaves() {
-    let (platform, _) = pair().await;
+async fn the_vm_list_reports_leaving_vms() {
+    let (platform, _) = start_pair().await;
     let list = vms::Http::new(platform.address(), TIMEOUT);
     assert_eq!(list.read().await, Ok(Vec::new()));
     let vm = Vm {
@@ -96,5 +96,5 @@
     assert_eq!(list.read().await, Ok(Vec::new()));
     drop(platform);
     tokio::time::sleep(TIMEOUT).await;
-    assert_eq!(list.read().await, Err(vms::Unread));
+    assert_eq!(list.read().await, Err(vms::ReadError));
 }
--- a/components/daemon/src/process/beat.rs
+++ b/components/daemon/src/process/beat.rs
@@ -111,13 +111,13 @@
     for address in &now {
         if before.binary_search(address).is_err() {
             let subject = format!("peer/{address}");
-            process.timeline.note(Kind::PeerUp, subject, "");
+            process.timeline.record(Kind::PeerUp, subject, "");
         }
     }
     for address in before.iter() {
         if now.binary_search(address).is_err() {
             let subject = format!("peer/{address}");
-            process.timeline.note(Kind::PeerDown, subject, "");
+            process.timeline.record(Kind::PeerDown, subject, "");
         }
     }
     *before = now;
--- a/components/daemon/src/process/claims.rs
+++ b/components/daemon/src/process/claims.rs
@@ -162,8 +162,8 @@
                 answer(out, |_| (Write::Taken, 0));
                 jobs = left;
             }
-            Err(table::Error::Refused) => return answer(jobs, |_| (Write::Refused, 0)),
-            Err(table::Error::Unclear) => return read_back(process, jobs).await,
+            Err(table::Error::NotApplied) => return answer(jobs, |_| (Write::Refused, 0)),
+            Err(table::Error::OutcomeUnknown) => return read_back(process, jobs).await,
         }
     }
 }
--- a/components/daemon/src/process/health.rs
+++ b/components/daemon/src/process/health.rs
@@ -79,7 +79,7 @@
             if back == Some(true) {
                 process
                     .timeline
-                    .note(Kind::EndpointUp, entry.id.to_string(), "");
+                    .record(Kind::EndpointUp, entry.id.to_string(), "");
                 pool.wake();
             }
         }
@@ -89,7 +89,10 @@
     }
     let behind = pool.with(&entry.id, |entry| entry.cache_behind()).flatten();
     if let Some(after) = behind
-        && let Ok(events) = process.engine.cache(address, after, REPORT_WAIT).await
+        && let Ok(events) = process
+            .engine
+            .cache_events(address, after, REPORT_WAIT)
+            .await
     {
         pool.with(&entry.id, |entry| entry.cache_events(&events));
     }
--- a/components/daemon/src/process/members.rs
+++ b/components/daemon/src/process/members.rs
@@ -244,7 +244,7 @@
             }
         };
         let client = PeerClient::new(state.channels[at].1.clone());
-        Some(client.max_decoding_message_size(wire::MESSAGE_BYTES))
+        Some(client.max_decoding_message_size(wire::MAX_MESSAGE_BYTES))
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
--- a/components/daemon/src/process/mod.rs
+++ b/components/daemon/src/process/mod.rs
@@ -209,7 +209,7 @@
         let cut = *self.process.under_way.borrow();
         self.process
             .metrics
-            .cut
+            .aborted_streams
             .inc_by(u64::try_from(cut).unwrap_or(0));
         cut
     }
@@ -230,7 +230,7 @@
         status: address(&status, settings.daemon.status)?,
     };
     let process = Arc::new(assemble(settings, addresses)?);
-    process.timeline.note(
+    process.timeline.record(
         Kind::Started,
         "process",
         format!("incarnation {}", process.me),
--- a/components/daemon/src/process/operators.rs
+++ b/components/daemon/src/process/operators.rs
@@ -222,7 +222,7 @@
             let subject = format!("settings/{version}");
             process
                 .timeline
-                .note(Kind::SettingsAccepted, subject, operator);
+                .record(Kind::SettingsAccepted, subject, operator);
             sync::apply(process, next);
             process.beat_now.notify_one();
             Some(CommitReply {
@@ -231,8 +231,8 @@
             })
         }
         Ok(Outcome::Conflict(_)) => None,
-        Err(cloud::table::Error::Refused) => Some(unavailable()),
-        Err(cloud::table::Error::Unclear) => Some(CommitReply {
+        Err(cloud::table::Error::NotApplied) => Some(unavailable()),
+        Err(cloud::table::Error::OutcomeUnknown) => Some(CommitReply {
             unknown: true,
             problems: vec![format!(
                 "the table service did not answer; look at version {version} in the history"
--- a/components/daemon/src/process/orders/mod.rs
+++ b/components/daemon/src/process/orders/mod.rs
@@ -150,7 +150,7 @@
         "order {} epoch {}: {}",
         row.number, row.epoch, row.wanted.role
     );
-    process.timeline.note(kind, id.to_string(), detail);
+    process.timeline.record(kind, id.to_string(), detail);
     let outcome = row.stage.to_string();
     process.metrics.orders.with_label_values(&[&outcome]).inc();
 }
@@ -325,7 +325,7 @@
                     process.gates.open(&id, row.number);
                     process
                         .timeline
-                        .note(Kind::Opened, id.to_string(), "by its row");
+                        .record(Kind::Opened, id.to_string(), "by its row");
                 }
             }
         }
--- a/components/daemon/src/process/peers.rs
+++ b/components/daemon/src/process/peers.rs
@@ -22,7 +22,7 @@
     let operators = OperatorServer::new(Operators(process));
     let served = Server::builder()
         .add_service(peers)
-        .add_service(operators.max_decoding_message_size(wire::MESSAGE_BYTES))
+        .add_service(operators.max_decoding_message_size(wire::MAX_MESSAGE_BYTES))
         .serve_with_incoming(TcpListenerStream::new(listener))
         .await;
     if let Err(error) = served {
@@ -67,7 +67,7 @@
             close.number,
             if closed { "empty" } else { "busy" }
         );
-        self.0.timeline.note(Kind::Closed, id.to_string(), detail);
+        self.0.timeline.record(Kind::Closed, id.to_string(), detail);
         let members = self.0.members.all();
         Ok(Response::new(CloseReply {
             incarnation: self.0.me.0,
@@ -81,7 +81,7 @@
         let id = id(&open.data_centre, open.endpoint);
         self.0.gates.open(&id, open.number);
         let detail = format!("order {}", open.number);
-        self.0.timeline.note(Kind::Opened, id.to_string(), detail);
+        self.0.timeline.record(Kind::Opened, id.to_string(), detail);
         for pool in self.0.all_pools() {
             pool.wake();
         }
--- a/components/daemon/src/process/steward/mod.rs
+++ b/components/daemon/src/process/steward/mod.rs
@@ -272,7 +272,7 @@
     let detail = format!("epoch {}", next.epoch);
     process
         .timeline
-        .note(Kind::StewardTaken, format!("service/{service}"), detail);
+        .record(Kind::StewardTaken, format!("service/{service}"), detail);
     log::info!("steward of {service} in epoch {}", next.epoch);
 }
 
@@ -292,7 +292,7 @@
     });
     process
         .timeline
-        .note(Kind::StewardLost, format!("service/{service}"), "");
+        .record(Kind::StewardLost, format!("service/{service}"), "");
     log::warn!("no longer steward of {service}");
 }
 
--- a/components/daemon/src/process/stop.rs
+++ b/components/daemon/src/process/stop.rs
@@ -24,7 +24,7 @@
     let _ = phase.wait_for(|phase| *phase != Phase::Serving).await;
     process
         .timeline
-        .note(Kind::Stopping, "process", "planned stop");
+        .record(Kind::Stopping, "process", "planned stop");
     log::info!("planned stop begins");
     steward::release_all(&process).await;
     tokio::time::sleep(process.settings.control.stop_lag.into()).await;
@@ -39,7 +39,10 @@
     };
     if tokio::time::timeout(grace, empty).await.is_err() {
         let cut = *process.under_way.borrow();
-        process.metrics.cut.inc_by(u64::try_from(cut).unwrap_or(0));
+        process
+            .metrics
+            .aborted_streams
+            .inc_by(u64::try_from(cut).unwrap_or(0));
         log::warn!("planned stop: grace is over, {cut} requests are cut");
     }
     registration::leave(&process).await;
--- a/components/daemon/src/process/store.rs
+++ b/components/daemon/src/process/store.rs
@@ -56,12 +56,12 @@
         value: &str,
     ) -> Result<Outcome, table::Error> {
         match self.commit(transaction).await {
-            Err(table::Error::Unclear) => {
+            Err(table::Error::OutcomeUnknown) => {
                 let rows = self.read(rows(&[key])).await;
                 match rows.as_deref() {
                     Ok([row]) if row.value == value => Ok(Outcome::Committed(row.version)),
                     // absent or older now does not mean that it won't come yet
-                    _ => Err(table::Error::Unclear),
+                    _ => Err(table::Error::OutcomeUnknown),
                 }
             }
             other => other,
@@ -70,11 +70,11 @@
 
     fn note(&self, up: bool) {
         let outcome = if up { "answered" } else { "failed" };
-        self.metrics.table.with_label_values(&[outcome]).inc();
+        self.metrics.table_calls.with_label_values(&[outcome]).inc();
         if self.up.swap(up, Ordering::Relaxed) != up {
             let kind = if up { Kind::StoreUp } else { Kind::StoreDown };
             log::warn!("table service: {outcome}");
-            self.timeline.note(kind, "store", "");
+            self.timeline.record(kind, "store", "");
         }
     }
 }
--- a/components/daemon/src/process/sync.rs
+++ b/components/daemon/src/process/sync.rs
@@ -200,11 +200,11 @@
     }
     process
         .metrics
-        .settings
+        .settings_version
         .set(i64::try_from(version).unwrap_or(i64::MAX));
     process
         .timeline
-        .note(Kind::SettingsApplied, format!("settings/{version}"), "");
+        .record(Kind::SettingsApplied, format!("settings/{version}"), "");
     log::info!("settings version {version} is in force");
 }
 
--- a/components/daemon/src/request/chat.rs
+++ b/components/daemon/src/request/chat.rs
@@ -148,13 +148,13 @@
     let weights = format!("{}/{}/{}", model.name, model.adapter, model.version);
     let need = Need {
         group: caller.group,
-        blocks: prefix::blocks(&weights, &prompt),
+        blocks: prefix::block_hashes(&weights, &prompt),
         weights: (
             model.name.clone(),
             model.adapter.clone(),
             model.version.clone(),
         ),
-        prompt: prefix::tokens(&prompt),
+        prompt: prefix::estimate_tokens(&prompt),
         most_output: most,
         priority: caller.priority,
         deadline: caller.deadline,
--- a/components/daemon/src/request/generate/mod.rs
+++ b/components/daemon/src/request/generate/mod.rs
@@ -14,7 +14,7 @@
 use derive_more::{Display, Error};
 use endpoint::{
     Failure,
-    engine::{Done, Frame, Generate, Kv, Reason as End},
+    engine::{Done, FinishReason as End, Frame, Generate, KvSource},
 };
 use protocol::stream::{Assembler, Verdict};
 use settings::tree::resolve::Repeat;
@@ -145,7 +145,7 @@
         let placed = self.job.pool.place(self.job.need.clone()).await;
         let metrics = &self.job.context.process.metrics;
         metrics
-            .queue
+            .queue_time
             .with_label_values(&self.labels())
             .observe(waiting.elapsed().as_secs_f64());
         let grant = placed.map_err(|unplaced| {
@@ -169,7 +169,7 @@
         &mut self,
         grant: Grant,
         at: (Id, SocketAddr),
-        import: Option<Kv>,
+        import: Option<KvSource>,
         export: bool,
     ) -> Result<(), Broken> {
         let attempt: u64 = rand::random();
@@ -270,7 +270,7 @@
             Verdict::Duplicate | Verdict::Deliver => "duplicate",
         };
         let metrics = &self.job.context.process.metrics;
-        metrics.dropped.with_label_values(&[label]).inc();
+        metrics.dropped_frames.with_label_values(&[label]).inc();
     }
 
     /// Goes on at the engine that writes, after another one has read.
@@ -279,7 +279,7 @@
             return Ok(());
         };
         live.cancel.ended = true;
-        let kv = Kv {
+        let kv = KvSource {
             address: live.at.1,
             attempt: live.cancel.attempt,
             tokens: self.job.need.prompt,
--- a/components/daemon/src/request/generate/outcome.rs
+++ b/components/daemon/src/request/generate/outcome.rs
@@ -40,7 +40,7 @@
             if frame.offset == 0 {
                 let metrics = &self.job.context.process.metrics;
                 metrics
-                    .first
+                    .time_to_first_token
                     .with_label_values(&self.labels())
                     .observe(self.began.elapsed().as_secs_f64());
             }
@@ -78,7 +78,7 @@
             .inc();
         metrics.goodput.with_label_values(&labels).inc_by(written);
         metrics
-            .whole
+            .request_duration
             .with_label_values(&labels)
             .observe(self.began.elapsed().as_secs_f64());
     }
@@ -95,7 +95,7 @@
     }
 
     pub(super) fn again(&mut self, failed: &Id, failure: Failure) -> Result<(), Broken> {
-        let class = if failure.not_run() {
+        let class = if failure.not_executed() {
             FailureClass::NotExecuted
         } else {
             self.may_have_run = true;
@@ -140,7 +140,7 @@
             Kind::Retried
         };
         self.job.context.note(kind, format!("{failed}: {failure}"));
-        let reason = if failure.not_run() {
+        let reason = if failure.not_executed() {
             "not-run"
         } else {
             "unknown"
--- a/components/daemon/src/request/mod.rs
+++ b/components/daemon/src/request/mod.rs
@@ -12,7 +12,7 @@
 
 use std::sync::Arc;
 
-use ::caller::{Exchange, Open};
+use ::caller::{Exchange, ExchangeGuard};
 use bytes::Bytes;
 use clock::Instant;
 use futures::{Stream, TryStreamExt};
@@ -46,7 +46,7 @@
     /// The bytes of its body.
     held: Option<body::Held>,
     /// Its place on the caller's connection.
-    open: Open,
+    open: ExchangeGuard,
     /// Counts it as under way.
     _under_way: Counted,
 }
@@ -55,7 +55,7 @@
     /// Notes an event of this request.
     pub fn note(&self, kind: Kind, detail: impl Into<String>) {
         let subject = format!("request/{}", self.id);
-        self.process.timeline.note(kind, subject, detail);
+        self.process.timeline.record(kind, subject, detail);
     }
 }
 
@@ -75,7 +75,7 @@
             let detail = format!("{reason}, {}", refusal.reason.run());
             process
                 .timeline
-                .note(Kind::Refused, format!("request/{id}"), detail);
+                .record(Kind::Refused, format!("request/{id}"), detail);
             refusal.response(&id)
         }
     };
@@ -93,7 +93,7 @@
 async fn route(
     process: &Arc<Process>,
     id: &str,
-    open: Open,
+    open: ExchangeGuard,
     request: Request<Incoming>,
 ) -> Result<Response<Body>, Refusal> {
     if *process.phase.borrow() >= Phase::Draining {
--- a/components/daemon/src/request/plain.rs
+++ b/components/daemon/src/request/plain.rs
@@ -174,7 +174,7 @@
         if let Some(pool) = process.pool(&self.service) {
             pool.with(id, Entry::failed);
         }
-        let class = if failure.not_run() {
+        let class = if failure.not_executed() {
             FailureClass::NotExecuted
         } else {
             FailureClass::MaybeExecuted
--- a/components/daemon/src/request/reply.rs
+++ b/components/daemon/src/request/reply.rs
@@ -1,7 +1,7 @@
 //! Answers in the shape that `OpenAI`'s clients read.
 
 use bytes::Bytes;
-use endpoint::engine::{Done, Reason};
+use endpoint::engine::{Done, FinishReason};
 use hyper::{
     Response,
     header::{self, HeaderValue},
@@ -199,8 +199,8 @@
 
 fn finish(done: Done) -> &'static str {
     match done.reason {
-        Reason::Stop => "stop",
-        Reason::Length | Reason::Exported => "length",
+        FinishReason::Stop => "stop",
+        FinishReason::Length | FinishReason::Exported => "length",
     }
 }
 
--- a/components/endpoint/src/engine/adapter.rs
+++ b/components/endpoint/src/engine/adapter.rs
@@ -10,7 +10,7 @@
 use crate::Failure;
 
 /// The longest line that is read, in bytes; a longer one is garbage.
-const LINE_BYTES: usize = 1 << 20;
+const MAX_LINE_BYTES: usize = 1 << 20;
 
 /// Engines reached over HTTP; one adapter serves all of them.
 #[derive(Clone, Debug, Default)]
@@ -50,17 +50,20 @@
     ///
     /// # Errors
     ///
-    /// [`Failure`] when the engine did not answer within `wait`.
+    /// [`Failure`] when the engine did not answer within `timeout`.
     pub async fn cancel(
         &self,
         address: SocketAddr,
         attempt: u64,
-        wait: Duration,
+        timeout: Duration,
     ) -> Result<(), Failure> {
-        Ok(self.client.post(address, "/cancel", &attempt, wait).await?)
+        Ok(self
+            .client
+            .post(address, "/cancel", &attempt, timeout)
+            .await?)
     }
 
-    /// Sends an order and waits for its outcome, at most `wait`.
+    /// Sends an order and waits for its outcome, at most `timeout`.
     ///
     /// # Errors
     ///
@@ -69,32 +72,32 @@
         &self,
         address: SocketAddr,
         order: &Order,
-        wait: Duration,
+        timeout: Duration,
     ) -> Result<(), Failure> {
-        Ok(self.client.post(address, "/order", order, wait).await?)
+        Ok(self.client.post(address, "/order", order, timeout).await?)
     }
 
     /// Reads the engine's load report.
     ///
     /// # Errors
     ///
-    /// [`Failure`] when none came within `wait`.
-    pub async fn report(&self, address: SocketAddr, wait: Duration) -> Result<Report, Failure> {
-        Ok(self.client.post(address, "/report", &(), wait).await?)
+    /// [`Failure`] when none came within `timeout`.
+    pub async fn report(&self, address: SocketAddr, timeout: Duration) -> Result<Report, Failure> {
+        Ok(self.client.post(address, "/report", &(), timeout).await?)
     }
 
     /// Reads the cache events after a sequence number.
     ///
     /// # Errors
     ///
-    /// [`Failure`] when none came within `wait`.
-    pub async fn cache(
+    /// [`Failure`] when none came within `timeout`.
+    pub async fn cache_events(
         &self,
         address: SocketAddr,
         after: u64,
-        wait: Duration,
+        timeout: Duration,
     ) -> Result<Vec<CacheEvent>, Failure> {
-        Ok(self.client.post(address, "/cache", &after, wait).await?)
+        Ok(self.client.post(address, "/cache", &after, timeout).await?)
     }
 }
 
@@ -128,7 +131,7 @@
             }
             match self.body.frame().await {
                 None if self.buffer.is_empty() => return Ok(None),
-                Some(Ok(frame)) if self.buffer.len() < LINE_BYTES => {
+                Some(Ok(frame)) if self.buffer.len() < MAX_LINE_BYTES => {
                     self.buffer
                         .extend_from_slice(frame.data_ref().map_or(&[][..], |data| data));
                 }
--- a/components/endpoint/src/engine/mod.rs
+++ b/components/endpoint/src/engine/mod.rs
@@ -30,14 +30,14 @@
     /// The text of those tokens, which the engine reads as part of the prompt.
     pub resume_text: String,
     /// The KV cache of the prompt on another engine, to be fetched from there.
-    pub import: Option<Kv>,
+    pub import: Option<KvSource>,
     /// Whether to keep the KV cache for another engine to import, and to stop after one token.
     pub export: bool,
 }
 
 /// Where a KV cache can be fetched.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Kv {
+pub struct KvSource {
     /// The engine that holds it.
     pub address: std::net::SocketAddr,
     /// The attempt that made it.
@@ -49,7 +49,7 @@
 /// Why an answer ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Reason {
+pub enum FinishReason {
     /// The model ended it.
     Stop,
     /// It reached `max_tokens`.
@@ -62,7 +62,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Done {
     /// Why it ended.
-    pub reason: Reason,
+    pub reason: FinishReason,
     /// Tokens of the prompt.
     pub prompt_tokens: u64,
     /// Tokens of the prompt that the prefix cache held.
@@ -128,12 +128,12 @@
 
 /// Whether an engine in this role reads prompts.
 #[must_use]
-pub fn reads(role: Role) -> bool {
+pub fn prefills(role: Role) -> bool {
     matches!(role, Role::Prefill | Role::Mixed)
 }
 
 /// Whether an engine in this role writes answers.
 #[must_use]
-pub fn writes(role: Role) -> bool {
+pub fn decodes(role: Role) -> bool {
     matches!(role, Role::Decode | Role::Mixed)
 }
--- a/components/endpoint/src/lib.rs
+++ b/components/endpoint/src/lib.rs
@@ -24,7 +24,7 @@
 impl Failure {
     /// Whether the request certainly did not run.
     #[must_use]
-    pub fn not_run(self) -> bool {
+    pub fn not_executed(self) -> bool {
         matches!(self, Self::NotSent | Self::Refused(_))
     }
 }
@@ -34,7 +34,7 @@
         match error {
             call::Error::NotSent => Self::NotSent,
             call::Error::Status(status) => Self::Refused(status),
-            call::Error::Lost | call::Error::Garbage => Self::Lost,
+            call::Error::Lost | call::Error::Malformed => Self::Lost,
         }
     }
 }
--- a/components/endpoint/src/service/mod.rs
+++ b/components/endpoint/src/service/mod.rs
@@ -1,4 +1,4 @@
-//! A plain service: any method, passed through whole.
+//! A plain service: any method, forwarded through whole.
 
 use std::net::SocketAddr;
 
@@ -13,7 +13,7 @@
 use crate::Failure;
 
 /// Headers that this hop sets itself, or that are meant for it alone.
-const OWN: &[HeaderName] = &[header::HOST, header::CONTENT_LENGTH, header::AUTHORIZATION];
+const NOT_FORWARDED: &[HeaderName] = &[header::HOST, header::CONTENT_LENGTH, header::AUTHORIZATION];
 
 /// Plain services reached over HTTP; one adapter serves all of them.
 #[derive(Clone, Debug, Default)]
@@ -46,13 +46,13 @@
     }
 }
 
-/// The headers that are passed on: those of the message, not of the connection or of this hop's
+/// The headers that are forwarded on: those of the message, not of the connection or of this hop's
 /// caller.
 #[must_use]
 pub fn end_to_end(headers: &HeaderMap) -> HeaderMap {
-    let mut passed = call::headers::end_to_end(headers);
-    for own in OWN {
-        passed.remove(own);
+    let mut forwarded = call::headers::end_to_end(headers);
+    for name in NOT_FORWARDED {
+        forwarded.remove(name);
     }
-    passed
+    forwarded
 }
--- a/components/endpoint/tests/contract.rs
+++ b/components/endpoint/tests/contract.rs
@@ -16,9 +16,9 @@
     service,
 };
 
-const WAIT: Duration = Duration::from_secs(5);
+const TIMEOUT: Duration = Duration::from_secs(5);
 
-fn any() -> SocketAddr {
+fn any_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
@@ -28,10 +28,10 @@
         fences,
         holds: Wanted::default(),
     };
-    Standin::start(any(), setup).await.expect("engine")
+    Standin::start(any_port(), setup).await.expect("engine")
 }
 
-fn ask(attempt: u64, tokens: u64) -> Generate {
+fn prompt(attempt: u64, tokens: u64) -> Generate {
     Generate {
         attempt,
         prompt: "question".to_owned(),
@@ -52,9 +52,9 @@
 }
 
 #[tokio::test]
-async fn an_answer_names_its_attempt_and_offsets_and_ends_once() {
+async fn an_answer_carries_its_attempt_and_offsets_and_ends_once() {
     let engine = start(false).await;
-    let frames = frames(&engine, &ask(7, 5)).await.expect("whole");
+    let frames = frames(&engine, &prompt(7, 5)).await.expect("whole");
     let text: String = frames.iter().map(|frame| frame.text.as_str()).collect();
     assert_eq!(text, expected("question", 0, 5));
     let offsets: Vec<u64> = frames.iter().map(|frame| frame.offset).collect();
@@ -64,11 +64,11 @@
 }
 
 #[tokio::test]
-async fn a_resumed_answer_goes_on_where_it_was() {
+async fn a_resumed_answer_continues_at_its_offset() {
     let engine = start(false).await;
     let resumed = Generate {
         resume_from: 3,
-        ..ask(8, 5)
+        ..prompt(8, 5)
     };
     let frames = frames(&engine, &resumed).await.expect("whole");
     let text: String = frames.iter().map(|frame| frame.text.as_str()).collect();
@@ -76,7 +76,7 @@
 }
 
 #[tokio::test]
-async fn each_failure_says_truly_whether_it_may_have_run() {
+async fn each_failure_says_correctly_whether_the_attempt_may_have_executed() {
     let cases = [
         (Faults::Refuse, Some(Failure::Refused(503))),
         (Faults::CutAt(2), Some(Failure::Lost)),
@@ -84,23 +84,26 @@
         // what ends early in an orderly way is for the assembler to find
         (Faults::EndAt(2), None),
     ];
-    for (fault, told) in cases {
+    for (fault, expected_failure) in cases {
         let engine = start(false).await;
         engine.fail(fault);
-        let failure = frames(&engine, &ask(9, 5)).await.err();
-        assert_eq!(failure, told, "{fault:?}");
+        let failure = frames(&engine, &prompt(9, 5)).await.err();
+        assert_eq!(failure, expected_failure, "{fault:?}");
     }
     let engine = start(false).await;
     let address = engine.address();
     drop(engine);
     tokio::time::sleep(Duration::from_millis(100)).await;
-    let failure = Engine::default().generate(address, &ask(1, 1)).await.err();
+    let failure = Engine::default()
+        .generate(address, &prompt(1, 1))
+        .await
+        .err();
     assert_eq!(failure, Some(Failure::NotSent));
 }
 
 #[tokio::test]
-async fn a_fencing_engine_refuses_an_old_number_and_another_takes_it() {
-    for (fences, told) in [(true, Err(Failure::Refused(409))), (false, Ok(()))] {
+async fn only_a_fencing_engine_refuses_an_old_order_number() {
+    for (fences, expected_failure) in [(true, Err(Failure::Refused(409))), (false, Ok(()))] {
         let engine = start(fences).await;
         let adapter = Engine::default();
         let order = |number, role| Order {
@@ -111,12 +114,12 @@
             },
         };
         let (new, old) = (order(2, Role::Decode), order(1, Role::Prefill));
-        let answer = adapter.order(engine.address(), &new, WAIT).await;
+        let answer = adapter.order(engine.address(), &new, TIMEOUT).await;
         assert_eq!(answer, Ok(()));
-        let answer = adapter.order(engine.address(), &old, WAIT).await;
-        assert_eq!(answer, told);
+        let answer = adapter.order(engine.address(), &old, TIMEOUT).await;
+        assert_eq!(answer, expected_failure);
         let report = adapter
-            .report(engine.address(), WAIT)
+            .report(engine.address(), TIMEOUT)
             .await
             .expect("report");
         let role = if fences { Role::Decode } else { Role::Prefill };
@@ -125,7 +128,7 @@
 }
 
 #[tokio::test]
-async fn the_same_order_twice_changes_once() {
+async fn a_repeated_order_is_applied_once() {
     let engine = start(false).await;
     let order = Order {
         number: 1,
@@ -136,7 +139,10 @@
     };
     for _ in 0..2 {
         let adapter = Engine::default();
-        assert_eq!(adapter.order(engine.address(), &order, WAIT).await, Ok(()));
+        assert_eq!(
+            adapter.order(engine.address(), &order, TIMEOUT).await,
+            Ok(())
+        );
     }
     assert_eq!(engine.counts().changes, 1);
 }
@@ -146,12 +152,12 @@
     let engine = start(false).await;
     let adapter = Engine::default();
     let mut stream = adapter
-        .generate(engine.address(), &ask(3, 100_000))
+        .generate(engine.address(), &prompt(3, 100_000))
         .await
         .expect("begun");
     assert!(stream.next().await.expect("a frame").is_some());
     adapter
-        .cancel(engine.address(), 3, WAIT)
+        .cancel(engine.address(), 3, TIMEOUT)
         .await
         .expect("cancelled");
     while let Ok(Some(frame)) = stream.next().await {
@@ -161,14 +167,14 @@
 }
 
 #[tokio::test]
-async fn a_plain_service_fails_truly() {
+async fn a_plain_service_failure_says_whether_it_may_have_executed() {
     let cases = [
         (service::Faults::None, None, 1),
         (service::Faults::CutBefore, Some(Failure::Lost), 0),
         (service::Faults::CutAfter, Some(Failure::Lost), 1),
     ];
-    for (fault, told, runs) in cases {
-        let standin = service::Service::start(any()).await.expect("service");
+    for (fault, expected_failure, runs) in cases {
+        let standin = service::Service::start(any_port()).await.expect("service");
         standin.fail(fault);
         let body = Bytes::from_static(b"reading");
         let answer = Service::default()
@@ -180,7 +186,7 @@
                 body,
             )
             .await;
-        assert_eq!(answer.err(), told, "{fault:?}");
+        assert_eq!(answer.err(), expected_failure, "{fault:?}");
         assert_eq!(standin.runs("reading"), runs, "{fault:?}");
     }
 }
--- a/components/gateway/src/connection/close.rs
+++ b/components/gateway/src/connection/close.rs
@@ -70,7 +70,7 @@
 
 impl Drop for CloseLogger<'_> {
     fn drop(&mut self) {
-        let Some(request) = self.exchange.under_way() else {
+        let Some(request) = self.exchange.in_flight() else {
             return;
         };
         let reason = if std::thread::panicking() {
@@ -78,7 +78,7 @@
         } else {
             &self.reason
         };
-        let cuts = &self.gateway.metrics.cuts;
+        let cuts = &self.gateway.metrics.interrupted_connections;
         cuts.with_label_values(&[reason.label()]).inc();
         log::info!(
             request = request.id, endpoint = request.endpoint.as_deref(), reason:%,
--- a/components/gateway/src/peer/cache_listing.rs
+++ b/components/gateway/src/peer/cache_listing.rs
@@ -64,7 +64,11 @@
         .filter(|(status, _)| status.is_success())
         .and_then(|(_, body)| gateway.adapters.dialect.parse_kv_list(&body));
     let label = if cached.is_some() { "yes" } else { "no" };
-    gateway.metrics.listings.with_label_values(&[label]).inc();
+    gateway
+        .metrics
+        .cache_listings
+        .with_label_values(&[label])
+        .inc();
     let Some(parts) = cached else {
         log::info!(endpoint = &*target.id.0; "engine did not list its cached prompt parts");
         return None;
--- a/components/gateway/src/peer/discovery.rs
+++ b/components/gateway/src/peer/discovery.rs
@@ -90,7 +90,7 @@
         Err(error) => {
             gateway.count_store_call("register", false);
             log::warn!(error:%; "failed to register this gateway; retrying");
-            error == Error::Unclear
+            error == Error::OutcomeUnknown
         }
     }
 }
--- a/components/gateway/src/process/crashes.rs
+++ b/components/gateway/src/process/crashes.rs
@@ -37,7 +37,7 @@
             return;
         }
         let service = target.with(|state| Arc::clone(&state.profile.service));
-        self.metrics.ends.with_label_values(&[&*service]).inc();
+        self.metrics.crashes.with_label_values(&[&*service]).inc();
         log::warn!(
             request, endpoint = &*target.id.0, service = &*service, evidence,
             under_way = fingerprints.len(), contents = join(fingerprints);
--- a/components/gateway/src/process/mod.rs
+++ b/components/gateway/src/process/mod.rs
@@ -178,7 +178,7 @@
     /// Counts a call to the store in the metrics.
     pub fn count_store_call(&self, call: &str, answered: bool) {
         let labels = [call, if answered { "yes" } else { "no" }];
-        self.metrics.calls.with_label_values(&labels).inc();
+        self.metrics.store_calls.with_label_values(&labels).inc();
     }
 
     /// Whether this process reads the operators' lists from the store itself.
@@ -282,7 +282,7 @@
         data_centre = gateway.settings.gateway.data_centre; "started"
     );
     let mut tasks = JoinSet::new();
-    tasks.spawn(clock::watch(|missed| {
+    tasks.spawn(clock::watch_suspensions(|missed| {
         let missed_ms = policy::micros(missed) / 1_000;
         log::warn!(missed_ms; "the machine was suspended");
     }));
--- a/components/gateway/src/process/service.rs
+++ b/components/gateway/src/process/service.rs
@@ -120,7 +120,7 @@
         });
         let allowed = usage.allows_retry();
         let labels = [&**service, if allowed { "yes" } else { "no" }];
-        self.metrics.repeats.with_label_values(&labels).inc();
+        self.metrics.retries.with_label_values(&labels).inc();
         log::info!(
             request, service = &**service, allowed, requests = usage.requests, repeats = usage.retries,
             limit = usage.allowed_retries, sharers = share.sharers, slack = share.slack;
@@ -132,7 +132,7 @@
     /// Returns a permit to the budget when no retry was sent.
     pub fn return_retry(&self, service: &Arc<str>, request: &str, permit: &RetryPermit) {
         let labels = [&**service, "given-back"];
-        self.metrics.repeats.with_label_values(&labels).inc();
+        self.metrics.retries.with_label_values(&labels).inc();
         self.with_service(service, |state| state.retries.refund(permit.taken_at));
         log::info!(request, service = &**service; "a retry was returned to the budget");
     }
--- a/components/gateway/src/process/status.rs
+++ b/components/gateway/src/process/status.rs
@@ -60,18 +60,18 @@
     };
     let count = |count: usize| u64::try_from(count).unwrap_or(u64::MAX);
     let version = gateway.configuration().map_or(0, |version| version.version);
-    set(&metrics.configuration, version);
+    set(&metrics.configuration_version, version);
     let list = List::Configuration;
     set(
         &metrics.configuration_read,
         gateway.last_changes.revision(list),
     );
     set(
-        &metrics.configuration_told,
+        &metrics.configuration_advertised,
         gateway.peers.latest_revision(list),
     );
     set(&metrics.connections, count(*gateway.connections.borrow()));
-    set(&metrics.under_way, count(*gateway.in_flight.borrow()));
+    set(&metrics.in_flight, count(*gateway.in_flight.borrow()));
     set(&metrics.peers, gateway.peers.count_alive());
     set(&metrics.endpoints, count(gateway.registry.all().len()));
     let suspects = gateway.all_suspects();
--- a/components/gateway/src/request/attempt.rs
+++ b/components/gateway/src/request/attempt.rs
@@ -194,7 +194,7 @@
     let suspect = job.gateway.is_suspect(job.fingerprint);
     let run = RequestGuard::new(target, job.fingerprint, suspect);
     let runs = phase == Phase::Run;
-    job.open.passed_on(&target.id.0, runs);
+    job.open.forwarded(&target.id.0, runs);
     let sending = link.sender().try_send_request(request);
     let answered = tokio::select! {
         answered = sending => answered,
@@ -249,7 +249,7 @@
 /// Notes that an attempt did not run the request, if it was meant to.
 fn note_not_run(job: &Job, runs: bool) {
     if runs {
-        job.open.not_run();
+        job.open.not_executed();
     }
 }
 
--- a/components/gateway/src/request/generate/migrate.rs
+++ b/components/gateway/src/request/generate/migrate.rs
@@ -79,7 +79,7 @@
         Some(_) => "stopped",
     };
     let metrics = &job.gateway.metrics;
-    metrics.moves.with_label_values(&[outcome]).inc();
+    metrics.migrations.with_label_values(&[outcome]).inc();
     let migration = migration?;
     let target = if migration.copied { to } else { from };
     Some(StoppedAnswer {
--- a/components/gateway/src/request/job.rs
+++ b/components/gateway/src/request/job.rs
@@ -3,7 +3,7 @@
 use std::{sync::Arc, time::Duration};
 
 use bytes::Bytes;
-use caller::Open;
+use caller::ExchangeGuard;
 use clock::Instant;
 use hyper::{HeaderMap, Method, Uri, http::request::Parts};
 
@@ -32,7 +32,7 @@
     /// When the headers had arrived.
     pub arrived: Instant,
     /// The request's entry on the caller's connection.
-    pub open: Open,
+    pub open: ExchangeGuard,
 }
 
 /// A request with everything that is needed to serve it.
@@ -66,7 +66,7 @@
     /// How often the request has been sent to endpoints, for the retry budget.
     pub arrivals: Arrivals,
     /// The request's entry on the caller's connection.
-    pub open: Open,
+    pub open: ExchangeGuard,
     _in_flight: CountGuard,
 }
 
--- a/components/gateway/src/request/mod.rs
+++ b/components/gateway/src/request/mod.rs
@@ -16,7 +16,7 @@
 
 use std::{panic::AssertUnwindSafe, sync::Arc};
 
-use caller::{Exchange, Open};
+use caller::{Exchange, ExchangeGuard};
 use clock::Instant;
 use futures::FutureExt;
 use hyper::{Request, Response, body::Incoming, header, http::request::Parts};
@@ -48,7 +48,7 @@
     let serving =
         AssertUnwindSafe(serve(&gateway, open, head, body, metadata, arrived)).catch_unwind();
     let failure_reason = |reason| {
-        if exchange.may_have_run() {
+        if exchange.may_have_executed() {
             Reason::AnswerLost
         } else {
             reason
@@ -82,7 +82,7 @@
 
 async fn serve(
     gateway: &Arc<Gateway>,
-    open: Open,
+    open: ExchangeGuard,
     head: Parts,
     body: Incoming,
     metadata: Metadata,
--- a/components/gateway/src/request/relay.rs
+++ b/components/gateway/src/request/relay.rs
@@ -376,10 +376,16 @@
         let service = &*self.job.service.name;
         let whole = self.job.arrived.elapsed().as_secs_f64();
         metrics.answers.with_label_values(&[service, outcome]).inc();
-        metrics.whole.with_label_values(&[service]).observe(whole);
+        metrics
+            .request_duration
+            .with_label_values(&[service])
+            .observe(whole);
         if let Some(first) = self.first_event {
             let first = (first - self.job.arrived).as_secs_f64();
-            metrics.first.with_label_values(&[service]).observe(first);
+            metrics
+                .time_to_first_byte
+                .with_label_values(&[service])
+                .observe(first);
         }
         let first_us = self
             .first_event
--- a/components/gateway/tests/gateway/fake.rs
+++ b/components/gateway/tests/gateway/fake.rs
@@ -110,11 +110,11 @@
 impl Table for Fake {
     fn read(&self, _: Read) -> BoxFuture<'_, Result<Vec<Row>, Error>> {
         self.reads.fetch_add(1, Ordering::Relaxed);
-        async { Err(Error::Refused) }.boxed()
+        async { Err(Error::NotApplied) }.boxed()
     }
 
     fn commit(&self, _: Transaction) -> BoxFuture<'_, Result<Outcome, Error>> {
-        async { Err(Error::Refused) }.boxed()
+        async { Err(Error::NotApplied) }.boxed()
     }
 }
 
--- a/components/standin/src/contract/mod.rs
+++ b/components/standin/src/contract/mod.rs
@@ -97,11 +97,11 @@
     // what the adapter says, whether the write is there afterwards
     let cases = |timeout: Duration| {
         [
-            (Faults::Down, Error::Refused, false),
-            (Faults::LostAnswers, Error::Unclear, true),
-            (Faults::LostWrites, Error::Unclear, false),
-            (Faults::Slow(timeout * 2), Error::Unclear, true),
-            (Faults::Garbage, Error::Unclear, false),
+            (Faults::Down, Error::NotApplied, false),
+            (Faults::LostAnswers, Error::OutcomeUnknown, true),
+            (Faults::LostWrites, Error::OutcomeUnknown, false),
+            (Faults::Slow(timeout * 2), Error::OutcomeUnknown, true),
+            (Faults::Garbage, Error::OutcomeUnknown, false),
         ]
     };
     for case in 0..cases(Duration::ZERO).len() {
--- a/components/standin/src/engine/state.rs
+++ b/components/standin/src/engine/state.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use endpoint::engine::{CacheEvent, Done, Frame, Generate, Order, Reason, Report, prefix};
+use endpoint::engine::{CacheEvent, Done, FinishReason, Frame, Generate, Order, Report, prefix};
 use futures::channel::mpsc::UnboundedSender;
 use protocol::order::{self, Wanted};
 
@@ -119,7 +119,7 @@
             "{}/{}/{}",
             generate.model, generate.adapter, generate.version
         );
-        let prompt_tokens = prefix::tokens(&generate.prompt) + generate.resume_from;
+        let prompt_tokens = prefix::estimate_tokens(&generate.prompt) + generate.resume_from;
         let until = if generate.export {
             generate.resume_from + 1
         } else {
@@ -129,7 +129,7 @@
             id: generate.attempt,
             priority: generate.priority,
             prompt_tokens,
-            blocks: prefix::blocks(&weights, &generate.prompt),
+            blocks: prefix::block_hashes(&weights, &generate.prompt),
             until,
             from: generate.resume_from,
             imported: generate.import.is_some(),
@@ -264,9 +264,9 @@
 fn frame(stream: &Stream, token: Token) -> Frame {
     let generate = &stream.generate;
     let reason = if generate.export {
-        Reason::Exported
+        FinishReason::Exported
     } else {
-        Reason::Length
+        FinishReason::Length
     };
     Frame {
         attempt: generate.attempt,
--- a/components/telemetry/src/logs/line.rs
+++ b/components/telemetry/src/logs/line.rs
@@ -38,6 +38,6 @@
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .ok()
-        .and_then(|since| u64::try_from(since.as_millis()).ok())
+        .and_then(|elapsed| u64::try_from(elapsed.as_millis()).ok())
         .unwrap_or(0)
 }
--- a/components/telemetry/src/logs/mod.rs
+++ b/components/telemetry/src/logs/mod.rs
@@ -17,13 +17,13 @@
 /// The log could not be started: one is running already.
 #[derive(Debug, Display, Error, From)]
 #[display("the log is running already")]
-pub struct Running(log::SetLoggerError);
+pub struct AlreadyRunning(log::SetLoggerError);
 
 /// The crates whose lines are written at the level asked for; the rest only warn.
-const OWN: &[&str] = &["daemon", "gateway", "platform", "telemetry", "wrenrampd"];
+const OWN_CRATES: &[&str] = &["daemon", "gateway", "platform", "telemetry", "wrenrampd"];
 /// How long a process that ends waits for its last lines to be written: a planned stop leaves more than this before the
 /// process would be killed.
-const LAST_LINES: Duration = Duration::from_millis(150);
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// The log of a process. When it is dropped, what was logged so far is written out.
 #[derive(Debug)]
@@ -31,7 +31,7 @@
 
 impl Drop for Guard {
     fn drop(&mut self) {
-        self.0.flush(LAST_LINES);
+        self.0.flush(FLUSH_TIMEOUT);
     }
 }
 
@@ -39,18 +39,18 @@
 ///
 /// # Errors
 ///
-/// [`Running`] when the process has a log already.
-pub fn start(process: &str, level: log::LevelFilter) -> Result<Guard, Running> {
+/// [`AlreadyRunning`] when the process has a log already.
+pub fn start(process: &str, level: log::LevelFilter) -> Result<Guard, AlreadyRunning> {
     let process = process.to_owned();
     let queue = Queue::start(std::io::stdout());
     let mut dispatch = fern::Dispatch::new().level(log::LevelFilter::Warn);
-    for own in OWN {
-        dispatch = dispatch.level_for(*own, level);
+    for name in OWN_CRATES {
+        dispatch = dispatch.level_for(*name, level);
     }
     let guard = Guard(queue.clone());
     let output = fern::Output::call(move |record| queue.push(line::json(&process, record)));
     dispatch.chain(output).apply()?;
-    panics::log();
+    panics::install_hook();
     Ok(guard)
 }
 
--- a/components/telemetry/src/logs/panics.rs
+++ b/components/telemetry/src/logs/panics.rs
@@ -3,12 +3,12 @@
 use std::panic::{self, PanicHookInfo};
 
 /// Has each panic of the process logged, beside what is done about it already.
-pub fn log() {
-    let before = panic::take_hook();
+pub fn install_hook() {
+    let previous_hook = panic::take_hook();
     panic::set_hook(Box::new(move |info| {
         let location = info.location().map(ToString::to_string);
         log::error!(location, cause = cause(info); "a task panicked");
-        before(info);
+        previous_hook(info);
     }));
 }
 
--- a/components/telemetry/src/logs/queue.rs
+++ b/components/telemetry/src/logs/queue.rs
@@ -12,13 +12,13 @@
 };
 
 /// Lines that may wait: some seconds' worth at the usual rate, a few megabytes at the most.
-const WAITING: usize = 4_096;
+const CAPACITY: usize = 4_096;
 /// Lines that are written in one go, so that a busy process writes seldom.
-const AT_ONCE: usize = 256;
+const MAX_BATCH_LINES: usize = 256;
 /// How long lines are collected before they are written.
-const COLLECT: Duration = Duration::from_millis(50);
+const BATCH_DELAY: Duration = Duration::from_millis(50);
 /// Between two tries to reach a thread whose queue is full.
-const RETRY: Duration = Duration::from_millis(5);
+const FLUSH_RETRY_INTERVAL: Duration = Duration::from_millis(5);
 
 /// What waits for the thread that writes.
 #[derive(Debug)]
@@ -48,10 +48,10 @@
 impl Queue {
     /// A queue whose lines go to an output.
     pub fn start(output: impl Write + Send + 'static) -> Self {
-        let (messages, waiting) = sync_channel(WAITING);
+        let (messages, receiver) = sync_channel(CAPACITY);
         let shared = Arc::<Shared>::default();
-        let seen = Arc::clone(&shared);
-        thread::spawn(move || write(BufWriter::new(output), &waiting, &seen));
+        let writer_shared = Arc::clone(&shared);
+        thread::spawn(move || write(BufWriter::new(output), &receiver, &writer_shared));
         Self { messages, shared }
     }
 
@@ -64,47 +64,47 @@
 
     /// Waits until the lines so far are written, for so long at most: a reader that doesn't read must not keep a
     /// process from ending.
-    pub fn flush(&self, most: Duration) {
-        let latest = Instant::now() + most;
+    pub fn flush(&self, timeout: Duration) {
+        let deadline = Instant::now() + timeout;
         self.shared.flushing.store(true, Ordering::Relaxed);
         let (done, written) = sync_channel(0);
         let mut message = Message::Flush(done);
         while let Err(TrySendError::Full(unsent)) = self.messages.try_send(message) {
-            if Instant::now() >= latest {
+            if Instant::now() >= deadline {
                 return;
             }
             message = unsent;
-            thread::sleep(RETRY);
+            thread::sleep(FLUSH_RETRY_INTERVAL);
         }
         // an error is how the thread says that it has written; or the time is over
-        let _ = written.recv_timeout(latest.saturating_duration_since(Instant::now()));
+        let _ = written.recv_timeout(deadline.saturating_duration_since(Instant::now()));
         self.shared.flushing.store(false, Ordering::Relaxed);
     }
 }
 
-fn write(mut output: BufWriter<impl Write>, waiting: &Receiver<Message>, shared: &Shared) {
-    while let Ok(first) = waiting.recv() {
+fn write(mut output: BufWriter<impl Write>, receiver: &Receiver<Message>, shared: &Shared) {
+    while let Ok(first) = receiver.recv() {
         let mut flushes = Vec::new();
-        let mut take = |message| match message {
+        let mut handle = |message| match message {
             // a reader that is gone takes the lines with it, but not the process
             Message::Line(line) => drop(writeln!(output, "{line}")),
             Message::Flush(done) => flushes.push(done),
         };
-        take(first);
+        handle(first);
         if !shared.flushing.load(Ordering::Relaxed) {
-            thread::sleep(COLLECT);
+            thread::sleep(BATCH_DELAY);
         }
-        let most = if shared.flushing.load(Ordering::Relaxed) {
-            WAITING
+        let limit = if shared.flushing.load(Ordering::Relaxed) {
+            CAPACITY
         } else {
-            AT_ONCE
+            MAX_BATCH_LINES
         };
-        waiting.try_iter().take(most).for_each(take);
-        let lost = shared.dropped.swap(0, Ordering::Relaxed);
-        if lost > 0 {
+        receiver.try_iter().take(limit).for_each(handle);
+        let dropped = shared.dropped.swap(0, Ordering::Relaxed);
+        if dropped > 0 {
             let _ = writeln!(
                 output,
-                "{{\"level\":\"WARN\",\"message\":\"lines of the log were dropped\",\"lines\":{lost}}}"
+                "{{\"level\":\"WARN\",\"message\":\"lines of the log were dropped\",\"lines\":{dropped}}}"
             );
         }
         let _ = output.flush();
--- a/components/telemetry/src/metrics/gateway.rs
+++ b/components/telemetry/src/metrics/gateway.rs
@@ -1,4 +1,4 @@
-//! Metrics of one gateway. Label sets are bounded: services come from the operators' configuration, the
+//! Metrics of one gateway. Label sets are bounded: services come from the operators' configuration_version, the
 //! rest are closed sets.
 
 use prometheus::{HistogramVec, IntCounter, IntCounterVec, IntGauge, Registry};
@@ -16,35 +16,35 @@
     /// Refusals, by reason.
     pub refusals: IntCounterVec,
     /// Callers' connections that ended with a request under way, by reason.
-    pub cuts: IntCounterVec,
+    pub interrupted_connections: IntCounterVec,
     /// Attempts that failed, by service and cause.
     pub failures: IntCounterVec,
     /// Repeats, by service and whether the budget allowed them.
-    pub repeats: IntCounterVec,
+    pub retries: IntCounterVec,
     /// Endpoints that ended with requests under way, by service.
-    pub ends: IntCounterVec,
+    pub crashes: IntCounterVec,
     /// Long answers that left their engine, by outcome.
-    pub moves: IntCounterVec,
+    pub migrations: IntCounterVec,
     /// Orders to engines, by outcome.
     pub orders: IntCounterVec,
     /// Engines asked for what they hold, by whether they told.
-    pub listings: IntCounterVec,
+    pub cache_listings: IntCounterVec,
     /// Calls to the platform's store, by what they were for and whether the store answered.
-    pub calls: IntCounterVec,
+    pub store_calls: IntCounterVec,
     /// Time to the first bytes of an answer, by service.
-    pub first: HistogramVec,
+    pub time_to_first_byte: HistogramVec,
     /// Time to the end of an answer, by service.
-    pub whole: HistogramVec,
+    pub request_duration: HistogramVec,
     /// The version of the configuration in force.
-    pub configuration: IntGauge,
+    pub configuration_version: IntGauge,
     /// The revision of the last change of the configuration that was read.
     pub configuration_read: IntGauge,
     /// The revision of its newest change that peers have told; above the other one while this process is behind.
-    pub configuration_told: IntGauge,
+    pub configuration_advertised: IntGauge,
     /// Open connections of callers.
     pub connections: IntGauge,
     /// Requests under way.
-    pub under_way: IntGauge,
+    pub in_flight: IntGauge,
     /// Peers that are heard.
     pub peers: IntGauge,
     /// Endpoints that are listed.
@@ -69,7 +69,7 @@
             requests: counters("requests_total", "Requests.", &["service"])?,
             answers: counters("answers_total", "Answers.", &["service", "outcome"])?,
             refusals: counters("refusals_total", "Refusals.", &["reason"])?,
-            cuts: counters(
+            interrupted_connections: counters(
                 "connections_cut_total",
                 "Callers' connections that ended with a request under way.",
                 &["reason"],
@@ -79,39 +79,46 @@
                 "Attempts that failed.",
                 &["service", "cause"],
             )?,
-            repeats: counters(
+            retries: counters(
                 "repeats_total",
                 "Arrivals at endpoints beyond the first.",
                 &["service", "allowed"],
             )?,
-            ends: counters(
+            crashes: counters(
                 "endpoint_ends_total",
                 "Endpoints that ended with requests under way.",
                 &["service"],
             )?,
-            moves: counters(
+            migrations: counters(
                 "moves_total",
                 "Answers that left their engine.",
                 &["outcome"],
             )?,
             orders: counters("orders_total", "Orders to engines.", &["outcome"])?,
-            listings: counters(
+            cache_listings: counters(
                 "engine_listings_total",
                 "Engines asked for what they hold.",
                 &["answered"],
             )?,
-            calls: counters(
+            store_calls: counters(
                 "store_calls_total",
                 "Calls to the store.",
                 &["call", "answered"],
             )?,
-            first: histogram("first_seconds", "Time to the first bytes.", &["service"])?,
-            whole: histogram("request_seconds", "Time to the end.", &["service"])?,
-            configuration: gauge("configuration_version", "Configuration in force.")?,
+            time_to_first_byte: histogram(
+                "first_seconds",
+                "Time to the first bytes.",
+                &["service"],
+            )?,
+            request_duration: histogram("request_seconds", "Time to the end.", &["service"])?,
+            configuration_version: gauge("configuration_version", "Configuration in force.")?,
             configuration_read: gauge("configuration_read_revision", "Last change read.")?,
-            configuration_told: gauge("configuration_told_revision", "Last change peers told.")?,
+            configuration_advertised: gauge(
+                "configuration_told_revision",
+                "Last change peers told.",
+            )?,
             connections: gauge("connections", "Open connections of callers.")?,
-            under_way: gauge("requests_under_way", "Requests under way.")?,
+            in_flight: gauge("requests_under_way", "Requests under way.")?,
             peers: gauge("peers", "Peers that are heard.")?,
             endpoints: gauge("endpoints", "Endpoints that are listed.")?,
             suspects: gauge("requests_suspected", "Requests that endpoints ended under.")?,
@@ -133,26 +140,26 @@
             &self.requests,
             &self.answers,
             &self.refusals,
-            &self.cuts,
+            &self.interrupted_connections,
             &self.failures,
-            &self.repeats,
-            &self.ends,
-            &self.moves,
+            &self.retries,
+            &self.crashes,
+            &self.migrations,
             &self.orders,
-            &self.listings,
-            &self.calls,
+            &self.cache_listings,
+            &self.store_calls,
         ] {
             self.registry.register(Box::new(counters.clone()))?;
         }
-        for histogram in [&self.first, &self.whole] {
+        for histogram in [&self.time_to_first_byte, &self.request_duration] {
             self.registry.register(Box::new(histogram.clone()))?;
         }
         for gauge in [
-            &self.configuration,
+            &self.configuration_version,
             &self.configuration_read,
-            &self.configuration_told,
+            &self.configuration_advertised,
             &self.connections,
-            &self.under_way,
+            &self.in_flight,
             &self.peers,
             &self.endpoints,
             &self.suspects,
--- a/components/telemetry/src/metrics/mod.rs
+++ b/components/telemetry/src/metrics/mod.rs
@@ -1,4 +1,4 @@
-//! Metrics of one daemon. Label sets are bounded: services and groups come from the settings.
+//! Metrics of one daemon. Label sets are bounded: services and groups come from the settings_version.
 
 pub mod gateway;
 
@@ -25,26 +25,26 @@
     pub refusals: IntCounterVec,
     /// Tokens of answers that were whole and in time, by service and group.
     pub goodput: IntCounterVec,
-    /// Time in the queue, by service and group.
-    pub queue: HistogramVec,
+    /// Time in the queue_time, by service and group.
+    pub queue_time: HistogramVec,
     /// Time to the first token, by service and group.
-    pub first: HistogramVec,
+    pub time_to_first_token: HistogramVec,
     /// Time to the end, by service and group.
-    pub whole: HistogramVec,
-    /// Attempts after the first, by reason.
+    pub request_duration: HistogramVec,
+    /// Attempts after the time_to_first_token, by reason.
     pub retries: IntCounterVec,
     /// Frames that belonged to no answer here, by verdict.
-    pub dropped: IntCounterVec,
+    pub dropped_frames: IntCounterVec,
     /// Orders by outcome.
     pub orders: IntCounterVec,
     /// The settings version in force.
-    pub settings: IntGauge,
+    pub settings_version: IntGauge,
     /// Calls to the table by outcome.
-    pub table: IntCounterVec,
+    pub table_calls: IntCounterVec,
     /// Open connections of callers.
     pub connections: IntGauge,
     /// Streams cut by a hard stop.
-    pub cut: IntCounter,
+    pub aborted_streams: IntCounter,
 }
 
 impl Metrics {
@@ -67,24 +67,30 @@
                 "Tokens of whole answers in time.",
                 &["service", "group"],
             )?,
-            queue: histogram("queue_seconds", "Time in the queue.", &["service", "group"])?,
-            first: histogram(
+            queue_time: histogram("queue_seconds", "Time in the queue.", &["service", "group"])?,
+            time_to_first_token: histogram(
                 "first_token_seconds",
                 "Time to the first token.",
                 &["service", "group"],
             )?,
-            whole: histogram(
+            request_duration: histogram(
                 "request_seconds",
                 "Time to the end of the answer.",
                 &["service", "group"],
             )?,
             retries: counters("retries_total", "Attempts after the first.", &["reason"])?,
-            dropped: counters("dropped_frames_total", "Frames dropped.", &["verdict"])?,
+            dropped_frames: counters("dropped_frames_total", "Frames dropped.", &["verdict"])?,
             orders: counters("orders_total", "Orders to engines.", &["outcome"])?,
-            settings: IntGauge::new("wrenramp_settings_version", "Settings version in force.")?,
-            table: counters("table_calls_total", "Calls to the table.", &["outcome"])?,
+            settings_version: IntGauge::new(
+                "wrenramp_settings_version",
+                "Settings version in force.",
+            )?,
+            table_calls: counters("table_calls_total", "Calls to the table.", &["outcome"])?,
             connections: IntGauge::new("wrenramp_connections", "Open connections of callers.")?,
-            cut: IntCounter::new("wrenramp_cut_streams_total", "Streams cut by a hard stop.")?,
+            aborted_streams: IntCounter::new(
+                "wrenramp_cut_streams_total",
+                "Streams cut by a hard stop.",
+            )?,
             registry,
         };
         metrics.register()?;
@@ -104,18 +110,22 @@
             &self.refusals,
             &self.goodput,
             &self.retries,
-            &self.dropped,
+            &self.dropped_frames,
             &self.orders,
-            &self.table,
+            &self.table_calls,
         ] {
             register(Box::new(counters.clone()))?;
         }
-        for histogram in [&self.queue, &self.first, &self.whole] {
+        for histogram in [
+            &self.queue_time,
+            &self.time_to_first_token,
+            &self.request_duration,
+        ] {
             register(Box::new(histogram.clone()))?;
         }
-        register(Box::new(self.settings.clone()))?;
+        register(Box::new(self.settings_version.clone()))?;
         register(Box::new(self.connections.clone()))?;
-        register(Box::new(self.cut.clone()))
+        register(Box::new(self.aborted_streams.clone()))
     }
 }
 
--- a/components/telemetry/src/timeline/mod.rs
+++ b/components/telemetry/src/timeline/mod.rs
@@ -14,7 +14,7 @@
 use crate::logs::wall_ms;
 
 /// How many events a process keeps.
-pub const EVENTS: usize = 16_384;
+pub const MAX_EVENTS: usize = 16_384;
 
 /// A hybrid logical time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize)]
@@ -131,7 +131,7 @@
 
 impl Timeline {
     /// Notes an event.
-    pub fn note(&self, kind: Kind, subject: impl Into<String>, detail: impl Into<String>) {
+    pub fn record(&self, kind: Kind, subject: impl Into<String>, detail: impl Into<String>) {
         let mut state = self.lock();
         state.time = state.time.next(wall_ms());
         let event = Event {
@@ -140,7 +140,7 @@
             subject: subject.into(),
             detail: detail.into(),
         };
-        if state.events.len() == EVENTS {
+        if state.events.len() == MAX_EVENTS {
             state.events.pop_front();
         }
         state.events.push_back(event);
@@ -162,10 +162,10 @@
     #[must_use]
     pub fn events(&self, since_ms: u64, subject: Option<&str>) -> Vec<Event> {
         let state = self.lock();
-        let wanted = |event: &&Event| {
+        let matches = |event: &&Event| {
             event.time.physical_ms >= since_ms && subject.is_none_or(|s| event.subject == s)
         };
-        state.events.iter().filter(wanted).cloned().collect()
+        state.events.iter().filter(matches).cloned().collect()
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
--- a/components/telemetry/tests/last_lines.rs
+++ b/components/telemetry/tests/last_lines.rs
@@ -3,14 +3,14 @@
 use std::process::{Command, Output};
 
 /// Set for the process that logs.
-const CHILD: &str = "LOGS_AND_ENDS";
+const CHILD_ENV: &str = "LOGS_AND_ENDS";
 
 /// Runs one of the tests below in a process of its own, in which it logs.
-fn run(test: &str) -> Output {
-    let own = std::env::current_exe().expect("the test's own program");
-    Command::new(own)
+fn run_in_child(test: &str) -> Output {
+    let program = std::env::current_exe().expect("the test's own program");
+    Command::new(program)
         .args(["--exact", test, "--nocapture", "--test-threads", "1"])
-        .env(CHILD, "yes")
+        .env(CHILD_ENV, "yes")
         .output()
         .expect("the program runs")
 }
@@ -22,34 +22,34 @@
 }
 
 fn is_child() -> bool {
-    std::env::var_os(CHILD).is_some()
+    std::env::var_os(CHILD_ENV).is_some()
 }
 
 /// More lines than are written in one go.
-const MANY: usize = 1_000;
+const LINES: usize = 1_000;
 
 #[test]
-fn what_was_logged_last_is_written_before_a_process_ends() {
+fn lines_logged_last_are_written_before_the_process_exits() {
     if is_child() {
         let _logs = telemetry::logs::start("child", log::LevelFilter::Info).expect("one log");
-        for number in 0..MANY {
+        for number in 0..LINES {
             log::info!(target: "gateway", number; "one of many");
         }
         return;
     }
-    let output = run("what_was_logged_last_is_written_before_a_process_ends");
-    assert_eq!(lines(&output, "one of many").len(), MANY);
+    let output = run_in_child("lines_logged_last_are_written_before_the_process_exits");
+    assert_eq!(lines(&output, "one of many").len(), LINES);
 }
 
 #[test]
-fn a_panic_is_a_line_of_the_log_that_says_where() {
+fn a_panic_is_logged_with_its_location() {
     if is_child() {
         let _logs = telemetry::logs::start("child", log::LevelFilter::Info).expect("one log");
         let task = std::thread::spawn(|| panic!("the worst came"));
         task.join().expect_err("it panics");
         return;
     }
-    let output = run("a_panic_is_a_line_of_the_log_that_says_where");
+    let output = run_in_child("a_panic_is_logged_with_its_location");
     let lines = lines(&output, "a task panicked");
     assert_eq!(lines.len(), 1, "{output:?}");
     assert!(lines[0].contains("the worst came"), "{lines:?}");
--- a/components/wire/src/lib.rs
+++ b/components/wire/src/lib.rs
@@ -18,4 +18,4 @@
 
 /// The largest message that is taken, in bytes: trees of tens of thousands of groups come in one message, 5.6 MB at
 /// 45,000 groups. The library takes 4 MB unless it is told.
-pub const MESSAGE_BYTES: usize = 64 << 20;
+pub const MAX_MESSAGE_BYTES: usize = 64 << 20;
--- a/src/bin/wrenrampd.rs
+++ b/src/bin/wrenrampd.rs
@@ -40,11 +40,11 @@
 
 fn main() -> ExitCode {
     let options = options().run();
-    let ended = match &options.role {
+    let result = match &options.role {
         Role::Daemon { config } => daemon(config, &options),
         Role::Gateway { gateway } => gateway_process(gateway, &options),
     };
-    match ended {
+    match result {
         Ok(0) => ExitCode::SUCCESS,
         Ok(cut) => {
             eprintln!("{cut} requests were cut");
@@ -57,17 +57,17 @@
     }
 }
 
-type Ended = Result<usize, Box<dyn std::error::Error>>;
+type ExitResult = Result<usize, Box<dyn std::error::Error>>;
 
-fn no_problem(file: &Path) -> usize {
+fn report_valid(file: &Path) -> usize {
     println!("{}: no problem", file.display());
     0
 }
 
-fn daemon(file: &Path, options: &Options) -> Ended {
+fn daemon(file: &Path, options: &Options) -> ExitResult {
     let settings = Settings::load(file)?;
     if options.check {
-        return Ok(no_problem(file));
+        return Ok(report_valid(file));
     }
     // dropped after the runtime, whose tasks may log until then
     let _logs = telemetry::logs::start(&settings.daemon.name, options.log)?;
@@ -75,7 +75,7 @@
 }
 
 /// Runs the daemon to its planned end and says how many requests were cut.
-async fn run_daemon(settings: Settings) -> Ended {
+async fn run_daemon(settings: Settings) -> ExitResult {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     let mut running = daemon::start(settings).await?;
@@ -98,10 +98,10 @@
     Ok(running.end_hard())
 }
 
-fn gateway_process(file: &Path, options: &Options) -> Ended {
+fn gateway_process(file: &Path, options: &Options) -> ExitResult {
     let settings = gateway::Settings::load(file)?;
     if options.check {
-        return Ok(no_problem(file));
+        return Ok(report_valid(file));
     }
     // dropped after the runtime, whose tasks may log until then
     let _logs = telemetry::logs::start(&settings.gateway.name, options.log)?;
@@ -119,26 +119,26 @@
 
 /// Between two looks whether the settings file has changed without a signal. Operators may change it
 /// so, and reading a small file is cheap.
-const LOOK: std::time::Duration = std::time::Duration::from_secs(2);
+const SETTINGS_POLL_INTERVAL: std::time::Duration = std::time::Duration::from_secs(2);
 
 /// Runs the gateway to its planned end and says how many requests were cut.
-async fn run_gateway(file: &Path, settings: gateway::Settings) -> Ended {
+async fn run_gateway(file: &Path, settings: gateway::Settings) -> ExitResult {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut hangup = signal(SignalKind::hangup())?;
     let edges = platform::adapters(settings.store.address);
-    let mut seen = settings.clone();
+    let mut applied = settings.clone();
     let mut readable = true;
     let mut running = ::gateway::start(settings, edges).await?;
     loop {
         tokio::select! {
             _ = terminate.recv() => break,
             _ = hangup.recv() => log::info!("told that the settings changed"),
-            () = tokio::time::sleep(LOOK) => {}
+            () = tokio::time::sleep(SETTINGS_POLL_INTERVAL) => {}
         }
         match gateway::Settings::load(file) {
-            Ok(new) if new != seen => {
+            Ok(new) if new != applied => {
                 running.reload(&new);
-                seen = new;
+                applied = new;
             }
             Ok(_) => readable = true,
             Err(error) if readable => {
