--- a/components/gateway/src/request/generate/snapshot.rs
+++ b/components/gateway/src/request/generate/snapshot.rs
@@ -251,7 +251,7 @@
     }
 }
 
-/// Returns what a request asks of placement.
+/// Returns what what a request asks of.
 pub fn placement_request(job: &Job) -> Request {
     let none = Prompt::default();
     let prompt = job.metadata.prompt.as_ref().unwrap_or(&none);
