--- a/components/gateway/src/request/attempt.rs
+++ b/components/gateway/src/request/attempt.rs
@@ -25,11 +25,11 @@
     /// The body, still being received.
     pub body: Incoming,
     /// The connection on which it arrives.
-    pub link: Connection,
+    pub connection: Connection,
     /// The endpoint that responds.
     pub target: Arc<Target>,
     /// The request in flight on the endpoint.
-    pub run: RequestGuard,
+    pub guard: RequestGuard,
 }
 
 impl Answer {
@@ -43,7 +43,7 @@
         match self.head.status {
             status if status.is_success() => Ok(self),
             status => {
-                self.run.finish();
+                self.guard.finish();
                 Err(Cause::ErrorStatus(status.as_u16()))
             }
         }
@@ -177,7 +177,7 @@
     } else {
         MAX_IDLE_ONCE
     };
-    let mut link = target
+    let mut connection = target
         .connect(max_idle, job.max_connections())
         .await
         .map_err(Cause::NotOpened)?;
@@ -187,15 +187,15 @@
         Phase::Run
     };
     if !job.arrivals.record(job, phase) {
-        target.return_connection(link);
+        target.return_connection(connection);
         return Err(Cause::RetryBudgetExhausted);
     }
     let request = build_request(job, directive);
     let suspect = job.gateway.is_suspect(job.fingerprint);
-    let run = RequestGuard::new(target, job.fingerprint, suspect);
+    let guard = RequestGuard::new(target, job.fingerprint, suspect);
     let runs = phase == Phase::Run;
     job.open.forwarded(&target.id.0, runs);
-    let sending = link.sender().try_send_request(request);
+    let sending = connection.sender().try_send_request(request);
     let answered = tokio::select! {
         answered = sending => answered,
         () = timeout.wait(job, target) => return Err(Cause::TimedOut),
@@ -207,13 +207,13 @@
             return Err(match error.take_message() {
                 // the connection had closed before any byte was written
                 Some(_) => {
-                    run.finish();
+                    guard.finish();
                     note_not_run(job, runs);
                     Cause::NotSent
                 }
                 None if error.error().is_parse() => Cause::ForeignResponse,
                 None => {
-                    run.connection_broke();
+                    guard.connection_broke();
                     job.gateway.check_for_crash(target, &job.metadata.id).await;
                     Cause::ConnectionBroken
                 }
@@ -231,17 +231,17 @@
     match () {
         () if !reply.matches_request => Err(Cause::ForeignResponse),
         () if reply.not_run => {
-            run.finish();
+            guard.finish();
             note_not_run(job, runs);
-            drain_and_give_back(target, link, body);
+            drain_and_return(target, connection, body);
             Err(Cause::NotRun(head.status.as_u16()))
         }
         () => Ok(Answer {
             head,
             body,
-            link,
+            connection,
             target: Arc::clone(target),
-            run,
+            guard,
         }),
     }
 }
@@ -271,7 +271,7 @@
 const MAX_DRAINED_BYTES: u64 = 4 << 10;
 
 /// Reads the short remainder of a response and returns its connection to the pool.
-fn drain_and_give_back(target: &Arc<Target>, link: Connection, body: Incoming) {
+fn drain_and_return(target: &Arc<Target>, connection: Connection, body: Incoming) {
     if body
         .size_hint()
         .upper()
@@ -282,7 +282,7 @@
     let target = Arc::clone(target);
     tokio::spawn(async move {
         if body.collect().await.is_ok() {
-            target.return_connection(link);
+            target.return_connection(connection);
         }
     });
 }
@@ -307,7 +307,7 @@
     target: &Arc<Target>,
     call: Call,
 ) -> Option<(StatusCode, Bytes)> {
-    let mut link = target
+    let mut connection = target
         .connect(MAX_IDLE_RETRYABLE, MAX_CALL_CONNECTIONS)
         .await
         .ok()?;
@@ -316,12 +316,12 @@
     *request.uri_mut() = call.path.parse().ok()?;
     *request.headers_mut() = call.headers;
     let exchange = async {
-        let response = link.sender().send_request(request).await.ok()?;
+        let response = connection.sender().send_request(request).await.ok()?;
         let status = response.status();
         let body = Limited::new(response.into_body(), MAX_CALL_RESPONSE_BYTES).collect();
         Some((status, body.await.ok()?.to_bytes()))
     };
     let answer = clock::timeout(timeout, exchange).await.ok()??;
-    target.return_connection(link);
+    target.return_connection(connection);
     Some(answer)
 }
--- a/components/gateway/src/request/generate/mod.rs
+++ b/components/gateway/src/request/generate/mod.rs
@@ -57,13 +57,18 @@
             }
         };
         match outcome {
-            Ok((answer, writing)) => {
+            Ok((answer, decode_guard)) => {
                 if attempts.none_failed() && timing == Timing::OnTime {
                     let took = policy::micros(job.arrived.elapsed());
                     job.gateway
                         .learn_margin(&job.service.name, choice.first_event_us, took);
                 }
-                return Ok(relay::forward(job, answer, writing, attempts.runs() + 1));
+                return Ok(relay::forward(
+                    job,
+                    answer,
+                    decode_guard,
+                    attempts.runs() + 1,
+                ));
             }
             Err(failed) => {
                 // another prefill and another fetch would send the request twice more
@@ -129,7 +134,7 @@
         run::single_engine(job, &snapshot, engine, Timeout::at(job.deadline), after).await;
     let resumed = resumed
         .map_err(|failed| failed.cause)
-        .and_then(|(answer, writing)| Ok((answer.into_continuation()?, writing)));
+        .and_then(|(answer, decode_guard)| Ok((answer.into_continuation()?, decode_guard)));
     if let Err(Some(verdict)) = resumed.as_ref().map_err(|cause| cause.verdict()) {
         snapshot.targets[engine].record_verdict(verdict, &job.metadata.id);
     }
--- a/components/gateway/src/request/relay.rs
+++ b/components/gateway/src/request/relay.rs
@@ -83,33 +83,38 @@
 /// The endpoint's response that is currently relayed.
 struct Source {
     body: Incoming,
-    link: Connection,
+    connection: Connection,
     target: Arc<Target>,
     last_event: Option<Instant>,
     /// Time that the prompts in flight on the engine still needed when the last event arrived, in
     /// microseconds.
     prefill_left: Option<policy::Micros>,
-    _writing: DecodeGuard,
+    _decode_guard: DecodeGuard,
     /// The request in flight on the endpoint; none once its connection broke.
-    run: Option<RequestGuard>,
+    guard: Option<RequestGuard>,
 }
 
 impl Source {
-    fn new(answer: Answer, writing: DecodeGuard) -> Self {
+    fn new(answer: Answer, decode_guard: DecodeGuard) -> Self {
         Self {
             body: answer.body,
-            link: answer.link,
+            connection: answer.connection,
             target: answer.target,
             last_event: None,
             prefill_left: None,
-            _writing: writing,
-            run: Some(answer.run),
+            _decode_guard: decode_guard,
+            guard: Some(answer.guard),
         }
     }
 }
 
 /// Starts to relay a response. `attempts` counts the attempts so far, this one included.
-pub fn forward(job: Job, answer: Answer, writing: DecodeGuard, attempts: u32) -> Response<Body> {
+pub fn forward(
+    job: Job,
+    answer: Answer,
+    decode_guard: DecodeGuard,
+    attempts: u32,
+) -> Response<Body> {
     let mut response = Response::new(());
     *response.status_mut() = answer.head.status;
     *response.headers_mut() = call::headers::end_to_end(&answer.head.headers);
@@ -121,7 +126,7 @@
     let mut relay = Relay {
         status: answer.head.status,
         endpoint: answer.target.id.clone(),
-        source: Some(Source::new(answer, writing)),
+        source: Some(Source::new(answer, decode_guard)),
         job,
         splitter,
         attempts,
@@ -211,8 +216,8 @@
     /// Records that the endpoint aborted its response, and checks whether it has crashed.
     async fn note_break(&mut self) {
         if let Some(source) = &mut self.source {
-            if let Some(run) = source.run.take() {
-                run.connection_broke();
+            if let Some(guard) = source.guard.take() {
+                guard.connection_broke();
             }
             let gateway = &self.job.gateway;
             gateway
@@ -252,8 +257,8 @@
         let rest = self.splitter.as_mut().and_then(EventSplitter::finish);
         self.log_outcome("answered");
         if let Some(source) = self.source.take() {
-            if let Some(run) = source.run {
-                run.finish();
+            if let Some(guard) = source.guard {
+                guard.finish();
             }
             if self.status.is_success() {
                 self.job.gateway.record_served(self.job.fingerprint);
@@ -261,7 +266,7 @@
             source
                 .target
                 .record_verdict(Verdict::Fine, &self.job.metadata.id);
-            source.target.return_connection(source.link);
+            source.target.return_connection(source.connection);
         }
         rest
     }
@@ -316,9 +321,9 @@
         let mut next = Some(stopped);
         while let Some(stopped) = next {
             match migrate::resume(&self.job, &stopped, after).await {
-                Ok((answer, writing)) => {
+                Ok((answer, decode_guard)) => {
                     self.endpoint = answer.target.id.clone();
-                    self.source = Some(Source::new(answer, writing));
+                    self.source = Some(Source::new(answer, decode_guard));
                     return true;
                 }
                 Err(cause) => {
@@ -357,9 +362,9 @@
         }
         self.attempts += 1;
         match generate::resume(&self.job, after, &from).await {
-            Ok((answer, writing)) => {
+            Ok((answer, decode_guard)) => {
                 self.endpoint = answer.target.id.clone();
-                self.source = Some(Source::new(answer, writing));
+                self.source = Some(Source::new(answer, decode_guard));
                 true
             }
             Err(cause) => {
