--- a/components/caller/src/lib.rs
+++ b/components/caller/src/lib.rs
@@ -1,7 +1,7 @@
-//! Connections of callers: what is under way on one, and whether its caller is still there.
+//! Connections of callers: the request in flight on each, and detection of callers that have disconnected.
 
 mod exchange;
 mod socket;
 
-pub use exchange::{Exchange, Open, Request, Stage, Wait};
+pub use exchange::{Exchange, ExchangeGuard, Request, Stage, Wait};
 pub use socket::Socket;
--- a/components/cloud/src/vms/mod.rs
+++ b/components/cloud/src/vms/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's VM list, which lags behind what happens.
+//! The platform's VM list, which lags behind the actual state.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -8,48 +8,48 @@
 
 use call::Client;
 
-/// What the platform says of a VM.
+/// State of a VM according to the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum State {
-    /// It runs.
+    /// The VM is running.
     Live,
-    /// It will be taken away.
+    /// The VM will be removed.
     Leaving,
 }
 
-/// What runs on a VM.
+/// The kind of process that runs on a VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
-    /// A daemon of the system.
+    /// A daemon.
     Entry,
     /// An engine or a plain service.
     Endpoint,
 }
 
-/// One VM.
+/// A VM in the list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Vm {
-    /// Where its process listens: peers' address of a daemon, address of an endpoint.
+    /// Address of its process: the peer address of a daemon, or the address of an endpoint.
     pub address: SocketAddr,
-    /// Its data centre.
+    /// Data centre of the VM.
     pub data_centre: String,
-    /// What runs there.
+    /// The kind of process that it runs.
     pub kind: Kind,
-    /// Whether it stays.
+    /// Whether it is running or about to be removed.
     pub state: State,
 }
 
 /// The list could not be read.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 #[display("the VM list was not read")]
-pub struct Unread;
+pub struct ReadError;
 
-/// The VM list as the daemon needs it.
+/// The operations that the daemon needs of a VM list.
 pub trait List: Send + Sync {
-    /// Reads the whole list.
-    fn read(&self) -> BoxFuture<'_, Result<Vec<Vm>, Unread>>;
+    /// Reads the complete list.
+    fn read(&self) -> BoxFuture<'_, Result<Vec<Vm>, ReadError>>;
 }
 
 /// A VM list reached over HTTP.
@@ -57,26 +57,28 @@
 pub struct Http {
     client: Client,
     address: SocketAddr,
-    silence: Duration,
+    idle_timeout: Duration,
 }
 
 impl Http {
-    /// An adapter to a list; a call ends when nothing comes for `silence`.
+    /// Creates an adapter. A call times out when no data arrives for `idle_timeout`.
     #[must_use]
-    pub fn new(address: SocketAddr, silence: Duration) -> Self {
+    pub fn new(address: SocketAddr, idle_timeout: Duration) -> Self {
         Self {
             client: Client::default(),
             address,
-            silence,
+            idle_timeout,
         }
     }
 }
 
 impl List for Http {
-    fn read(&self) -> BoxFuture<'_, Result<Vec<Vm>, Unread>> {
+    fn read(&self) -> BoxFuture<'_, Result<Vec<Vm>, ReadError>> {
         async move {
-            let call = self.client.post(self.address, "/vms", &(), self.silence);
-            call.await.map_err(|_| Unread)
+            let call = self
+                .client
+                .post(self.address, "/vms", &(), self.idle_timeout);
+            call.await.map_err(|_| ReadError)
         }
         .boxed()
     }
--- a/components/telemetry/src/logs/queue.rs
+++ b/components/telemetry/src/logs/queue.rs
@@ -1,4 +1,4 @@
-//! The lines that wait to be written.
+//! The queue of log lines and the thread that writes them.
 
 use std::{
     io::{BufWriter, Write},
@@ -11,100 +11,100 @@
     time::{Duration, Instant},
 };
 
-/// Lines that may wait: some seconds' worth at the usual rate, a few megabytes at the most.
-const WAITING: usize = 4_096;
-/// Lines that are written in one go, so that a busy process writes seldom.
-const AT_ONCE: usize = 256;
-/// How long lines are collected before they are written.
-const COLLECT: Duration = Duration::from_millis(50);
-/// Between two tries to reach a thread whose queue is full.
-const RETRY: Duration = Duration::from_millis(5);
+/// Maximum number of queued lines: some seconds' worth at the usual rate, and a few megabytes at most.
+const CAPACITY: usize = 4_096;
+/// Maximum number of lines written at once; writing in batches keeps the number of writes low in a busy process.
+const MAX_BATCH_LINES: usize = 256;
+/// Time for which lines are collected before they are written.
+const BATCH_DELAY: Duration = Duration::from_millis(50);
+/// Time between attempts to queue a flush while the queue is full.
+const FLUSH_RETRY_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What waits for the thread that writes.
+/// A message to the writer thread.
 #[derive(Debug)]
 enum Message {
-    /// A line.
+    /// A line to write.
     Line(String),
-    /// Somebody waits until all that came before is written; dropping this says so.
+    /// Flushes all lines queued before it; the sender is dropped once they are written.
     Flush(SyncSender<()>),
 }
 
-/// A queue with a thread that empties it.
+/// A bounded queue of lines with a thread that writes them.
 #[derive(Clone, Debug)]
 pub struct Queue {
     messages: SyncSender<Message>,
     shared: Arc<Shared>,
 }
 
-/// What both sides of the queue see.
+/// State shared by the queue's users and its writer thread.
 #[derive(Debug, Default)]
 struct Shared {
-    /// Lines that were dropped since this was told last.
+    /// Lines dropped since this was last logged.
     dropped: AtomicU64,
-    /// Whether somebody waits for the lines to be written.
+    /// Whether a flush is in progress.
     flushing: AtomicBool,
 }
 
 impl Queue {
-    /// A queue whose lines go to an output.
+    /// Starts a thread that writes to `output`, and returns its queue.
     pub fn start(output: impl Write + Send + 'static) -> Self {
-        let (messages, waiting) = sync_channel(WAITING);
+        let (messages, receiver) = sync_channel(CAPACITY);
         let shared = Arc::<Shared>::default();
-        let seen = Arc::clone(&shared);
-        thread::spawn(move || write(BufWriter::new(output), &waiting, &seen));
+        let writer_shared = Arc::clone(&shared);
+        thread::spawn(move || write(BufWriter::new(output), &receiver, &writer_shared));
         Self { messages, shared }
     }
 
-    /// Adds a line, or drops it and counts it.
+    /// Queues a line, or drops and counts it if the queue is full.
     pub fn push(&self, line: String) {
         if self.messages.try_send(Message::Line(line)).is_err() {
             self.shared.dropped.fetch_add(1, Ordering::Relaxed);
         }
     }
 
-    /// Waits until the lines so far are written, for so long at most: a reader that doesn't read must not keep a
-    /// process from ending.
-    pub fn flush(&self, most: Duration) {
-        let latest = Instant::now() + most;
+    /// Waits until the lines queued so far are written, up to `timeout`: output that nobody reads must not keep a
+    /// process from exiting.
+    pub fn flush(&self, timeout: Duration) {
+        let deadline = Instant::now() + timeout;
         self.shared.flushing.store(true, Ordering::Relaxed);
         let (done, written) = sync_channel(0);
         let mut message = Message::Flush(done);
         while let Err(TrySendError::Full(unsent)) = self.messages.try_send(message) {
-            if Instant::now() >= latest {
+            if Instant::now() >= deadline {
                 return;
             }
             message = unsent;
-            thread::sleep(RETRY);
+            thread::sleep(FLUSH_RETRY_INTERVAL);
         }
-        // an error is how the thread says that it has written; or the time is over
-        let _ = written.recv_timeout(latest.saturating_duration_since(Instant::now()));
+        // receives an error when the writer drops the sender after writing, or on timeout
+        let _ = written.recv_timeout(deadline.saturating_duration_since(Instant::now()));
         self.shared.flushing.store(false, Ordering::Relaxed);
     }
 }
 
-fn write(mut output: BufWriter<impl Write>, waiting: &Receiver<Message>, shared: &Shared) {
-    while let Ok(first) = waiting.recv() {
+fn write(mut output: BufWriter<impl Write>, receiver: &Receiver<Message>, shared: &Shared) {
+    while let Ok(first) = receiver.recv() {
         let mut flushes = Vec::new();
-        let mut take = |message| match message {
-            // a reader that is gone takes the lines with it, but not the process
+        let mut handle = |message| match message {
+            // lines are lost if nobody reads the output any more, but the process goes on
             Message::Line(line) => drop(writeln!(output, "{line}")),
             Message::Flush(done) => flushes.push(done),
         };
-        take(first);
+        handle(first);
         if !shared.flushing.load(Ordering::Relaxed) {
-            thread::sleep(COLLECT);
+            thread::sleep(BATCH_DELAY);
         }
-        let most = if shared.flushing.load(Ordering::Relaxed) {
-            WAITING
+        let limit = if shared.flushing.load(Ordering::Relaxed) {
+            CAPACITY
         } else {
-            AT_ONCE
+            MAX_BATCH_LINES
         };
-        waiting.try_iter().take(most).for_each(take);
-        let lost = shared.dropped.swap(0, Ordering::Relaxed);
-        if lost > 0 {
+        receiver.try_iter().take(limit).for_each(handle);
+        let dropped = shared.dropped.swap(0, Ordering::Relaxed);
+        if dropped > 0 {
             let _ = writeln!(
                 output,
-                "{{\"level\":\"WARN\",\"message\":\"lines of the log were dropped\",\"lines\":{lost}}}"
+                "{{\"level\":\"WARN\",\"message\":\"log lines were dropped\",\"lines\":{dropped}}}"
             );
         }
         let _ = output.flush();
