--- a/components/telemetry/src/metrics/gateway.rs
+++ b/components/telemetry/src/metrics/gateway.rs
@@ -1,5 +1,5 @@
-//! Metrics of one gateway. Label sets are bounded: services come from the operators' configuration, the
-//! rest are closed sets.
+//! Metrics of one gateway. Label sets are bounded: services come from the operators' configuration, all other labels
+//! have fixed sets of values.
 
 use prometheus::{HistogramVec, IntCounter, IntCounterVec, IntGauge, Registry};
 
@@ -9,67 +9,68 @@
 #[derive(Clone, Debug)]
 pub struct Metrics {
     registry: Registry,
-    /// Requests that were read and found their route, by service.
+    /// Requests that were received and matched a route, by service.
     pub requests: IntCounterVec,
-    /// Requests that an endpoint answered, by service and how the answer ended.
+    /// Requests that an endpoint answered, by service and by how the answer ended.
     pub answers: IntCounterVec,
-    /// Refusals, by reason.
+    /// Refused requests, by reason.
     pub refusals: IntCounterVec,
-    /// Callers' connections that ended with a request under way, by reason.
-    pub cuts: IntCounterVec,
-    /// Attempts that failed, by service and cause.
+    /// Callers' connections that ended with a request in flight, by reason.
+    pub interrupted_connections: IntCounterVec,
+    /// Failed attempts, by service and cause.
     pub failures: IntCounterVec,
-    /// Repeats, by service and whether the budget allowed them.
-    pub repeats: IntCounterVec,
-    /// Endpoints that ended with requests under way, by service.
-    pub ends: IntCounterVec,
-    /// Long answers that left their engine, by outcome.
-    pub moves: IntCounterVec,
+    /// Retries, by service and by whether the retry budget allowed them or got them back.
+    pub retries: IntCounterVec,
+    /// Endpoints that crashed with requests in flight, by service.
+    pub crashes: IntCounterVec,
+    /// Migrations of long answers to another engine, by outcome.
+    pub migrations: IntCounterVec,
     /// Orders to engines, by outcome.
     pub orders: IntCounterVec,
-    /// Engines asked for what they hold, by whether they told.
-    pub listings: IntCounterVec,
-    /// Calls to the platform's store, by what they were for and whether the store answered.
-    pub calls: IntCounterVec,
+    /// Queries of an engine's cached tokens, by whether the engine answered.
+    pub cache_listings: IntCounterVec,
+    /// Calls to the platform's store, by purpose and by whether the store answered.
+    pub store_calls: IntCounterVec,
     /// Time to the first bytes of an answer, by service.
-    pub first: HistogramVec,
+    pub time_to_first_byte: HistogramVec,
     /// Time to the end of an answer, by service.
-    pub whole: HistogramVec,
-    /// The version of the configuration in force.
-    pub configuration: IntGauge,
-    /// The revision of the last change of the configuration that was read.
+    pub request_duration: HistogramVec,
+    /// Version of the configuration in force.
+    pub configuration_version: IntGauge,
+    /// Revision of the newest configuration change that this process has read.
     pub configuration_read: IntGauge,
-    /// The revision of its newest change that peers have told; above the other one while this process is behind.
-    pub configuration_told: IntGauge,
+    /// Revision of the newest configuration change that peers have advertised; higher than `configuration_read` while
+    /// this process lags behind.
+    pub configuration_advertised: IntGauge,
     /// Open connections of callers.
     pub connections: IntGauge,
-    /// Requests under way.
-    pub under_way: IntGauge,
-    /// Peers that are heard.
+    /// Requests in flight.
+    pub in_flight: IntGauge,
+    /// Reachable peers.
     pub peers: IntGauge,
-    /// Endpoints that are listed.
+    /// Listed endpoints.
     pub endpoints: IntGauge,
-    /// Requests, by what they ask for, that endpoints have ended under.
+    /// Request fingerprints suspected because endpoints crashed while serving them.
     pub suspects: IntGauge,
-    /// Those of them that get to no endpoint.
+    /// Suspected fingerprints whose requests are withheld from all endpoints.
     pub withheld: IntGauge,
-    /// Times that the settings file was read again.
+    /// Reloads of the changed settings file.
     pub reloads: IntCounter,
 }
 
 impl Metrics {
-    /// Makes and registers all metrics.
+    /// Creates and registers all metrics.
     ///
     /// # Errors
     ///
-    /// The library's error when two metrics share a name.
+    /// An error of the library when two metrics have the same name.
     pub fn new() -> prometheus::Result<Self> {
         let metrics = Self {
             registry: Registry::new(),
             requests: counters("requests_total", "Requests.", &["service"])?,
             answers: counters("answers_total", "Answers.", &["service", "outcome"])?,
             refusals: counters("refusals_total", "Refusals.", &["reason"])?,
-            cuts: counters(
+            interrupted_connections: counters(
                 "connections_cut_total",
                 "Callers' connections that ended with a request under way.",
                 &["reason"],
@@ -79,39 +80,46 @@
                 "Attempts that failed.",
                 &["service", "cause"],
             )?,
-            repeats: counters(
+            retries: counters(
                 "repeats_total",
                 "Arrivals at endpoints beyond the first.",
                 &["service", "allowed"],
             )?,
-            ends: counters(
+            crashes: counters(
                 "endpoint_ends_total",
                 "Endpoints that ended with requests under way.",
                 &["service"],
             )?,
-            moves: counters(
+            migrations: counters(
                 "moves_total",
                 "Answers that left their engine.",
                 &["outcome"],
             )?,
             orders: counters("orders_total", "Orders to engines.", &["outcome"])?,
-            listings: counters(
+            cache_listings: counters(
                 "engine_listings_total",
                 "Engines asked for what they hold.",
                 &["answered"],
             )?,
-            calls: counters(
+            store_calls: counters(
                 "store_calls_total",
                 "Calls to the store.",
                 &["call", "answered"],
             )?,
-            first: histogram("first_seconds", "Time to the first bytes.", &["service"])?,
-            whole: histogram("request_seconds", "Time to the end.", &["service"])?,
-            configuration: gauge("configuration_version", "Configuration in force.")?,
+            time_to_first_byte: histogram(
+                "first_seconds",
+                "Time to the first bytes.",
+                &["service"],
+            )?,
+            request_duration: histogram("request_seconds", "Time to the end.", &["service"])?,
+            configuration_version: gauge("configuration_version", "Configuration in force.")?,
             configuration_read: gauge("configuration_read_revision", "Last change read.")?,
-            configuration_told: gauge("configuration_told_revision", "Last change peers told.")?,
+            configuration_advertised: gauge(
+                "configuration_told_revision",
+                "Last change peers told.",
+            )?,
             connections: gauge("connections", "Open connections of callers.")?,
-            under_way: gauge("requests_under_way", "Requests under way.")?,
+            in_flight: gauge("requests_under_way", "Requests under way.")?,
             peers: gauge("peers", "Peers that are heard.")?,
             endpoints: gauge("endpoints", "Endpoints that are listed.")?,
             suspects: gauge("requests_suspected", "Requests that endpoints ended under.")?,
@@ -122,7 +130,7 @@
         Ok(metrics)
     }
 
-    /// The metrics in the text form that Prometheus reads.
+    /// Encodes the metrics in the Prometheus text format.
     #[must_use]
     pub fn text(&self) -> Vec<u8> {
         text(&self.registry)
@@ -133,26 +141,26 @@
             &self.requests,
             &self.answers,
             &self.refusals,
-            &self.cuts,
+            &self.interrupted_connections,
             &self.failures,
-            &self.repeats,
-            &self.ends,
-            &self.moves,
+            &self.retries,
+            &self.crashes,
+            &self.migrations,
             &self.orders,
-            &self.listings,
-            &self.calls,
+            &self.cache_listings,
+            &self.store_calls,
         ] {
             self.registry.register(Box::new(counters.clone()))?;
         }
-        for histogram in [&self.first, &self.whole] {
+        for histogram in [&self.time_to_first_byte, &self.request_duration] {
             self.registry.register(Box::new(histogram.clone()))?;
         }
         for gauge in [
-            &self.configuration,
+            &self.configuration_version,
             &self.configuration_read,
-            &self.configuration_told,
+            &self.configuration_advertised,
             &self.connections,
-            &self.under_way,
+            &self.in_flight,
             &self.peers,
             &self.endpoints,
             &self.suspects,
--- a/components/wire/tests/generated.rs
+++ b/components/wire/tests/generated.rs
@@ -1,26 +1,28 @@
-//! The committed code must be what the generator makes of the committed messages.
+//! The committed code must equal what the generator produces from the committed messages.
 
 use std::path::Path;
 
 #[test]
 fn committed_code_is_current() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
-    let out = tempdir();
-    let files = protox::compile(["wrenramp.proto"], [root.join("proto")]).expect("messages parse");
+    let out = create_temp_dir();
+    let files =
+        protox::compile(["wrenramp.proto"], [root.join("proto")]).expect("the proto file parses");
     tonic_prost_build::configure()
         .out_dir(&out)
         .compile_fds(files)
         .expect("generator runs");
-    let fresh = std::fs::read_to_string(out.join("wrenramp.v1.rs")).expect("generated");
-    let kept = std::fs::read_to_string(root.join("src/generated/wrenramp.v1.rs")).expect("kept");
-    std::fs::remove_dir_all(out).expect("cleaned");
+    let generated = std::fs::read_to_string(out.join("wrenramp.v1.rs")).expect("generated");
+    let committed =
+        std::fs::read_to_string(root.join("src/generated/wrenramp.v1.rs")).expect("committed");
+    std::fs::remove_dir_all(out).expect("removed");
     assert!(
-        fresh == kept,
+        generated == committed,
         "run `cargo run -p wire --example generate` and commit"
     );
 }
 
-fn tempdir() -> std::path::PathBuf {
+fn create_temp_dir() -> std::path::PathBuf {
     let dir = std::env::temp_dir().join(format!("wire-generated-{}", std::process::id()));
     std::fs::create_dir_all(&dir).expect("created");
     dir
