--- a/components/cli/src/cmd/mod.rs
+++ b/components/cli/src/cmd/mod.rs
@@ -1,4 +1,4 @@
-//! One file a command; no logic of the domain here.
+//! The commands, grouped by what they do. The domain logic is in the daemon and in `settings`.
 
 mod change;
 mod engine;
@@ -8,13 +8,13 @@
 use std::process::ExitCode;
 
 use crate::{
-    cli::{Command, GroupStep, Options},
+    cli::{Command, GroupCommand, Options},
     client::Client,
     error::Error,
 };
 use change::Wait;
 
-/// Runs the command that the options name.
+/// Runs the command given in the options.
 pub async fn run(options: &Options) -> Result<ExitCode, Error> {
     if let Command::Check { file } = &options.command {
         return file::check(file);
@@ -40,8 +40,8 @@
         } => change::set(client, path, values, base.unwrap_or(0), Wait(*wait)).await,
         Command::Unset { path, key } => change::unset(client, path, key).await,
         Command::Group { step } => match step {
-            GroupStep::Add { share, group } => change::add_group(client, group, *share).await,
-            GroupStep::Remove { group } => change::remove_group(client, group).await,
+            GroupCommand::Add { share, group } => change::add_group(client, group, *share).await,
+            GroupCommand::Remove { group } => change::remove_group(client, group).await,
         },
         Command::Drain { endpoint } => change::drain(client, endpoint, true).await,
         Command::Undrain { endpoint } => change::drain(client, endpoint, false).await,
@@ -59,7 +59,7 @@
             adapter,
             version,
         } => engine::load(client, endpoint, role, [model, adapter, version]).await,
-        // done above, without a daemon
+        // handled above, before connecting to a daemon
         Command::Check { file } => file::check(file),
     }
 }
--- a/components/settings/tests/tree.rs
+++ b/components/settings/tests/tree.rs
@@ -1,4 +1,4 @@
-//! The tree: inheritance, checks, changes.
+//! The settings tree: inheritance, validation and changes.
 
 use proptest::prelude::*;
 use settings::tree::{Edit, Node, Problem, Tree, check, resolve};
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_group_inherits_unless_it_overrides_and_its_share_is_its_own() {
+fn groups_inherit_values_but_not_shares() {
     let tree = Tree::default()
         .apply(&[
             set("group/soils", "deadline", "5s"),
@@ -20,61 +20,61 @@
             set("group/soils/field", "priority", "6"),
             set("group/soils/lab", "deadline", "9s"),
         ])
-        .expect("fine");
-    let version = resolve::Version::new(&tree);
-    let seconds: Vec<u64> = version
+        .expect("valid change");
+    let resolved = resolve::ResolvedTree::new(&tree);
+    let seconds: Vec<u64> = resolved
         .groups
         .iter()
         .map(|g| g.deadline.0.as_secs())
         .collect();
     assert_eq!(seconds, [5, 5, 9]);
-    let shares: Vec<u32> = version.groups.iter().map(|g| g.share).collect();
+    let shares: Vec<u32> = resolved.groups.iter().map(|g| g.share).collect();
     assert_eq!(shares, [7, 1, 1]);
-    let parents: Vec<Option<usize>> = version.groups.iter().map(|g| g.parent).collect();
+    let parents: Vec<Option<usize>> = resolved.groups.iter().map(|g| g.parent).collect();
     assert_eq!(parents, [None, Some(0), Some(0)]);
 }
 
 #[test]
-fn a_wrong_change_is_refused_whole_with_every_problem() {
-    let wrong = [
+fn invalid_change_is_rejected_with_all_its_problems() {
+    let edits = [
         set("group/a", "share", "0"),
         set("group/b/c", "share", "1"),
         set("model/m", "service", "nowhere"),
         set("nothing/x", "y", "z"),
         set("service/s", "colour", "red"),
     ];
-    let problems = Tree::default().apply(&wrong).expect_err("refused");
-    let has = |wanted: &dyn Fn(&Problem) -> bool| problems.iter().any(wanted);
+    let problems = Tree::default().apply(&edits).expect_err("refused");
+    let has = |predicate: &dyn Fn(&Problem) -> bool| problems.iter().any(predicate);
     assert!(has(
-        &|p| matches!(p, Problem::Value { key, .. } if key == "share")
+        &|p| matches!(p, Problem::InvalidValue { key, .. } if key == "share")
     ));
     assert!(has(
-        &|p| matches!(p, Problem::Dangling { target, .. } if target == "group/b")
+        &|p| matches!(p, Problem::DanglingReference { target, .. } if target == "group/b")
     ));
     assert!(has(
-        &|p| matches!(p, Problem::Dangling { target, .. } if target == "service/nowhere")
+        &|p| matches!(p, Problem::DanglingReference { target, .. } if target == "service/nowhere")
     ));
     assert!(has(
-        &|p| matches!(p, Problem::Missing { key, .. } if key == "version")
+        &|p| matches!(p, Problem::MissingValue { key, .. } if key == "version")
     ));
     assert!(has(
-        &|p| matches!(p, Problem::Kind { path } if path == "nothing/x")
+        &|p| matches!(p, Problem::UnknownKind { path } if path == "nothing/x")
     ));
     assert!(has(
-        &|p| matches!(p, Problem::Key { key, .. } if key == "colour")
+        &|p| matches!(p, Problem::UnknownKey { key, .. } if key == "colour")
     ));
 }
 
 #[test]
-fn problems_are_told_in_the_operators_terms() {
-    let wrong = [
+fn problem_messages_name_path_key_and_value() {
+    let edits = [
         set("group/a", "deadline", "soon"),
         set("model/m", "service", "s"),
         set("service/s", "kind", "engine"),
     ];
-    let problems = Tree::default().apply(&wrong).expect_err("refused");
-    let told: Vec<String> = problems.iter().map(ToString::to_string).collect();
-    insta::assert_snapshot!(told.join("\n"), @r#"
+    let problems = Tree::default().apply(&edits).expect_err("refused");
+    let messages: Vec<String> = problems.iter().map(ToString::to_string).collect();
+    insta::assert_snapshot!(messages.join("\n"), @r#"
     group/a: deadline = "soon" is not a time from 10ms to 1h, such as 3s
     model/m: version must be set
     service/s: kind = "engine" is not one of engines, plain
@@ -82,36 +82,39 @@
 }
 
 #[test]
-fn a_callers_key_belongs_to_one_group() {
+fn caller_key_belongs_to_only_one_group() {
     let digest = resolve::secret_digest("k");
     let tree = Tree::default()
         .apply(&[set("group/a", "keys", &digest)])
-        .expect("fine");
-    let version = resolve::Version::new(&tree);
-    assert_eq!((version.caller("k"), version.caller("K")), (Some(0), None));
+        .expect("valid change");
+    let resolved = resolve::ResolvedTree::new(&tree);
+    assert_eq!(
+        (resolved.group_for_key("k"), resolved.group_for_key("K")),
+        (Some(0), None)
+    );
     let problems = tree
         .apply(&[set("group/b", "keys", &digest)])
-        .expect_err("taken");
-    assert!(matches!(problems[0], Problem::Taken { .. }));
+        .expect_err("key already claimed");
+    assert!(matches!(problems[0], Problem::AlreadyClaimed { .. }));
 }
 
 proptest! {
     #[test]
-    fn a_change_goes_up_by_one_and_holds(share in 1_u32..1_000_000, name in "[a-z]{1,8}") {
+    fn change_increments_version_and_takes_effect(share in 1_u32..1_000_000, name in "[a-z]{1,8}") {
         let path = format!("group/{name}");
-        let tree = Tree::default().apply(&[set(&path, "share", &share.to_string())]).expect("fine");
+        let tree = Tree::default().apply(&[set(&path, "share", &share.to_string())]).expect("valid change");
         prop_assert_eq!(tree.version, 1);
-        prop_assert_eq!(resolve::Version::new(&tree).groups[0].share, share);
-        let gone = tree.apply(&[Edit::Remove { path }]).expect("fine");
-        prop_assert_eq!(gone.version, 2);
-        prop_assert!(gone.nodes.is_empty());
+        prop_assert_eq!(resolve::ResolvedTree::new(&tree).groups[0].share, share);
+        let removed = tree.apply(&[Edit::Remove { path }]).expect("valid change");
+        prop_assert_eq!(removed.version, 2);
+        prop_assert!(removed.nodes.is_empty());
     }
 
     #[test]
-    fn any_texts_are_checked_without_a_panic(path in ".{0,40}", key in ".{0,20}", value in ".{0,40}") {
+    fn arbitrary_text_does_not_panic(path in ".{0,40}", key in ".{0,20}", value in ".{0,40}") {
         let node = Node { path, values: vec![(key, value)] };
         let tree = Tree::new(1, vec![node]);
         let _ = check::problems(&tree);
-        let _ = resolve::Version::new(&tree);
+        let _ = resolve::ResolvedTree::new(&tree);
     }
 }
