--- a/components/spec/src/answers.rs
+++ b/components/spec/src/answers.rs
@@ -15,11 +15,11 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Variant {
-    Right,
+    Correct,
     /// Frames are taken whatever attempt they name.
-    NoAttempt,
+    AnyAttempt,
     /// Frames are taken whatever offset they name.
-    NoOffset,
+    AnyOffset,
     /// An orderly close is taken for the end.
     CloseIsEnd,
 }
@@ -28,133 +28,137 @@
 struct State {
     assembler: Assembler,
     /// The next token that the running attempt's engine writes.
-    writes: u64,
+    next_offset: u64,
     /// Tokens delivered to the caller: attempt-independent offsets; a stranger's is `u64::MAX`.
     delivered: Vec<u64>,
     ended: bool,
-    broken: Option<&'static str>,
+    violation: Option<&'static str>,
 }
 
 #[derive(Debug)]
 #[expect(dead_code, reason = "the fields are read by Debug")]
 enum Label {
     Frame { offset: u64 },
-    Repeated { offset: u64 },
-    Skipped { offset: u64 },
-    Stranger { offset: u64 },
-    FromFormerAttempt { offset: u64 },
-    Closes,
+    Duplicate { offset: u64 },
+    Lost { offset: u64 },
+    UnknownAttempt { offset: u64 },
+    PreviousAttempt { offset: u64 },
+    StreamCloses,
     Resumes,
 }
 
-fn start() -> State {
+fn initial_state() -> State {
     State {
         assembler: Assembler::new(1),
-        writes: 0,
+        next_offset: 0,
         delivered: Vec::new(),
         ended: false,
-        broken: None,
+        violation: None,
     }
 }
 
-const STRANGER: u64 = 99;
+const UNKNOWN_ATTEMPT: u64 = 99;
 
-fn next(state: &State, variant: Variant) -> Vec<(Label, State)> {
+fn successors(state: &State, variant: Variant) -> Vec<(Label, State)> {
     if state.ended {
         return Vec::new();
     }
     let mut steps = Vec::new();
     let attempt = state.assembler.attempt();
-    let offset = state.writes;
+    let offset = state.next_offset;
     if offset < TOKENS {
         let mut sent = state.clone();
-        sent.writes += 1;
+        sent.next_offset += 1;
         let mut lost = sent.clone();
-        take(&mut sent, attempt, offset, offset, variant);
+        accept_frame(&mut sent, attempt, offset, offset, variant);
         steps.push((Label::Frame { offset }, sent));
-        lost.writes = offset + 1;
-        steps.push((Label::Skipped { offset }, lost));
-        let mut stranger = state.clone();
-        take(&mut stranger, STRANGER, offset, u64::MAX, variant);
-        steps.push((Label::Stranger { offset }, stranger));
+        lost.next_offset = offset + 1;
+        steps.push((Label::Lost { offset }, lost));
+        let mut unknown = state.clone();
+        accept_frame(&mut unknown, UNKNOWN_ATTEMPT, offset, u64::MAX, variant);
+        steps.push((Label::UnknownAttempt { offset }, unknown));
     }
-    for offset in 0..state.writes {
-        let mut again = state.clone();
-        take(&mut again, attempt, offset, offset, variant);
-        steps.push((Label::Repeated { offset }, again));
+    for offset in 0..state.next_offset {
+        let mut duplicate = state.clone();
+        accept_frame(&mut duplicate, attempt, offset, offset, variant);
+        steps.push((Label::Duplicate { offset }, duplicate));
     }
     if attempt == ATTEMPTS {
         for offset in 0..TOKENS {
-            let mut former = state.clone();
-            take(&mut former, attempt - 1, offset, offset, variant);
-            steps.push((Label::FromFormerAttempt { offset }, former));
+            let mut previous = state.clone();
+            accept_frame(&mut previous, attempt - 1, offset, offset, variant);
+            steps.push((Label::PreviousAttempt { offset }, previous));
         }
     }
     if attempt < ATTEMPTS {
         let mut resumed = state.clone();
         resumed.assembler.resume(attempt + 1);
-        resumed.writes = resumed.assembler.offset();
+        resumed.next_offset = resumed.assembler.offset();
         steps.push((Label::Resumes, resumed));
     }
     let mut closed = state.clone();
     if variant == Variant::CloseIsEnd {
-        end(&mut closed);
+        finish(&mut closed);
     } else {
         // the caller sees an error, never an end
-        closed.writes = TOKENS;
+        closed.next_offset = TOKENS;
     }
-    steps.push((Label::Closes, closed));
+    steps.push((Label::StreamCloses, closed));
     steps
 }
 
-fn take(state: &mut State, attempt: u64, offset: u64, content: u64, variant: Variant) {
+fn accept_frame(state: &mut State, attempt: u64, offset: u64, payload: u64, variant: Variant) {
     let attempt = match variant {
-        Variant::NoAttempt => state.assembler.attempt(),
+        Variant::AnyAttempt => state.assembler.attempt(),
         _ => attempt,
     };
-    let named = match variant {
-        Variant::NoOffset => state.assembler.offset(),
+    let frame_offset = match variant {
+        Variant::AnyOffset => state.assembler.offset(),
         _ => offset,
     };
-    let last = named + 1 == TOKENS;
-    if state.assembler.take(attempt, named, 1, last) == Ok(Verdict::Deliver) {
-        state.delivered.push(content);
+    let last = frame_offset + 1 == TOKENS;
+    if state.assembler.take(attempt, frame_offset, 1, last) == Ok(Verdict::Deliver) {
+        state.delivered.push(payload);
         if state.assembler.ended() {
-            end(state);
+            finish(state);
         }
     }
-    let right: Vec<u64> = (0..state.delivered.len() as u64).collect();
-    if state.delivered != right {
-        state.broken = Some("a caller receives the answer to its own request");
+    let expected: Vec<u64> = (0..state.delivered.len() as u64).collect();
+    if state.delivered != expected {
+        state.violation = Some("a caller receives the answer to its own request");
     }
 }
 
-fn end(state: &mut State) {
+fn finish(state: &mut State) {
     state.ended = true;
     if state.delivered.len() as u64 != TOKENS {
-        state.broken = Some("a caller receives the whole answer");
+        state.violation = Some("a caller receives the whole answer");
     }
 }
 
 fn run(variant: Variant) -> Outcome {
-    explore(&start(), |state| next(state, variant), |state| state.broken)
+    explore(
+        &initial_state(),
+        |state| successors(state, variant),
+        |state| state.violation,
+    )
 }
 
-const fn case(variant: &'static str, wrong: bool, run: fn() -> Outcome) -> Case {
+const fn case(variant: &'static str, expect_violation: bool, run: fn() -> Outcome) -> Case {
     Case {
         model: "answers",
         variant,
         bounds: BOUNDS,
-        wrong,
+        expect_violation,
         run,
     }
 }
 
 /// The model's cases.
 pub const CASES: &[Case] = &[
-    case("as built", false, || run(Variant::Right)),
-    case("frames of any attempt", true, || run(Variant::NoAttempt)),
-    case("frames of any offset", true, || run(Variant::NoOffset)),
+    case("as built", false, || run(Variant::Correct)),
+    case("frames of any attempt", true, || run(Variant::AnyAttempt)),
+    case("frames of any offset", true, || run(Variant::AnyOffset)),
     case("orderly close taken for the end", true, || {
         run(Variant::CloseIsEnd)
     }),
--- a/components/spec/src/claims.rs
+++ b/components/spec/src/claims.rs
@@ -12,12 +12,12 @@
 };
 
 const DAEMONS: usize = 2;
-const TRIES: usize = 3;
+const ATTEMPTS: usize = 3;
 const BOUNDS: &str = "2 daemons, 3 tries with one key, lost and late table writes, 1 crash";
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Variant {
-    Right,
+    Correct,
     /// The claim is written after the request was sent.
     ClaimAfterDispatch,
     /// An unclear write is taken for written.
@@ -27,11 +27,11 @@
     /// A key that can't be read is told as "not run".
     UnreadIsNotRun,
     /// A claim is written without checking that the row is as it was read.
-    BlindWrite,
+    UncheckedWrite,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Doing {
+enum Phase {
     /// The caller has not sent it yet.
     Unsent,
     /// It has arrived.
@@ -45,21 +45,21 @@
     /// The request runs or has run; its answer comes or is lost.
     Sent(Row),
     /// The caller was told.
-    Told(Word),
+    Replied(Reply),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Word {
+enum Reply {
     Answer,
     NotRun,
     Unknown,
-    Broken,
+    ConnectionLost,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Try {
+struct Attempt {
     daemon: usize,
-    doing: Doing,
+    phase: Phase,
     ran: bool,
 }
 
@@ -68,11 +68,11 @@
     row: Option<Row>,
     version: u64,
     /// Writes that may yet take effect: the version that they check, and the row.
-    late: Vec<(u64, Row)>,
-    tries: [Try; TRIES],
+    delayed: Vec<(u64, Row)>,
+    attempts: [Attempt; ATTEMPTS],
     alive: [bool; DAEMONS],
     runs: u8,
-    broken: Option<&'static str>,
+    violation: Option<&'static str>,
 }
 
 #[derive(Debug)]
@@ -80,12 +80,12 @@
 enum Label {
     Arrives { nth: usize, daemon: usize },
     LooksUp { nth: usize },
-    TableDoesNotAnswer { nth: usize },
+    TableUnavailable { nth: usize },
     SendsWrite { nth: usize },
     WriteIsAnswered { nth: usize },
     WriteIsRefused { nth: usize },
     WriteAnswerIsLost { nth: usize },
-    LateWriteTakesEffect,
+    DelayedWriteTakesEffect,
     ReadsBack { nth: usize },
     Runs { nth: usize },
     Answered { nth: usize },
@@ -95,48 +95,52 @@
 
 type Steps = Vec<(Label, State)>;
 
-fn start() -> State {
-    let unsent = |daemon| Try {
+fn initial_state() -> State {
+    let unsent = |daemon| Attempt {
         daemon,
-        doing: Doing::Unsent,
+        phase: Phase::Unsent,
         ran: false,
     };
     State {
         row: None,
         version: 0,
-        late: Vec::new(),
+        delayed: Vec::new(),
         // the balancer sends the tries wherever it likes; by symmetry the first goes to the first
-        tries: [unsent(0), unsent(1), unsent(0)],
+        attempts: [unsent(0), unsent(1), unsent(0)],
         alive: [true; DAEMONS],
         runs: 0,
-        broken: None,
+        violation: None,
     }
 }
 
-fn name(daemon: usize) -> Incarnation {
+fn incarnation(daemon: usize) -> Incarnation {
     Incarnation(daemon as u64 + 1)
 }
 
-fn next(state: &State, variant: Variant) -> Steps {
+fn successors(state: &State, variant: Variant) -> Steps {
     let mut steps = Vec::new();
-    for nth in 0..TRIES {
-        if state.alive[state.tries[nth].daemon] {
-            step(state, nth, variant, &mut steps);
+    for nth in 0..ATTEMPTS {
+        if state.alive[state.attempts[nth].daemon] {
+            advance(state, nth, variant, &mut steps);
         }
     }
-    for (at, (over, row)) in state.late.iter().enumerate() {
+    for (at, (expected, row)) in state.delayed.iter().enumerate() {
         let mut next = state.clone();
-        next.late.remove(at);
-        commit(&mut next, *over, row, variant);
-        steps.push((Label::LateWriteTakesEffect, next));
+        next.delayed.remove(at);
+        commit(&mut next, *expected, row, variant);
+        steps.push((Label::DelayedWriteTakesEffect, next));
     }
     for daemon in 0..DAEMONS {
         if state.alive.iter().all(|alive| *alive) {
             let mut next = state.clone();
             next.alive[daemon] = false;
-            for one in next.tries.iter_mut().filter(|one| one.daemon == daemon) {
-                if one.doing != Doing::Unsent && !matches!(one.doing, Doing::Told(_)) {
-                    one.doing = Doing::Told(Word::Broken);
+            for attempt in next
+                .attempts
+                .iter_mut()
+                .filter(|attempt| attempt.daemon == daemon)
+            {
+                if attempt.phase != Phase::Unsent && !matches!(attempt.phase, Phase::Replied(_)) {
+                    attempt.phase = Phase::Replied(Reply::ConnectionLost);
                 }
             }
             steps.push((Label::Crashes { daemon }, next));
@@ -145,49 +149,49 @@
     steps
 }
 
-fn commit(state: &mut State, over: u64, row: &Row, variant: Variant) -> bool {
-    let fits = state.version == over || variant == Variant::BlindWrite;
-    if fits {
+fn commit(state: &mut State, expected: u64, row: &Row, variant: Variant) -> bool {
+    let version_matches = state.version == expected || variant == Variant::UncheckedWrite;
+    if version_matches {
         state.row = Some(row.clone());
         state.version += 1;
     }
-    fits
+    version_matches
 }
 
-fn answer(state: &mut State, nth: usize, word: Word) {
-    state.tries[nth].doing = Doing::Told(word);
-    if word == Word::NotRun && (state.tries[nth].ran || state.runs > 0) {
-        state.broken = Some("a refusal that says \"not run\" is true");
+fn send_reply(state: &mut State, nth: usize, reply: Reply) {
+    state.attempts[nth].phase = Phase::Replied(reply);
+    if reply == Reply::NotRun && (state.attempts[nth].ran || state.runs > 0) {
+        state.violation = Some("a refusal that says \"not run\" is true");
     }
 }
 
 fn run_request(state: &mut State, nth: usize) {
     state.runs += 1;
-    state.tries[nth].ran = true;
-    let told = state
-        .tries
+    state.attempts[nth].ran = true;
+    let denied = state
+        .attempts
         .iter()
-        .any(|one| one.doing == Doing::Told(Word::NotRun) && one.ran);
-    state.broken = match () {
+        .any(|attempt| attempt.phase == Phase::Replied(Reply::NotRun) && attempt.ran);
+    state.violation = match () {
         () if state.runs > 1 => Some("a request that may not be repeated runs at most once"),
-        () if told => Some("a refusal that says \"not run\" is true"),
+        () if denied => Some("a refusal that says \"not run\" is true"),
         () => None,
     };
 }
 
-fn step(state: &State, nth: usize, variant: Variant, steps: &mut Steps) {
-    let daemon = state.tries[nth].daemon;
-    match &state.tries[nth].doing {
-        Doing::Unsent => {
+fn advance(state: &State, nth: usize, variant: Variant, steps: &mut Steps) {
+    let daemon = state.attempts[nth].daemon;
+    match &state.attempts[nth].phase {
+        Phase::Unsent => {
             let mut next = state.clone();
-            next.tries[nth].doing = Doing::Arrived;
+            next.attempts[nth].phase = Phase::Arrived;
             steps.push((Label::Arrives { nth, daemon }, next));
         }
-        Doing::Arrived => look_up(state, nth, variant, steps),
-        Doing::Claim(over) => {
+        Phase::Arrived => look_up(state, nth, variant, steps),
+        Phase::Claim(expected) => {
             let row = Row {
                 digest: 0,
-                claimant: name(daemon),
+                claimant: incarnation(daemon),
                 token: nth as u64,
                 at_ms: 0,
                 stage: Stage::Claimed,
@@ -199,42 +203,42 @@
             } else {
                 Label::SendsWrite { nth }
             };
-            next.tries[nth].doing = Doing::Writing(row, *over);
+            next.attempts[nth].phase = Phase::Writing(row, *expected);
             steps.push((label, next));
         }
-        Doing::Writing(row, over) => write(state, nth, row, *over, variant, steps),
-        Doing::Claimed(row) => {
+        Phase::Writing(row, expected) => write(state, nth, row, *expected, variant, steps),
+        Phase::Claimed(row) => {
             let mut next = state.clone();
-            if !state.tries[nth].ran {
+            if !state.attempts[nth].ran {
                 run_request(&mut next, nth);
             }
-            next.tries[nth].doing = Doing::Sent(row.clone());
+            next.attempts[nth].phase = Phase::Sent(row.clone());
             steps.push((Label::Runs { nth }, next));
         }
-        Doing::Sent(row) => {
+        Phase::Sent(row) => {
             let mut answered = state.clone();
             let done = Row {
                 stage: Stage::Done(None),
                 ..row.clone()
             };
-            record(&mut answered, done);
-            answer(&mut answered, nth, Word::Answer);
+            record_outcome(&mut answered, done);
+            send_reply(&mut answered, nth, Reply::Answer);
             steps.push((Label::Answered { nth }, answered));
             let mut lost = state.clone();
             let unknown = Row {
                 stage: Stage::Unknown,
                 ..row.clone()
             };
-            record(&mut lost, unknown);
-            answer(&mut lost, nth, Word::Unknown);
+            record_outcome(&mut lost, unknown);
+            send_reply(&mut lost, nth, Reply::Unknown);
             steps.push((Label::AnswerIsLost { nth }, lost));
         }
-        Doing::Told(_) => {}
+        Phase::Replied(_) => {}
     }
 }
 
 /// The claimant records the end of its own claim.
-fn record(state: &mut State, row: Row) {
+fn record_outcome(state: &mut State, row: Row) {
     if state.row.as_ref().is_some_and(|now| now.token == row.token) {
         state.row = Some(row);
         state.version += 1;
@@ -243,56 +247,57 @@
 
 fn look_up(state: &State, nth: usize, variant: Variant, steps: &mut Steps) {
     let mut next = state.clone();
-    let alive = |other: Incarnation| (0..DAEMONS).any(|d| name(d) == other && state.alive[d]);
+    let alive =
+        |other: Incarnation| (0..DAEMONS).any(|d| incarnation(d) == other && state.alive[d]);
     let decision = match (claim::decide(state.row.as_ref(), 0, alive), variant) {
         (Decision::Unknown, Variant::TakeOver) => Decision::Claim,
         (decision, _) => decision,
     };
     match decision {
-        Decision::Claim => next.tries[nth].doing = Doing::Claim(state.version),
-        Decision::Replay(_) => answer(&mut next, nth, Word::Answer),
-        Decision::InProgress | Decision::Unknown => answer(&mut next, nth, Word::Unknown),
-        Decision::Mismatch => answer(&mut next, nth, Word::NotRun),
+        Decision::Claim => next.attempts[nth].phase = Phase::Claim(state.version),
+        Decision::Replay(_) => send_reply(&mut next, nth, Reply::Answer),
+        Decision::InProgress | Decision::Unknown => send_reply(&mut next, nth, Reply::Unknown),
+        Decision::Mismatch => send_reply(&mut next, nth, Reply::NotRun),
     }
     steps.push((Label::LooksUp { nth }, next));
     let mut unread = state.clone();
-    let word = if variant == Variant::UnreadIsNotRun {
-        Word::NotRun
+    let reply = if variant == Variant::UnreadIsNotRun {
+        Reply::NotRun
     } else {
-        Word::Unknown
+        Reply::Unknown
     };
-    answer(&mut unread, nth, word);
-    steps.push((Label::TableDoesNotAnswer { nth }, unread));
+    send_reply(&mut unread, nth, reply);
+    steps.push((Label::TableUnavailable { nth }, unread));
 }
 
-fn write(state: &State, nth: usize, row: &Row, over: u64, variant: Variant, steps: &mut Steps) {
+fn write(state: &State, nth: usize, row: &Row, expected: u64, variant: Variant, steps: &mut Steps) {
     let mut done = state.clone();
-    if commit(&mut done, over, row, variant) {
-        after(&mut done, nth, row, Write::Written, variant);
+    if commit(&mut done, expected, row, variant) {
+        after_write(&mut done, nth, row, Write::Written, variant);
         steps.push((Label::WriteIsAnswered { nth }, done.clone()));
         // it took effect, its answer was lost, and a read shows the token
         steps.push((Label::ReadsBack { nth }, done.clone()));
         // it took effect, and neither the answer nor the read came
         let mut lost = state.clone();
-        commit(&mut lost, over, row, variant);
-        after(&mut lost, nth, row, Write::Unclear, variant);
+        commit(&mut lost, expected, row, variant);
+        after_write(&mut lost, nth, row, Write::Unclear, variant);
         steps.push((Label::WriteAnswerIsLost { nth }, lost));
     } else {
-        after(&mut done, nth, row, Write::Taken, variant);
+        after_write(&mut done, nth, row, Write::Taken, variant);
         steps.push((Label::WriteIsRefused { nth }, done));
     }
     // it is late: it takes effect after the daemon has given up, or never
-    let mut late = state.clone();
-    late.late.push((over, row.clone()));
-    after(&mut late, nth, row, Write::Unclear, variant);
-    steps.push((Label::WriteAnswerIsLost { nth }, late));
+    let mut delayed = state.clone();
+    delayed.delayed.push((expected, row.clone()));
+    after_write(&mut delayed, nth, row, Write::Unclear, variant);
+    steps.push((Label::WriteAnswerIsLost { nth }, delayed));
 }
 
-fn after(state: &mut State, nth: usize, row: &Row, write: Write, variant: Variant) {
+fn after_write(state: &mut State, nth: usize, row: &Row, write: Write, variant: Variant) {
     let dispatch = claim::may_dispatch(write)
         || (variant == Variant::UnclearIsWritten && write == Write::Unclear);
     if dispatch {
-        state.tries[nth].doing = Doing::Claimed(row.clone());
+        state.attempts[nth].phase = Phase::Claimed(row.clone());
         return;
     }
     if write == Write::Unclear {
@@ -301,28 +306,32 @@
             stage: Stage::NotRun,
             ..row.clone()
         };
-        record(state, not_run);
+        record_outcome(state, not_run);
     }
-    answer(state, nth, Word::Unknown);
+    send_reply(state, nth, Reply::Unknown);
 }
 
 fn run(variant: Variant) -> Outcome {
-    explore(&start(), |state| next(state, variant), |state| state.broken)
+    explore(
+        &initial_state(),
+        |state| successors(state, variant),
+        |state| state.violation,
+    )
 }
 
-const fn case(variant: &'static str, wrong: bool, run: fn() -> Outcome) -> Case {
+const fn case(variant: &'static str, expect_violation: bool, run: fn() -> Outcome) -> Case {
     Case {
         model: "claims",
         variant,
         bounds: BOUNDS,
-        wrong,
+        expect_violation,
         run,
     }
 }
 
 /// The model's cases.
 pub const CASES: &[Case] = &[
-    case("as built", false, || run(Variant::Right)),
+    case("as built", false, || run(Variant::Correct)),
     case("claim after dispatch", true, || {
         run(Variant::ClaimAfterDispatch)
     }),
@@ -335,5 +344,7 @@
     case("unread key told as not run", true, || {
         run(Variant::UnreadIsNotRun)
     }),
-    case("write without a check", true, || run(Variant::BlindWrite)),
+    case("write without a check", true, || {
+        run(Variant::UncheckedWrite)
+    }),
 ];
--- a/components/spec/src/closing.rs
+++ b/components/spec/src/closing.rs
@@ -8,38 +8,38 @@
 };
 
 const DAEMONS: usize = 2;
-const DISPATCHES: u8 = 2;
+const MAX_DISPATCHES: u8 = 2;
 const BOUNDS: &str =
     "2 daemons (1 starts in the middle), 2 orders, 2 requests a daemon, late and lost messages";
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Variant {
-    Right,
+    Correct,
     /// The order goes out although an answer is missing.
     WithoutAllAnswers,
     /// A daemon reads what is closing before it registers.
     ReadBeforeRegister,
     /// The steward reads who is registered before it writes that it is closing.
-    AskBeforeClosing,
+    ReadBeforeClosing,
     /// A daemon answers while requests are in flight.
-    AnswerWithHolds,
+    AnswerWithRequestsInFlight,
     /// A late open for an older order opens a newer close.
     OpenWithoutNumber,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Start {
+enum Startup {
     /// Not started.
-    Off,
+    NotStarted,
     /// One of the two steps is done.
-    Half,
+    FirstStepDone,
     /// It dispatches.
     Serving,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Daemon {
-    start: Start,
+    start: Startup,
     registered: bool,
     gate: Gate,
     dispatched: u8,
@@ -53,9 +53,9 @@
 enum Steward {
     Idle,
     /// The closing row is written; who is registered is not read yet.
-    Written,
+    ClosingWritten,
     /// Those registered were read and are asked.
-    Asking([bool; DAEMONS]),
+    AwaitingAnswers([bool; DAEMONS]),
     /// The intent is committed; the order may strike.
     Intent,
 }
@@ -66,11 +66,11 @@
     number: u64,
     /// Whether the row says that daemons must not dispatch.
     closing: bool,
-    known: [bool; DAEMONS],
+    participants: [bool; DAEMONS],
     daemons: [Daemon; DAEMONS],
     /// Opens on their way: daemon and order.
-    opens: Vec<(usize, u64)>,
-    broken: bool,
+    open_messages: Vec<(usize, u64)>,
+    violated: bool,
 }
 
 #[derive(Debug)]
@@ -81,8 +81,8 @@
     DaemonIsAsked(usize),
     DaemonAnswers(usize),
     CommitsIntent,
-    OrderStrikes,
-    GivesUp,
+    OrderTakesEffect,
+    TimesOut,
     OpenArrives(usize, u64),
     OpenIsLost(usize),
     ReadsRow(usize),
@@ -92,11 +92,11 @@
     RequestEnds(usize),
 }
 
-const ORDERS: u64 = 2;
+const MAX_ORDERS: u64 = 2;
 
-fn start() -> State {
+fn initial_state() -> State {
     let serving = Daemon {
-        start: Start::Serving,
+        start: Startup::Serving,
         registered: true,
         gate: Gate::default(),
         dispatched: 0,
@@ -104,7 +104,7 @@
         answered: 0,
     };
     let off = Daemon {
-        start: Start::Off,
+        start: Startup::NotStarted,
         registered: false,
         ..serving
     };
@@ -112,25 +112,25 @@
         steward: Steward::Idle,
         number: 0,
         closing: false,
-        known: [false; DAEMONS],
+        participants: [false; DAEMONS],
         daemons: [serving, off],
-        opens: Vec::new(),
-        broken: false,
+        open_messages: Vec::new(),
+        violated: false,
     }
 }
 
 type Steps = Vec<(Label, State)>;
 
-fn next(state: &State, variant: Variant) -> Steps {
+fn successors(state: &State, variant: Variant) -> Steps {
     let mut steps = Vec::new();
-    steward(state, variant, &mut steps);
+    steward_steps(state, variant, &mut steps);
     for at in 0..DAEMONS {
-        boot(state, at, variant, &mut steps);
-        serve(state, at, variant, &mut steps);
+        startup_steps(state, at, variant, &mut steps);
+        serving_steps(state, at, variant, &mut steps);
     }
-    for (nth, (at, number)) in state.opens.iter().enumerate() {
+    for (nth, (at, number)) in state.open_messages.iter().enumerate() {
         let mut lost = state.clone();
-        lost.opens.remove(nth);
+        lost.open_messages.remove(nth);
         let mut open = lost.clone();
         open_gate(&mut open.daemons[*at].gate, *number, variant);
         steps.push((Label::OpenArrives(*at, *number), open));
@@ -151,73 +151,74 @@
     state.daemons.map(|daemon| daemon.registered)
 }
 
-fn steward(state: &State, variant: Variant, steps: &mut Steps) {
+fn steward_steps(state: &State, variant: Variant, steps: &mut Steps) {
     let mut next = state.clone();
     match state.steward {
-        Steward::Idle if state.number < ORDERS => {
+        Steward::Idle if state.number < MAX_ORDERS => {
             next.number += 1;
             next.closing = true;
-            next.steward = Steward::Written;
-            if variant == Variant::AskBeforeClosing {
+            next.steward = Steward::ClosingWritten;
+            if variant == Variant::ReadBeforeClosing {
                 // both readings of "who is registered" are explored: the one of just before
-                next.known = registered(state);
+                next.participants = registered(state);
                 next.closing = false;
             }
             steps.push((Label::WritesClosing(next.number), next));
         }
         Steward::Idle => {}
-        Steward::Written => {
-            if variant == Variant::AskBeforeClosing {
+        Steward::ClosingWritten => {
+            if variant == Variant::ReadBeforeClosing {
                 next.closing = true;
             } else {
-                next.known = registered(state);
+                next.participants = registered(state);
             }
-            next.steward = Steward::Asking(next.known.map(|known| !known));
+            next.steward =
+                Steward::AwaitingAnswers(next.participants.map(|participant| !participant));
             steps.push((Label::ReadsRegistered, next));
         }
-        Steward::Asking(answers) => {
+        Steward::AwaitingAnswers(answers) => {
             if answers.iter().all(|closed| *closed) || variant == Variant::WithoutAllAnswers {
                 let mut intent = state.clone();
                 intent.steward = Steward::Intent;
                 steps.push((Label::CommitsIntent, intent));
             }
-            end(&mut next);
-            steps.push((Label::GivesUp, next));
+            finish_order(&mut next);
+            steps.push((Label::TimesOut, next));
         }
         Steward::Intent => {
-            next.broken = state
+            next.violated = state
                 .daemons
                 .iter()
                 .any(|daemon| daemon.gate.in_flight() > 0);
-            end(&mut next);
-            steps.push((Label::OrderStrikes, next));
+            finish_order(&mut next);
+            steps.push((Label::OrderTakesEffect, next));
         }
     }
 }
 
 /// The outcome is committed and told to everybody.
-fn end(state: &mut State) {
+fn finish_order(state: &mut State) {
     state.closing = false;
     state.steward = Steward::Idle;
     for at in 0..DAEMONS {
-        if state.known[at] {
-            state.opens.push((at, state.number));
+        if state.participants[at] {
+            state.open_messages.push((at, state.number));
         }
     }
-    state.opens.sort_unstable();
-    state.opens.dedup();
+    state.open_messages.sort_unstable();
+    state.open_messages.dedup();
 }
 
-fn boot(state: &State, at: usize, variant: Variant, steps: &mut Steps) {
+fn startup_steps(state: &State, at: usize, variant: Variant, steps: &mut Steps) {
     let mut next = state.clone();
     let registers_first = variant != Variant::ReadBeforeRegister;
     let daemon = &mut next.daemons[at];
-    let (registers, then) = match daemon.start {
-        Start::Off => (registers_first, Start::Half),
-        Start::Half => (!registers_first, Start::Serving),
-        Start::Serving => return,
+    let (registers, next_start) = match daemon.start {
+        Startup::NotStarted => (registers_first, Startup::FirstStepDone),
+        Startup::FirstStepDone => (!registers_first, Startup::Serving),
+        Startup::Serving => return,
     };
-    daemon.start = then;
+    daemon.start = next_start;
     if registers {
         daemon.registered = true;
         steps.push((Label::Registers(at), next));
@@ -229,9 +230,9 @@
     }
 }
 
-fn serve(state: &State, at: usize, variant: Variant, steps: &mut Steps) {
+fn serving_steps(state: &State, at: usize, variant: Variant, steps: &mut Steps) {
     let daemon = state.daemons[at];
-    if daemon.start == Start::Serving && daemon.dispatched < DISPATCHES {
+    if daemon.start == Startup::Serving && daemon.dispatched < MAX_DISPATCHES {
         let mut next = state.clone();
         if next.daemons[at].gate.hold() {
             next.daemons[at].dispatched += 1;
@@ -249,57 +250,65 @@
         next.daemons[at].gate.open(state.number);
         steps.push((Label::ReadsRow(at), next));
     }
-    if let Steward::Asking(answers) = state.steward {
-        asked(state, at, answers, variant, steps);
+    if let Steward::AwaitingAnswers(answers) = state.steward {
+        close_steps(state, at, answers, variant, steps);
     }
 }
 
-fn asked(state: &State, at: usize, answers: [bool; DAEMONS], variant: Variant, steps: &mut Steps) {
+fn close_steps(
+    state: &State,
+    at: usize,
+    answers: [bool; DAEMONS],
+    variant: Variant,
+    steps: &mut Steps,
+) {
     let daemon = state.daemons[at];
     let number = state.number;
     // requests and answers may be late or lost: the steps need not be taken
-    if state.known[at] && daemon.asked != Some(number) && daemon.start != Start::Off {
+    if state.participants[at] && daemon.asked != Some(number) && daemon.start != Startup::NotStarted
+    {
         let mut next = state.clone();
         next.daemons[at].asked = Some(number);
         next.daemons[at].gate.close(number);
         steps.push((Label::DaemonIsAsked(at), next));
     }
-    let empty = daemon.gate.is_closed(number)
-        || (variant == Variant::AnswerWithHolds && daemon.gate.closed_for() == Some(number));
-    if daemon.asked == Some(number) && empty && !answers[at] {
+    let drained = daemon.gate.is_closed(number)
+        || (variant == Variant::AnswerWithRequestsInFlight
+            && daemon.gate.closed_for() == Some(number));
+    if daemon.asked == Some(number) && drained && !answers[at] {
         let mut next = state.clone();
         let mut answers = answers;
         answers[at] = true;
-        next.steward = Steward::Asking(answers);
+        next.steward = Steward::AwaitingAnswers(answers);
         steps.push((Label::DaemonAnswers(at), next));
     }
 }
 
 fn run(variant: Variant) -> Outcome {
     explore(
-        &start(),
-        |state| next(state, variant),
+        &initial_state(),
+        |state| successors(state, variant),
         |state| {
             state
-                .broken
+                .violated
                 .then_some("no request is cut by a planned change")
         },
     )
 }
 
-const fn case(variant: &'static str, wrong: bool, run: fn() -> Outcome) -> Case {
+const fn case(variant: &'static str, expect_violation: bool, run: fn() -> Outcome) -> Case {
     Case {
         model: "closing",
         variant,
         bounds: BOUNDS,
-        wrong,
+        expect_violation,
         run,
     }
 }
 
 /// The model's cases.
 pub const CASES: &[Case] = &[
-    case("as built", false, || run(Variant::Right)),
+    case("as built", false, || run(Variant::Correct)),
     case("closing without all answers", true, || {
         run(Variant::WithoutAllAnswers)
     }),
@@ -307,10 +316,10 @@
         run(Variant::ReadBeforeRegister)
     }),
     case("steward reads before it writes", true, || {
-        run(Variant::AskBeforeClosing)
+        run(Variant::ReadBeforeClosing)
     }),
     case("answer with requests in flight", true, || {
-        run(Variant::AnswerWithHolds)
+        run(Variant::AnswerWithRequestsInFlight)
     }),
     case("late open opens a newer close", true, || {
         run(Variant::OpenWithoutNumber)
--- a/components/spec/src/explore.rs
+++ b/components/spec/src/explore.rs
@@ -10,12 +10,12 @@
     /// States explored.
     pub states: usize,
     /// The broken invariant and the steps that break it; none when all states hold.
-    pub broken: Option<Broken>,
+    pub violation: Option<Violation>,
 }
 
 /// A counter-example.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Broken {
+pub struct Violation {
     /// The invariant.
     pub invariant: &'static str,
     /// The steps, in order.
@@ -24,12 +24,12 @@
 
 /// Explores all states that can be reached from `start`.
 ///
-/// `next` gives the steps that can be taken with the states they lead to; `broken` names the
+/// `successors` gives the steps that can be taken with the states they lead to; `violation` names the
 /// invariant that a state breaks.
 pub fn explore<S, L>(
     start: &S,
-    next: impl Fn(&S) -> Vec<(L, S)>,
-    broken: impl Fn(&S) -> Option<&'static str>,
+    successors: impl Fn(&S) -> Vec<(L, S)>,
+    violation: impl Fn(&S) -> Option<&'static str>,
 ) -> Outcome
 where
     S: Clone + Eq + Hash,
@@ -40,24 +40,24 @@
         start,
         |state| {
             states.set(states.get() + 1);
-            next(state).into_iter().map(|(_, state)| state)
+            successors(state).into_iter().map(|(_, state)| state)
         },
-        |state| broken(state).is_some(),
+        |state| violation(state).is_some(),
     );
-    let broken = path.and_then(|path| {
-        let invariant = broken(path.last()?)?;
+    let violation = path.and_then(|path| {
+        let invariant = violation(path.last()?)?;
         let steps = path
             .windows(2)
             .filter_map(|pair| {
-                let mut taken = next(&pair[0]).into_iter();
-                let (step, _) = taken.find(|(_, state)| *state == pair[1])?;
+                let mut transitions = successors(&pair[0]).into_iter();
+                let (step, _) = transitions.find(|(_, state)| *state == pair[1])?;
                 Some(format!("{step:?}"))
             })
             .collect();
-        Some(Broken { invariant, steps })
+        Some(Violation { invariant, steps })
     });
     Outcome {
         states: states.get(),
-        broken,
+        violation,
     }
 }
--- a/components/spec/src/lib.rs
+++ b/components/spec/src/lib.rs
@@ -22,7 +22,7 @@
     /// The bounds.
     pub bounds: &'static str,
     /// Whether an invariant must be found broken.
-    pub wrong: bool,
+    pub expect_violation: bool,
     /// Explores it.
     pub run: fn() -> Outcome,
 }
--- a/components/spec/src/main.rs
+++ b/components/spec/src/main.rs
@@ -19,13 +19,13 @@
 
 fn main() -> ExitCode {
     let Command::Check { verbose } = command().run();
-    let fine = cases()
+    let passed = cases()
         .iter()
         .map(|case| report(case, &(case.run)(), verbose))
-        .filter(|fine| !fine)
+        .filter(|passed| !passed)
         .count()
         == 0;
-    if fine {
+    if passed {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
@@ -34,30 +34,30 @@
 
 /// Prints one case and says whether it went as it must.
 fn report(case: &Case, outcome: &Outcome, verbose: bool) -> bool {
-    let fine = case.wrong == outcome.broken.is_some();
-    let mark = if fine { "ok  " } else { "FAIL" };
+    let passed = case.expect_violation == outcome.violation.is_some();
+    let mark = if passed { "ok  " } else { "FAIL" };
     let Case {
         model,
         variant,
         bounds,
         ..
     } = case;
-    match &outcome.broken {
+    match &outcome.violation {
         None => println!(
             "{mark} {model}: {variant}: holds in {} states ({bounds})",
             outcome.states
         ),
-        Some(broken) => println!(
+        Some(violation) => println!(
             "{mark} {model}: {variant}: breaks \"{}\" in {} steps, {} states",
-            broken.invariant,
-            broken.steps.len(),
+            violation.invariant,
+            violation.steps.len(),
             outcome.states
         ),
     }
-    if let (Some(broken), true) = (&outcome.broken, verbose || !fine) {
-        for (nth, step) in broken.steps.iter().enumerate() {
+    if let (Some(violation), true) = (&outcome.violation, verbose || !passed) {
+        for (nth, step) in violation.steps.iter().enumerate() {
             println!("       {:2}. {step}", nth + 1);
         }
     }
-    fine
+    passed
 }
--- a/components/spec/src/orders/mod.rs
+++ b/components/spec/src/orders/mod.rs
@@ -9,7 +9,9 @@
     order::{self, Ended, Role, Row, Stage, Step},
 };
 
-use state::{Daemon, Doing, Label, Message, Setup, State, Variant, name, start, wanted};
+use state::{
+    Daemon, Label, Message, Phase, Setup, State, Variant, incarnation, initial_state, wanted,
+};
 
 use crate::{
     Case,
@@ -18,19 +20,19 @@
 
 const DAEMONS: usize = 2;
 /// The highest epoch and the highest order number that are explored.
-const EPOCHS: u64 = 3;
-const NUMBERS: u64 = 2;
+const MAX_EPOCH: u64 = 3;
+const MAX_ORDER_NUMBER: u64 = 2;
 /// Orders on their way at once.
-const ON_THE_WAY: usize = 3;
+const MAX_IN_TRANSIT: usize = 3;
 const BOUNDS: &str = "2 daemons, 1 engine, epochs to 3, orders to 2, 3 on the way, 2 ends, 1 crash";
 
-fn next(state: &State, setup: Setup, variant: Variant) -> Vec<(Label, State)> {
+fn successors(state: &State, setup: Setup, variant: Variant) -> Vec<(Label, State)> {
     let mut steps = Vec::new();
     for at in 0..DAEMONS {
         if state.daemons[at].alive {
-            take(state, at, &mut steps);
-            plan(state, at, setup, variant, &mut steps);
-            act(state, at, variant, &mut steps);
+            take_stewardship(state, at, &mut steps);
+            decide_order(state, at, setup, variant, &mut steps);
+            advance(state, at, variant, &mut steps);
             crash(state, at, &mut steps);
         }
     }
@@ -38,10 +40,10 @@
     steps
 }
 
-fn take(state: &State, at: usize, steps: &mut Vec<(Label, State)>) {
-    let next_lease = lease::take(state.lease.as_ref(), name(at));
-    let holds = state.lease.and_then(|lease| lease.holder) == Some(name(at));
-    if holds || next_lease.epoch > EPOCHS {
+fn take_stewardship(state: &State, at: usize, steps: &mut Vec<(Label, State)>) {
+    let next_lease = lease::take(state.lease.as_ref(), incarnation(at));
+    let holds_lease = state.lease.and_then(|lease| lease.holder) == Some(incarnation(at));
+    if holds_lease || next_lease.epoch > MAX_EPOCH {
         return;
     }
     let mut next = state.clone();
@@ -57,27 +59,33 @@
 }
 
 /// Whether a commit under this epoch's lease row would be accepted.
-fn accepted(state: &State, epoch: u64, variant: Variant) -> bool {
-    variant == Variant::TermAlone || state.lease.is_some_and(|lease| lease.epoch == epoch)
+fn commit_accepted(state: &State, epoch: u64, variant: Variant) -> bool {
+    variant == Variant::LeaseTermOnly || state.lease.is_some_and(|lease| lease.epoch == epoch)
 }
 
-fn plan(state: &State, at: usize, setup: Setup, variant: Variant, steps: &mut Vec<(Label, State)>) {
+fn decide_order(
+    state: &State,
+    at: usize,
+    setup: Setup,
+    variant: Variant,
+    steps: &mut Vec<(Label, State)>,
+) {
     let daemon = &state.daemons[at];
-    let (Some(epoch), Doing::Nothing) = (daemon.epoch, &daemon.doing) else {
+    let (Some(epoch), Phase::Nothing) = (daemon.epoch, &daemon.phase) else {
         return;
     };
     let gone = |other: Incarnation| {
         variant == Variant::NoWait
-            || !(0..DAEMONS).any(|d| name(d) == other && state.daemons[d].alive)
+            || !(0..DAEMONS).any(|d| incarnation(d) == other && state.daemons[d].alive)
     };
     let number = state.row.as_ref().map_or(0, |row| row.number);
-    let clean = !daemon.lost.contains(&number);
+    let clean = !daemon.lost_orders.contains(&number);
     for role in [Role::Prefill, Role::Decode] {
-        let wish = wanted(role);
+        let target = wanted(role);
         let row = match order::next(
             state.row.as_ref(),
-            &wish,
-            name(at),
+            &target,
+            incarnation(at),
             epoch,
             setup.fences,
             clean,
@@ -88,16 +96,16 @@
             Step::Resend(row) | Step::Reopen(row) => row,
             Step::Wait(_) | Step::Nothing => continue,
         };
-        if row.number <= NUMBERS {
+        if row.number <= MAX_ORDER_NUMBER {
             let label = Label::Decides {
                 daemon: at,
                 number: row.number,
                 role: row.wanted.role,
             };
             let mut next = state.clone();
-            next.daemons[at].doing = Doing::Commit {
+            next.daemons[at].phase = Phase::Commit {
                 row,
-                over: state.row.clone(),
+                expected: state.row.clone(),
             };
             steps.push((label, next));
         }
@@ -116,15 +124,15 @@
     if variant == Variant::IntentAfterSend {
         let mut early = state.clone();
         send(&mut early, at, &row);
-        early.daemons[at].doing = Doing::Send(row);
+        early.daemons[at].phase = Phase::Send(row);
         steps.push((Label::Sends { daemon: at, number }, early));
         return;
     }
-    let mut known = state.clone();
-    known.row = Some(row.clone());
-    let mut lost = known.clone();
+    let mut answered = state.clone();
+    answered.row = Some(row.clone());
+    let mut lost = answered.clone();
     if row.stage == Stage::Intent {
-        known.daemons[at].doing = Doing::Send(row);
+        answered.daemons[at].phase = Phase::Send(row);
     }
     steps.push((
         Label::CommitsIntent {
@@ -132,10 +140,10 @@
             number,
             role,
         },
-        known,
+        answered,
     ));
     // the write took effect and its answer was lost for good: nothing is sent
-    lost.daemons[at].doing = Doing::Nothing;
+    lost.daemons[at].phase = Phase::Nothing;
     steps.push((Label::CommitAnswerLost { daemon: at, number }, lost));
 }
 
@@ -148,25 +156,25 @@
     state.network.sort();
 }
 
-fn act(state: &State, at: usize, variant: Variant, steps: &mut Vec<(Label, State)>) {
-    match state.daemons[at].doing.clone() {
-        Doing::Nothing => {}
-        Doing::Commit { row, over } => {
-            let fits = state.row == over || variant == Variant::TermAlone;
-            if fits && accepted(state, row.epoch, variant) {
+fn advance(state: &State, at: usize, variant: Variant, steps: &mut Vec<(Label, State)>) {
+    match state.daemons[at].phase.clone() {
+        Phase::Nothing => {}
+        Phase::Commit { row, expected } => {
+            let row_matches = state.row == expected || variant == Variant::LeaseTermOnly;
+            if row_matches && commit_accepted(state, row.epoch, variant) {
                 commit_intent(state, at, row, variant, steps);
             } else {
                 let mut next = state.clone();
-                next.daemons[at].doing = Doing::Nothing;
+                next.daemons[at].phase = Phase::Nothing;
                 steps.push((Label::CommitRefused { daemon: at }, next));
             }
         }
-        Doing::Send(_) if state.network.len() >= ON_THE_WAY => {}
-        Doing::Send(row) => {
+        Phase::Send(_) if state.network.len() >= MAX_IN_TRANSIT => {}
+        Phase::Send(row) => {
             let mut next = state.clone();
             let label = if variant == Variant::IntentAfterSend {
                 // the intent, after the order has left
-                if accepted(state, row.epoch, variant) {
+                if commit_accepted(state, row.epoch, variant) {
                     next.row = Some(row.clone());
                 }
                 Label::CommitsIntent {
@@ -181,24 +189,24 @@
                     number: row.number,
                 }
             };
-            next.daemons[at].doing = Doing::Await(row);
+            next.daemons[at].phase = Phase::Await(row);
             steps.push((label, next));
         }
-        Doing::Await(row) => {
+        Phase::Await(row) => {
             // the call is cut; the order may still arrive
             let mut next = state.clone();
-            let ended = if variant == Variant::LostIsEnded {
+            let ended = if variant == Variant::LostCallIsEnded {
                 Ended::NotReached
             } else {
                 Ended::Lost
             };
-            if ended == Ended::Lost && !next.daemons[at].lost.contains(&row.number) {
-                next.daemons[at].lost.push(row.number);
+            if ended == Ended::Lost && !next.daemons[at].lost_orders.contains(&row.number) {
+                next.daemons[at].lost_orders.push(row.number);
             }
-            next.daemons[at].doing = Doing::Finish(row, ended);
+            next.daemons[at].phase = Phase::Finish(row, ended);
             steps.push((Label::CallIsLost { daemon: at }, next));
         }
-        Doing::Finish(row, ended) => finish(state, at, &row, ended, variant, steps),
+        Phase::Finish(row, ended) => finish(state, at, &row, ended, variant, steps),
     }
 }
 
@@ -211,13 +219,13 @@
     steps: &mut Vec<(Label, State)>,
 ) {
     let mut next = state.clone();
-    next.daemons[at].doing = Doing::Nothing;
+    next.daemons[at].phase = Phase::Nothing;
     let outcome = order::finish(row, ended);
-    let stands = state
+    let is_current = state
         .row
         .as_ref()
         .is_some_and(|now| now.number == row.number && now.sender == row.sender);
-    if accepted(state, row.epoch, variant) && stands {
+    if commit_accepted(state, row.epoch, variant) && is_current {
         let label = Label::CommitsOutcome {
             daemon: at,
             number: row.number,
@@ -232,10 +240,10 @@
     // a former sender whose call has ended takes its name out
     if let (Some(now), true) = (withdrawn.row.as_mut(), ended != Ended::Lost)
         && now.number == row.number
-        && now.earlier.contains(&name(at))
-        && !state.daemons[at].lost.contains(&row.number)
+        && now.earlier.contains(&incarnation(at))
+        && !state.daemons[at].lost_orders.contains(&row.number)
     {
-        now.earlier.retain(|other| *other != name(at));
+        now.earlier.retain(|other| *other != incarnation(at));
         steps.push((Label::Withdraws { daemon: at }, withdrawn));
     }
 }
@@ -249,8 +257,8 @@
     next.daemons[at] = Daemon {
         alive: false,
         epoch: None,
-        doing: Doing::Nothing,
-        lost: Vec::new(),
+        phase: Phase::Nothing,
+        lost_orders: Vec::new(),
     };
     // its connections end with it; what has left its machine is lost, since gone means gone
     next.network.retain(|message| message.from != at);
@@ -261,7 +269,7 @@
     for (nth, message) in state.network.iter().enumerate() {
         let mut next = state.clone();
         next.network.remove(nth);
-        let refused = setup.fences && !order::fenced(state.highest, message.number);
+        let refused = setup.fences && !order::fenced(state.highest_seen, message.number);
         let (label, ended) = if refused {
             let label = Label::EngineRefuses {
                 number: message.number,
@@ -269,8 +277,8 @@
             };
             (label, Ended::NotReached)
         } else {
-            strike(&mut next, message, setup);
-            let label = Label::EngineTakes {
+            apply_order(&mut next, message, setup);
+            let label = Label::EngineAccepts {
                 number: message.number,
                 role: message.wanted.role,
                 from: message.from,
@@ -278,10 +286,10 @@
             (label, Ended::Reached)
         };
         // the answer reaches a sender that still waits for it
-        if let Doing::Await(row) = &state.daemons[message.from].doing
+        if let Phase::Await(row) = &state.daemons[message.from].phase
             && row.number == message.number
         {
-            next.daemons[message.from].doing = Doing::Finish(row.clone(), ended);
+            next.daemons[message.from].phase = Phase::Finish(row.clone(), ended);
         }
         steps.push((label, next));
     }
@@ -291,43 +299,43 @@
 ///
 /// At an engine that checks, authority is lost when a newer number has arrived. Until then an order
 /// that was committed may take effect, but only while the row keeps the endpoint closed.
-fn strike(state: &mut State, message: &Message, setup: Setup) {
-    let changes = state.holds != message.wanted.role;
+fn apply_order(state: &mut State, message: &Message, setup: Setup) {
+    let changes_role = state.engine_role != message.wanted.role;
     let closed = state.row.as_ref().is_some_and(|row| row.closes(false));
-    let overtaken = setup.fences && closed;
-    let intended = state
+    let superseded = setup.fences && closed;
+    let has_intent = state
         .row
         .as_ref()
         .is_some_and(|row| row.number == message.number && row.wanted == message.wanted);
-    state.broken = match () {
-        () if changes && message.number < state.effective => {
+    state.violation = match () {
+        () if changes_role && message.number < state.highest_applied => {
             Some("an engine never receives conflicting orders")
         }
-        () if changes && !intended && !overtaken => {
+        () if changes_role && !has_intent && !superseded => {
             Some("orders from a process that has lost its authority have no effect")
         }
         () => None,
     };
-    state.highest = state.highest.max(message.number);
-    state.effective = state.effective.max(message.number);
-    state.holds = message.wanted.role;
+    state.highest_seen = state.highest_seen.max(message.number);
+    state.highest_applied = state.highest_applied.max(message.number);
+    state.engine_role = message.wanted.role;
 }
 
 fn run(fences: bool, variant: Variant) -> Outcome {
     let setup = Setup { fences };
     explore(
-        &start(),
-        |state| next(state, setup, variant),
-        |state| state.broken,
+        &initial_state(),
+        |state| successors(state, setup, variant),
+        |state| state.violation,
     )
 }
 
-const fn case(variant: &'static str, wrong: bool, run: fn() -> Outcome) -> Case {
+const fn case(variant: &'static str, expect_violation: bool, run: fn() -> Outcome) -> Case {
     Case {
         model: "orders",
         variant,
         bounds: BOUNDS,
-        wrong,
+        expect_violation,
         run,
     }
 }
@@ -335,22 +343,24 @@
 /// The model's cases.
 pub const CASES: &[Case] = &[
     case("as built, engine that checks", false, || {
-        run(true, Variant::Right)
+        run(true, Variant::Correct)
     }),
     case("as built, engine that doesn't check", false, || {
-        run(false, Variant::Right)
+        run(false, Variant::Correct)
     }),
     case("intent after send", true, || {
         run(false, Variant::IntentAfterSend)
     }),
     case("lease term alone, engine that checks", true, || {
-        run(true, Variant::TermAlone)
+        run(true, Variant::LeaseTermOnly)
+    }),
+    case("lease term alone", true, || {
+        run(false, Variant::LeaseTermOnly)
     }),
-    case("lease term alone", true, || run(false, Variant::TermAlone)),
     case("different order without waiting", true, || {
         run(false, Variant::NoWait)
     }),
     case("lost call taken for ended", true, || {
-        run(false, Variant::LostIsEnded)
+        run(false, Variant::LostCallIsEnded)
     }),
 ];
--- a/components/spec/src/orders/state.rs
+++ b/components/spec/src/orders/state.rs
@@ -11,15 +11,15 @@
 /// What is done wrong on purpose.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Variant {
-    Right,
+    Correct,
     /// The order is sent before its intent is committed.
     IntentAfterSend,
     /// A commit checks neither epoch nor row: the lease's term alone protects.
-    TermAlone,
+    LeaseTermOnly,
     /// A different order doesn't wait for the senders of open ones.
     NoWait,
     /// An order that may still strike after a lost call is taken for ended.
-    LostIsEnded,
+    LostCallIsEnded,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -29,12 +29,12 @@
 
 /// What a daemon is about to do.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(super) enum Doing {
+pub(super) enum Phase {
     Nothing,
     /// It has read the rows and decided; the commit is not made yet.
     Commit {
         row: Row,
-        over: Option<Row>,
+        expected: Option<Row>,
     },
     /// The intent is committed, or so it believes; the order is not sent yet.
     Send(Row),
@@ -48,9 +48,9 @@
 pub(super) struct Daemon {
     pub(super) alive: bool,
     pub(super) epoch: Option<u64>,
-    pub(super) doing: Doing,
+    pub(super) phase: Phase,
     /// Orders of its own that may still strike.
-    pub(super) lost: Vec<u64>,
+    pub(super) lost_orders: Vec<u64>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -67,12 +67,12 @@
     pub(super) daemons: [Daemon; DAEMONS],
     /// Sorted.
     pub(super) network: Vec<Message>,
-    pub(super) holds: Role,
-    pub(super) highest: u64,
+    pub(super) engine_role: Role,
+    pub(super) highest_seen: u64,
     /// The highest number that took effect.
-    pub(super) effective: u64,
+    pub(super) highest_applied: u64,
     pub(super) crashes: u8,
-    pub(super) broken: Option<&'static str>,
+    pub(super) violation: Option<&'static str>,
 }
 
 /// What happens.
@@ -104,7 +104,7 @@
         daemon: usize,
         number: u64,
     },
-    EngineTakes {
+    EngineAccepts {
         number: u64,
         role: Role,
         from: usize,
@@ -132,7 +132,7 @@
     },
 }
 
-pub(super) fn name(daemon: usize) -> Incarnation {
+pub(super) fn incarnation(daemon: usize) -> Incarnation {
     Incarnation(daemon as u64 + 1)
 }
 
@@ -143,22 +143,22 @@
     }
 }
 
-pub(super) fn start() -> State {
+pub(super) fn initial_state() -> State {
     let daemon = Daemon {
         alive: true,
         epoch: None,
-        doing: Doing::Nothing,
-        lost: Vec::new(),
+        phase: Phase::Nothing,
+        lost_orders: Vec::new(),
     };
     State {
         lease: None,
         row: None,
         daemons: [daemon.clone(), daemon],
         network: Vec::new(),
-        holds: Role::Mixed,
-        highest: 0,
-        effective: 0,
+        engine_role: Role::Mixed,
+        highest_seen: 0,
+        highest_applied: 0,
         crashes: 0,
-        broken: None,
+        violation: None,
     }
 }
--- a/components/spec/src/versions.rs
+++ b/components/spec/src/versions.rs
@@ -7,16 +7,16 @@
 };
 
 const DAEMONS: usize = 2;
-const VERSIONS: u8 = 3;
+const MAX_CHANGES: u8 = 3;
 const BOUNDS: &str = "2 daemons, 3 accepted changes, late, lost and doubled messages, lost answers";
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Variant {
-    Right,
+    Correct,
     /// A daemon applies whatever came last.
     LastWins,
     /// A commit doesn't compare the version that was read.
-    NoCompare,
+    UncheckedCommit,
 }
 
 /// A tree, reduced to the set of accepted changes that it holds, as bits.
@@ -38,7 +38,7 @@
     network: Vec<(usize, Version)>,
     accepted: Tree,
     changes: u8,
-    broken: Option<&'static str>,
+    violation: Option<&'static str>,
 }
 
 #[derive(Debug)]
@@ -48,11 +48,11 @@
     Commits { daemon: usize },
     CommitAnswerIsLost { daemon: usize },
     CommitRefused { daemon: usize },
-    Hears { daemon: usize, version: u8 },
+    ReceivesUpdate { daemon: usize, version: u8 },
     Polls { daemon: usize },
 }
 
-fn start() -> State {
+fn initial_state() -> State {
     let empty = Version { number: 0, tree: 0 };
     State {
         table: empty,
@@ -61,29 +61,29 @@
         network: Vec::new(),
         accepted: 0,
         changes: 0,
-        broken: None,
+        violation: None,
     }
 }
 
 fn apply(state: &mut State, daemon: usize, version: Version, variant: Variant) {
-    let now = state.daemons[daemon];
-    let newer = version.number > now.number;
+    let current = state.daemons[daemon];
+    let newer = version.number > current.number;
     if newer || variant == Variant::LastWins {
         state.daemons[daemon] = version;
-        if version.number < now.number {
-            state.broken = Some("an accepted configuration never reverts");
+        if version.number < current.number {
+            state.violation = Some("an accepted configuration never reverts");
         }
     }
 }
 
-fn next(state: &State, variant: Variant) -> Vec<(Label, State)> {
+fn successors(state: &State, variant: Variant) -> Vec<(Label, State)> {
     let mut steps = Vec::new();
     for daemon in 0..DAEMONS {
         let mut polled = state.clone();
         apply(&mut polled, daemon, state.table, variant);
         steps.push((Label::Polls { daemon }, polled));
         match state.preparing[daemon] {
-            None if state.changes < VERSIONS => {
+            None if state.changes < MAX_CHANGES => {
                 let mut next = state.clone();
                 next.preparing[daemon] = Some(state.daemons[daemon]);
                 steps.push((Label::Reads { daemon }, next));
@@ -96,7 +96,7 @@
         let mut next = state.clone();
         apply(&mut next, *daemon, *version, variant);
         steps.push((
-            Label::Hears {
+            Label::ReceivesUpdate {
                 daemon: *daemon,
                 version: version.number,
             },
@@ -115,11 +115,11 @@
 ) {
     let mut next = state.clone();
     next.preparing[daemon] = None;
-    if state.changes == VERSIONS {
+    if state.changes == MAX_CHANGES {
         steps.push((Label::CommitRefused { daemon }, next));
         return;
     }
-    if base.number != state.table.number && variant != Variant::NoCompare {
+    if base.number != state.table.number && variant != Variant::UncheckedCommit {
         steps.push((Label::CommitRefused { daemon }, next));
         return;
     }
@@ -132,7 +132,7 @@
     next.changes += 1;
     next.accepted |= bit;
     if version.tree != next.accepted {
-        next.broken = Some("an accepted configuration is in force and never reverts");
+        next.violation = Some("an accepted configuration is in force and never reverts");
     }
     // a lost answer: the change is accepted, and this daemon hears of it later
     let lost = next.clone();
@@ -149,22 +149,28 @@
 }
 
 fn run(variant: Variant) -> Outcome {
-    explore(&start(), |state| next(state, variant), |state| state.broken)
+    explore(
+        &initial_state(),
+        |state| successors(state, variant),
+        |state| state.violation,
+    )
 }
 
-const fn case(variant: &'static str, wrong: bool, run: fn() -> Outcome) -> Case {
+const fn case(variant: &'static str, expect_violation: bool, run: fn() -> Outcome) -> Case {
     Case {
         model: "versions",
         variant,
         bounds: BOUNDS,
-        wrong,
+        expect_violation,
         run,
     }
 }
 
 /// The model's cases.
 pub const CASES: &[Case] = &[
-    case("as built", false, || run(Variant::Right)),
+    case("as built", false, || run(Variant::Correct)),
     case("what came last is applied", true, || run(Variant::LastWins)),
-    case("commit without comparing", true, || run(Variant::NoCompare)),
+    case("commit without comparing", true, || {
+        run(Variant::UncheckedCommit)
+    }),
 ];
--- a/components/spec/tests/check.rs
+++ b/components/spec/tests/check.rs
@@ -3,16 +3,16 @@
 use spec::cases;
 
 #[test]
-fn what_is_built_holds_and_what_is_wrong_is_caught() {
+fn built_protocol_holds_and_faulty_variants_are_caught() {
     for case in cases() {
         let outcome = (case.run)();
         assert_eq!(
-            outcome.broken.is_some(),
-            case.wrong,
+            outcome.violation.is_some(),
+            case.expect_violation,
             "{}: {}: {:?}",
             case.model,
             case.variant,
-            outcome.broken
+            outcome.violation
         );
     }
 }
