--- a/benches/daemon.rs
+++ b/benches/daemon.rs
@@ -123,8 +123,8 @@
     let platform = Platform::start(any()).await.expect("platform");
     let speed = Speed {
         step_us: 1,
-        write_us: 0,
-        read_us_per_thousand: 0,
+        decode_us: 0,
+        prefill_us_per_thousand: 0,
         ..Speed::default()
     };
     let setup = Setup {
--- a/components/cloud/tests/contract.rs
+++ b/components/cloud/tests/contract.rs
@@ -7,8 +7,8 @@
     vms::{self, Kind, List, State, Vm},
 };
 use standin::{
-    contract::{self, Pair},
-    platform::{Faults, Platform},
+    contract::{self, Harness},
+    platform::{Fault, Platform},
 };
 
 const TIMEOUT: Duration = Duration::from_millis(200);
@@ -20,12 +20,12 @@
     (platform, table)
 }
 
-struct HttpPair {
+struct HttpHarness {
     platform: Platform,
     table: Http,
 }
 
-impl Pair for HttpPair {
+impl Harness for HttpHarness {
     async fn start() -> Self {
         let (platform, table) = start_pair().await;
         Self { platform, table }
@@ -39,8 +39,8 @@
         TIMEOUT
     }
 
-    fn fail(&self, faults: Faults) {
-        self.platform.fail(faults);
+    fn set_fault(&self, fault: Fault) {
+        self.platform.set_fault(fault);
     }
 
     fn stored(&self, key: &str) -> Option<String> {
@@ -55,17 +55,17 @@
 
 #[tokio::test]
 async fn a_transaction_is_atomic_and_compares_versions() {
-    contract::transaction_is_whole::<HttpPair>().await;
+    contract::transaction_is_atomic::<HttpHarness>().await;
 }
 
 #[tokio::test]
 async fn a_prefix_read_returns_only_its_rows_in_order() {
-    contract::prefix_reads_its_rows::<HttpPair>().await;
+    contract::prefix_reads_its_rows::<HttpHarness>().await;
 }
 
 #[tokio::test]
 async fn each_error_says_correctly_whether_the_write_may_have_taken_effect() {
-    contract::failures_are_told_truly::<HttpPair>().await;
+    contract::failures_report_whether_the_write_may_have_applied::<HttpHarness>().await;
 }
 
 #[tokio::test]
@@ -88,11 +88,11 @@
         kind: Kind::Endpoint,
         state: State::Live,
     };
-    platform.list(vm.clone());
+    platform.add_vm(vm.clone());
     assert_eq!(list.read().await, Ok(vec![vm.clone()]));
-    platform.leave(vm.address);
+    platform.mark_leaving(vm.address);
     assert_eq!(list.read().await.expect("read")[0].state, State::Leaving);
-    platform.unlist(vm.address);
+    platform.remove_vm(vm.address);
     assert_eq!(list.read().await, Ok(Vec::new()));
     drop(platform);
     tokio::time::sleep(TIMEOUT).await;
--- a/components/endpoint/tests/contract.rs
+++ b/components/endpoint/tests/contract.rs
@@ -12,7 +12,7 @@
 use protocol::order::{Role, Wanted};
 use standin::{
     batch::Speed,
-    engine::{Engine as Standin, Faults, Setup, expected},
+    engine::{Engine as Standin, Fault, Setup, expected_text},
     service,
 };
 
@@ -56,7 +56,7 @@
     let engine = start(false).await;
     let frames = frames(&engine, &request(7, 5)).await.expect("complete");
     let text: String = frames.iter().map(|frame| frame.text.as_str()).collect();
-    assert_eq!(text, expected("question", 0, 5));
+    assert_eq!(text, expected_text("question", 0, 5));
     let offsets: Vec<u64> = frames.iter().map(|frame| frame.offset).collect();
     assert_eq!(offsets, [0, 1, 2, 3, 4]);
     assert!(frames.iter().all(|frame| frame.attempt == 7));
@@ -72,21 +72,21 @@
     };
     let frames = frames(&engine, &resumed).await.expect("complete");
     let text: String = frames.iter().map(|frame| frame.text.as_str()).collect();
-    assert_eq!(text, expected("question", 3, 5));
+    assert_eq!(text, expected_text("question", 3, 5));
 }
 
 #[tokio::test]
 async fn each_failure_says_correctly_whether_the_attempt_may_have_executed() {
     let cases = [
-        (Faults::Refuse, Some(Failure::Refused(503))),
-        (Faults::CutAt(2), Some(Failure::Lost)),
-        (Faults::Garbage, Some(Failure::Lost)),
+        (Fault::Refuse, Some(Failure::Refused(503))),
+        (Fault::ResetAt(2), Some(Failure::Lost)),
+        (Fault::MalformedFrames, Some(Failure::Lost)),
         // a stream that is closed cleanly too early is no error here; the code that assembles the answer detects it
-        (Faults::EndAt(2), None),
+        (Fault::CloseAt(2), None),
     ];
     for (fault, expected_failure) in cases {
         let engine = start(false).await;
-        engine.fail(fault);
+        engine.set_fault(fault);
         let failure = frames(&engine, &request(9, 5)).await.err();
         assert_eq!(failure, expected_failure, "{fault:?}");
     }
@@ -169,13 +169,13 @@
 #[tokio::test]
 async fn a_plain_service_failure_says_whether_it_may_have_executed() {
     let cases = [
-        (service::Faults::None, None, 1),
-        (service::Faults::CutBefore, Some(Failure::Lost), 0),
-        (service::Faults::CutAfter, Some(Failure::Lost), 1),
+        (service::Fault::None, None, 1),
+        (service::Fault::ResetBefore, Some(Failure::Lost), 0),
+        (service::Fault::ResetAfter, Some(Failure::Lost), 1),
     ];
     for (fault, expected_failure, runs) in cases {
         let standin = service::Service::start(any_port()).await.expect("service");
-        standin.fail(fault);
+        standin.set_fault(fault);
         let body = Bytes::from_static(b"reading");
         let answer = Service::default()
             .send(
--- a/components/standin/src/batch/cache.rs
+++ b/components/standin/src/batch/cache.rs
@@ -3,12 +3,12 @@
 use endpoint::engine::CacheEvent;
 
 /// How many events are kept for readers that come late; older ones are a gap to them.
-const EVENTS: usize = 4_096;
+const MAX_EVENTS: usize = 4_096;
 
 /// Blocks held, and the events that tell of them.
 #[derive(Clone, Debug)]
 pub struct Cache {
-    most: usize,
+    capacity: usize,
     /// Block and time of last use, sorted by block.
     blocks: Vec<(u64, u64)>,
     clock: u64,
@@ -19,9 +19,9 @@
 impl Cache {
     /// An empty cache of so many blocks.
     #[must_use]
-    pub fn new(most: usize) -> Self {
+    pub fn new(capacity: usize) -> Self {
         Self {
-            most,
+            capacity,
             blocks: Vec::new(),
             clock: 0,
             events: Vec::new(),
@@ -31,7 +31,7 @@
 
     /// How many of the first blocks are held.
     #[must_use]
-    pub fn held(&self, blocks: &[u64]) -> usize {
+    pub fn cached_prefix_blocks(&self, blocks: &[u64]) -> usize {
         blocks
             .iter()
             .take_while(|block| self.find(**block).is_ok())
@@ -39,18 +39,18 @@
     }
 
     /// Holds these blocks.
-    pub fn hold(&mut self, blocks: &[u64]) {
+    pub fn insert(&mut self, blocks: &[u64]) {
         self.clock += 1;
         for block in blocks {
             match self.find(*block) {
-                Ok(at) => self.blocks[at].1 = self.clock,
-                Err(at) => {
-                    self.blocks.insert(at, (*block, self.clock));
-                    self.notify(*block, true);
+                Ok(index) => self.blocks[index].1 = self.clock,
+                Err(index) => {
+                    self.blocks.insert(index, (*block, self.clock));
+                    self.record_event(*block, true);
                 }
             }
         }
-        if self.blocks.len() > self.most {
+        if self.blocks.len() > self.capacity {
             self.evict();
         }
     }
@@ -64,10 +64,10 @@
     /// The events after a sequence number, as far as they are kept.
     #[must_use]
     pub fn events_after(&self, sequence: u64) -> &[CacheEvent] {
-        let at = self
+        let index = self
             .events
             .partition_point(|event| event.sequence <= sequence);
-        &self.events[at..]
+        &self.events[index..]
     }
 
     fn find(&self, block: u64) -> Result<usize, usize> {
@@ -77,31 +77,31 @@
 
     /// Drops an eighth at once, so that the sort pays.
     fn evict(&mut self) {
-        let keep = self.most - self.most / 8;
+        let keep = self.capacity - self.capacity / 8;
         let mut ages: Vec<u64> = self.blocks.iter().map(|(_, age)| *age).collect();
         ages.sort_unstable();
         let oldest = ages[ages.len() - keep];
-        let gone: Vec<u64> = self
+        let evicted: Vec<u64> = self
             .blocks
             .iter()
             .filter(|(_, age)| *age < oldest)
             .map(|(block, _)| *block)
             .collect();
         self.blocks.retain(|(_, age)| *age >= oldest);
-        for block in gone {
-            self.notify(block, false);
+        for block in evicted {
+            self.record_event(block, false);
         }
     }
 
-    fn notify(&mut self, block: u64, held: bool) {
+    fn record_event(&mut self, block: u64, held: bool) {
         self.sequence += 1;
         self.events.push(CacheEvent {
             sequence: self.sequence,
             block,
             held,
         });
-        if self.events.len() > EVENTS {
-            self.events.drain(..EVENTS / 2);
+        if self.events.len() > MAX_EVENTS {
+            self.events.drain(..MAX_EVENTS / 2);
         }
     }
 }
--- a/components/standin/src/batch/mod.rs
+++ b/components/standin/src/batch/mod.rs
@@ -14,13 +14,13 @@
     /// Cost of a step by itself.
     pub step_us: u64,
     /// Cost of each request that writes in a step.
-    pub write_us: u64,
+    pub decode_us: u64,
     /// Cost of reading a thousand prompt tokens.
-    pub read_us_per_thousand: u64,
+    pub prefill_us_per_thousand: u64,
     /// Most prompt tokens read in a step while others write.
     pub chunk_tokens: u64,
     /// Most requests in a batch.
-    pub most_running: usize,
+    pub max_running: usize,
     /// Blocks that the prefix cache holds.
     pub cache_blocks: usize,
     /// Cost of fetching a thousand tokens of KV cache from another engine.
@@ -34,10 +34,10 @@
     fn default() -> Self {
         Self {
             step_us: 8_000,
-            write_us: 150,
-            read_us_per_thousand: 80_000,
+            decode_us: 150,
+            prefill_us_per_thousand: 80_000,
             chunk_tokens: 512,
-            most_running: 64,
+            max_running: 64,
             cache_blocks: 6_000,
             import_us_per_thousand: 4_000,
             change_ms: 5_000,
@@ -51,8 +51,8 @@
     pub fn quick() -> Self {
         Self {
             step_us: 1_000,
-            write_us: 10,
-            read_us_per_thousand: 2_000,
+            decode_us: 10,
+            prefill_us_per_thousand: 2_000,
             change_ms: 200,
             ..Self::default()
         }
@@ -71,9 +71,9 @@
     /// Hashes of the prompt's blocks.
     pub blocks: Vec<u64>,
     /// Tokens to write, up to this offset.
-    pub until: u64,
+    pub end_offset: u64,
     /// The first offset to write.
-    pub from: u64,
+    pub start_offset: u64,
     /// Whether the prompt's KV cache comes from another engine.
     pub imported: bool,
 }
@@ -81,14 +81,14 @@
 #[derive(Clone, Debug)]
 struct Running {
     job: Job,
-    to_read: u64,
-    to_fetch_us: u64,
+    prefill_left: u64,
+    import_left_us: u64,
     offset: u64,
 }
 
 impl Running {
-    fn writes(&self) -> bool {
-        self.to_read == 0 && self.to_fetch_us == 0
+    fn is_decoding(&self) -> bool {
+        self.prefill_left == 0 && self.import_left_us == 0
     }
 }
 
@@ -135,7 +135,7 @@
 
     /// Adds a job and says how many tokens of its prompt the cache holds.
     pub fn submit(&mut self, job: Job) -> u64 {
-        let cached = self.cached(&job);
+        let cached = self.cached_tokens(&job);
         // behind those of the same priority
         let at = self
             .waiting
@@ -165,16 +165,20 @@
     #[must_use]
     pub fn waiting_prompt_tokens(&self) -> u64 {
         let waiting: u64 = self.waiting.iter().map(|job| job.prompt_tokens).sum();
-        let running: u64 = self.running.iter().map(|running| running.to_read).sum();
+        let running: u64 = self
+            .running
+            .iter()
+            .map(|running| running.prefill_left)
+            .sum();
         waiting + running
     }
 
     /// Requests writing tokens.
     #[must_use]
-    pub fn writing(&self) -> usize {
+    pub fn decoding(&self) -> usize {
         self.running
             .iter()
-            .filter(|running| running.writes())
+            .filter(|running| running.is_decoding())
             .count()
     }
 
@@ -190,95 +194,99 @@
         if self.running.is_empty() {
             return None;
         }
-        let writers = u64::try_from(self.writing()).unwrap_or(u64::MAX);
-        let fetching = self.running.iter().map(|running| running.to_fetch_us).max();
-        if writers == 0 && self.running.iter().all(|running| running.to_read == 0) {
+        let decoding = u64::try_from(self.decoding()).unwrap_or(u64::MAX);
+        let longest_import = self
+            .running
+            .iter()
+            .map(|running| running.import_left_us)
+            .max();
+        if decoding == 0 && self.running.iter().all(|running| running.prefill_left == 0) {
             // nothing but fetches: the step lasts until the first of them is through
-            let least = self
+            let shortest = self
                 .running
                 .iter()
-                .map(|r| r.to_fetch_us)
+                .map(|r| r.import_left_us)
                 .min()
                 .unwrap_or(0);
-            self.fetch(least);
+            self.advance_imports(shortest);
             return Some(Step {
-                us: least,
+                us: shortest,
                 tokens: Vec::new(),
             });
         }
-        let read = self.read(writers > 0);
+        let prefilled = self.prefill(decoding > 0);
         let us = self.speed.step_us
-            + writers * self.speed.write_us
-            + read * self.speed.read_us_per_thousand / THOUSAND;
-        if fetching > Some(0) {
-            self.fetch(us);
+            + decoding * self.speed.decode_us
+            + prefilled * self.speed.prefill_us_per_thousand / THOUSAND;
+        if longest_import > Some(0) {
+            self.advance_imports(us);
         }
         Some(Step {
             us,
-            tokens: self.write(),
+            tokens: self.decode(),
         })
     }
 
-    fn cached(&self, job: &Job) -> u64 {
-        let blocks = u64::try_from(self.cache.held(&job.blocks)).unwrap_or(0);
+    fn cached_tokens(&self, job: &Job) -> u64 {
+        let blocks = u64::try_from(self.cache.cached_prefix_blocks(&job.blocks)).unwrap_or(0);
         // the last token is always read, to have something to write from
         (blocks * BLOCK_TOKENS as u64).min(job.prompt_tokens.saturating_sub(1))
     }
 
     fn admit(&mut self) {
-        while self.running.len() < self.speed.most_running && !self.waiting.is_empty() {
+        while self.running.len() < self.speed.max_running && !self.waiting.is_empty() {
             let job = self.waiting.remove(0);
-            let (to_read, to_fetch_us) = if job.imported {
-                let fetch = job.prompt_tokens * self.speed.import_us_per_thousand / THOUSAND;
-                (0, fetch)
+            let (prefill_left, import_left_us) = if job.imported {
+                let import_us = job.prompt_tokens * self.speed.import_us_per_thousand / THOUSAND;
+                (0, import_us)
             } else {
-                (job.prompt_tokens - self.cached(&job), 0)
+                (job.prompt_tokens - self.cached_tokens(&job), 0)
             };
             self.running.push(Running {
-                offset: job.from,
-                to_read,
-                to_fetch_us,
+                offset: job.start_offset,
+                prefill_left,
+                import_left_us,
                 job,
             });
         }
     }
 
-    fn fetch(&mut self, us: u64) {
+    fn advance_imports(&mut self, us: u64) {
         for running in &mut self.running {
-            running.to_fetch_us = running.to_fetch_us.saturating_sub(us);
+            running.import_left_us = running.import_left_us.saturating_sub(us);
         }
     }
 
     /// Reads prompts, the highest priority first, and says how many tokens.
-    fn read(&mut self, others_write: bool) -> u64 {
-        let most = if others_write {
+    fn prefill(&mut self, others_decode: bool) -> u64 {
+        let limit = if others_decode {
             self.speed.chunk_tokens
         } else {
-            self.speed.chunk_tokens * CHUNKS_ALONE
+            self.speed.chunk_tokens * PREFILL_ONLY_CHUNKS
         };
-        let mut left = most;
+        let mut left = limit;
         self.running
             .sort_by_key(|running| std::cmp::Reverse(running.job.priority));
         for running in &mut self.running {
-            if running.to_read > 0 {
-                let take = running.to_read.min(left);
-                running.to_read -= take;
-                left -= take;
-                if running.to_read == 0 {
-                    self.cache.hold(&running.job.blocks);
+            if running.prefill_left > 0 {
+                let tokens = running.prefill_left.min(left);
+                running.prefill_left -= tokens;
+                left -= tokens;
+                if running.prefill_left == 0 {
+                    self.cache.insert(&running.job.blocks);
                 }
             }
         }
-        most - left
+        limit - left
     }
 
-    fn write(&mut self) -> Vec<Token> {
+    fn decode(&mut self) -> Vec<Token> {
         let mut tokens = Vec::new();
         self.running.retain_mut(|running| {
-            if !running.writes() {
+            if !running.is_decoding() {
                 return true;
             }
-            let last = running.offset + 1 >= running.job.until;
+            let last = running.offset + 1 >= running.job.end_offset;
             tokens.push(Token {
                 id: running.job.id,
                 offset: running.offset,
@@ -293,4 +301,4 @@
 
 const THOUSAND: u64 = 1_000;
 /// How many chunks a step reads when nobody waits for a token meanwhile.
-const CHUNKS_ALONE: u64 = 4;
+const PREFILL_ONLY_CHUNKS: u64 = 4;
--- a/components/standin/src/contract/mod.rs
+++ b/components/standin/src/contract/mod.rs
@@ -4,11 +4,11 @@
 
 use cloud::table::{Error, Outcome, Read, Table, Transaction};
 
-use crate::platform::Faults;
+use crate::platform::Fault;
 
 /// An adapter and the stand-in that it speaks to.
-pub trait Pair: Send + Sync + Sized {
-    /// A fresh pair.
+pub trait Harness: Send + Sync + Sized {
+    /// A fresh harness.
     fn start() -> impl Future<Output = Self> + Send;
 
     /// The adapter.
@@ -18,7 +18,7 @@
     fn timeout(&self) -> Duration;
 
     /// Changes how the stand-in fails.
-    fn fail(&self, faults: Faults);
+    fn set_fault(&self, fault: Fault);
 
     /// The value of a row, past the faults.
     fn stored(&self, key: &str) -> Option<String>;
@@ -36,9 +36,9 @@
 /// # Panics
 ///
 /// When the pair does otherwise.
-pub async fn transaction_is_whole<P: Pair>() {
-    let pair = P::start().await;
-    let table = pair.table();
+pub async fn transaction_is_atomic<H: Harness>() {
+    let harness = H::start().await;
+    let table = harness.table();
     let first = Transaction::default()
         .check("a", 0)
         .write("a", "1".to_owned());
@@ -70,9 +70,9 @@
 /// # Panics
 ///
 /// When the pair does otherwise.
-pub async fn prefix_reads_its_rows<P: Pair>() {
-    let pair = P::start().await;
-    let table = pair.table();
+pub async fn prefix_reads_its_rows<H: Harness>() {
+    let harness = H::start().await;
+    let table = harness.table();
     let all = ["p/b", "q", "p/a", "o"]
         .iter()
         .fold(Transaction::default(), |all, key| {
@@ -93,30 +93,30 @@
 /// # Panics
 ///
 /// When the pair does otherwise.
-pub async fn failures_are_told_truly<P: Pair>() {
+pub async fn failures_report_whether_the_write_may_have_applied<H: Harness>() {
     // what the adapter says, whether the write is there afterwards
     let cases = |timeout: Duration| {
         [
-            (Faults::Down, Error::NotApplied, false),
-            (Faults::LostAnswers, Error::OutcomeUnknown, true),
-            (Faults::LostWrites, Error::OutcomeUnknown, false),
-            (Faults::Slow(timeout * 2), Error::OutcomeUnknown, true),
-            (Faults::Garbage, Error::OutcomeUnknown, false),
+            (Fault::Unavailable, Error::NotApplied, false),
+            (Fault::LostResponses, Error::OutcomeUnknown, true),
+            (Fault::LostWrites, Error::OutcomeUnknown, false),
+            (Fault::Slow(timeout * 2), Error::OutcomeUnknown, true),
+            (Fault::MalformedResponse, Error::OutcomeUnknown, false),
         ]
     };
     for case in 0..cases(Duration::ZERO).len() {
-        let pair = P::start().await;
-        let (fault, told, there) = cases(pair.timeout())[case];
-        pair.fail(fault);
+        let harness = H::start().await;
+        let (fault, error, applied) = cases(harness.timeout())[case];
+        harness.set_fault(fault);
         let write = Transaction::default().write("k", "v".to_owned());
-        assert_eq!(pair.table().commit(write).await, Err(told), "{fault:?}");
+        assert_eq!(harness.table().commit(write).await, Err(error), "{fault:?}");
         // a slow one takes effect after its time-out
         for _ in 0..100 {
-            if !there || pair.stored("k").is_some() {
+            if !applied || harness.stored("k").is_some() {
                 break;
             }
-            tokio::time::sleep(pair.timeout() / 10).await;
+            tokio::time::sleep(harness.timeout() / 10).await;
         }
-        assert_eq!(pair.stored("k").is_some(), there, "{fault:?}");
+        assert_eq!(harness.stored("k").is_some(), applied, "{fault:?}");
     }
 }
--- a/components/standin/src/engine/mod.rs
+++ b/components/standin/src/engine/mod.rs
@@ -1,7 +1,7 @@
 //! A stand-in of a language-model engine.
 //!
 //! Its answers can be checked: each token names the prompt it answers and its own offset, see
-//! [`expected`].
+//! [`expected_text`].
 
 mod state;
 
@@ -19,7 +19,7 @@
 use tokio::{sync::Notify, task::JoinHandle};
 
 use state::State;
-pub use state::{Counts, Faults};
+pub use state::{Counts, Fault};
 
 use crate::{
     batch::Speed,
@@ -28,11 +28,11 @@
 
 /// The text that an engine writes for a prompt, from one offset up to another.
 #[must_use]
-pub fn expected(prompt: &str, from: u64, until: u64) -> String {
-    (from..until).map(|at| word(prompt, at)).collect()
+pub fn expected_text(prompt: &str, from: u64, until: u64) -> String {
+    (from..until).map(|at| token_text(prompt, at)).collect()
 }
 
-fn word(prompt: &str, offset: u64) -> String {
+fn token_text(prompt: &str, offset: u64) -> String {
     let sum = prompt.bytes().fold(0_u16, |sum, byte| {
         sum.wrapping_mul(31).wrapping_add(byte.into())
     });
@@ -61,7 +61,7 @@
 #[derive(Debug)]
 struct Shared {
     state: Mutex<State>,
-    work: Notify,
+    work_available: Notify,
 }
 
 impl Shared {
@@ -79,15 +79,15 @@
     pub async fn start(address: SocketAddr, setup: Setup) -> std::io::Result<Self> {
         let shared = Arc::new(Shared {
             state: Mutex::new(State::new(setup)),
-            work: Notify::new(),
+            work_available: Notify::new(),
         });
-        let serving = Arc::clone(&shared);
+        let handler_shared = Arc::clone(&shared);
         let server = Server::start(address, move |request| {
-            handle(Arc::clone(&serving), request)
+            handle(Arc::clone(&handler_shared), request)
         })
         .await?;
-        let driving = Arc::clone(&shared);
-        let driver = tokio::spawn(async move { drive(&driving).await });
+        let driver_shared = Arc::clone(&shared);
+        let driver = tokio::spawn(async move { run_batch(&driver_shared).await });
         Ok(Self {
             server,
             shared,
@@ -102,8 +102,8 @@
     }
 
     /// Changes the ways in which it fails.
-    pub fn fail(&self, faults: Faults) {
-        self.shared.lock().faults = faults;
+    pub fn set_fault(&self, fault: Fault) {
+        self.shared.lock().fault = fault;
     }
 
     /// What it has counted.
@@ -125,7 +125,7 @@
     }
 }
 
-async fn drive(shared: &Shared) {
+async fn run_batch(shared: &Shared) {
     loop {
         let step = shared.lock().step();
         match step {
@@ -133,7 +133,7 @@
                 tokio::time::sleep(Duration::from_micros(step.us)).await;
                 shared.lock().deliver(&step.tokens);
             }
-            None => shared.work.notified().await,
+            None => shared.work_available.notified().await,
         }
     }
 }
@@ -144,49 +144,49 @@
 ) -> std::io::Result<Response<Body>> {
     match request.uri().path() {
         "/generate" => {
-            let generate: Generate = server::json(request).await?;
-            Ok(start(&shared, generate))
+            let generate: Generate = server::read_json(request).await?;
+            Ok(start_generation(&shared, generate))
         }
         "/cancel" => {
-            let attempt: u64 = server::json(request).await?;
+            let attempt: u64 = server::read_json(request).await?;
             shared.lock().cancel(attempt);
-            server::answer(&())
+            server::json_response(&())
         }
-        "/order" => order(&shared, server::json(request).await?).await,
+        "/order" => apply_order(&shared, server::read_json(request).await?).await,
         "/report" => {
             let report: Report = shared.lock().report();
-            server::answer(&report)
+            server::json_response(&report)
         }
         "/cache" => {
-            let after: u64 = server::json(request).await?;
+            let after: u64 = server::read_json(request).await?;
             let events = shared.lock().events_after(after);
-            server::answer(&events)
+            server::json_response(&events)
         }
-        _ => Ok(server::whole(StatusCode::NOT_FOUND, Bytes::new())),
+        _ => Ok(server::full_response(StatusCode::NOT_FOUND, Bytes::new())),
     }
 }
 
-fn start(shared: &Shared, generate: Generate) -> Response<Body> {
+fn start_generation(shared: &Shared, generate: Generate) -> Response<Body> {
     let (sender, receiver) = mpsc::unbounded();
-    let taken = shared.lock().start(generate, sender);
-    shared.work.notify_one();
-    if taken {
-        server::streamed(receiver)
+    let accepted = shared.lock().start(generate, sender);
+    shared.work_available.notify_one();
+    if accepted {
+        server::streaming_response(receiver)
     } else {
-        server::whole(StatusCode::SERVICE_UNAVAILABLE, Bytes::new())
+        server::full_response(StatusCode::SERVICE_UNAVAILABLE, Bytes::new())
     }
 }
 
-async fn order(shared: &Shared, order: Order) -> std::io::Result<Response<Body>> {
-    let begun = shared.lock().begin(&order);
-    match begun {
-        state::Begun::Stale => Ok(server::whole(StatusCode::CONFLICT, Bytes::new())),
-        state::Begun::Reached => server::answer(&()),
-        state::Begun::Changing(away) => {
-            tokio::time::sleep(away).await;
-            shared.lock().finish(&order);
-            shared.work.notify_one();
-            server::answer(&())
+async fn apply_order(shared: &Shared, order: Order) -> std::io::Result<Response<Body>> {
+    let started = shared.lock().begin_order(&order);
+    match started {
+        state::OrderStart::Stale => Ok(server::full_response(StatusCode::CONFLICT, Bytes::new())),
+        state::OrderStart::Reached => server::json_response(&()),
+        state::OrderStart::Changing(duration) => {
+            tokio::time::sleep(duration).await;
+            shared.lock().finish_order(&order);
+            shared.work_available.notify_one();
+            server::json_response(&())
         }
     }
 }
--- a/components/standin/src/engine/state.rs
+++ b/components/standin/src/engine/state.rs
@@ -7,31 +7,31 @@
 use futures::channel::mpsc::UnboundedSender;
 use protocol::order::{self, Wanted};
 
-use super::{Setup, word};
+use super::{Setup, token_text};
 use crate::batch::{Batch, Job, Step, Token};
 
 type Sender = UnboundedSender<std::io::Result<Bytes>>;
 
 /// The ways in which an engine can be told to fail.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Faults {
+pub enum Fault {
     /// It doesn't.
     #[default]
     None,
     /// It refuses every request.
     Refuse,
     /// It breaks a stream before the token at this offset.
-    CutAt(u64),
+    ResetAt(u64),
     /// It closes a stream in an orderly way before the token at this offset.
-    EndAt(u64),
+    CloseAt(u64),
     /// It leaves out the token at this offset.
     SkipAt(u64),
     /// It sends every frame twice.
-    Double,
+    DuplicateFrames,
     /// It sends, before each frame, one of another attempt.
-    Cross,
+    ForeignFrames,
     /// It sends bytes that are no frame.
-    Garbage,
+    MalformedFrames,
 }
 
 /// What an engine has counted.
@@ -48,12 +48,12 @@
     /// Orders that struck while a different one was being carried out.
     pub conflicts: u64,
     /// Streams cut by a change.
-    pub cut: u64,
+    pub interrupted: u64,
     /// Tokens written.
     pub tokens: u64,
 }
 
-pub(super) enum Begun {
+pub(super) enum OrderStart {
     /// The number is old.
     Stale,
     /// The wanted end holds already.
@@ -82,12 +82,12 @@
     /// Sorted by attempt.
     streams: Vec<Stream>,
     boot: u64,
-    number: u64,
+    highest_order: u64,
     changing: bool,
     /// What the change under way leads to.
-    becoming: Wanted,
+    target: Wanted,
     pub(super) holds: Wanted,
-    pub(super) faults: Faults,
+    pub(super) fault: Fault,
     pub(super) counts: Counts,
 }
 
@@ -97,18 +97,18 @@
             batch: Batch::new(setup.speed),
             streams: Vec::new(),
             boot: rand::random(),
-            number: 0,
+            highest_order: 0,
             changing: false,
-            becoming: Wanted::default(),
+            target: Wanted::default(),
             holds: setup.holds.clone(),
-            faults: Faults::None,
+            fault: Fault::None,
             counts: Counts::default(),
             setup,
         }
     }
 
     pub(super) fn start(&mut self, generate: Generate, sender: Sender) -> bool {
-        if self.changing || self.faults == Faults::Refuse {
+        if self.changing || self.fault == Fault::Refuse {
             return false;
         }
         let Err(at) = self.find(generate.attempt) else {
@@ -120,7 +120,7 @@
             generate.model, generate.adapter, generate.version
         );
         let prompt_tokens = prefix::estimate_tokens(&generate.prompt) + generate.resume_from;
-        let until = if generate.export {
+        let end_offset = if generate.export {
             generate.resume_from + 1
         } else {
             generate.max_tokens
@@ -130,8 +130,8 @@
             priority: generate.priority,
             prompt_tokens,
             blocks: prefix::block_hashes(&weights, &generate.prompt),
-            until,
-            from: generate.resume_from,
+            end_offset,
+            start_offset: generate.resume_from,
             imported: generate.import.is_some(),
         });
         self.streams.insert(
@@ -164,45 +164,45 @@
                 continue;
             };
             self.counts.tokens += 1;
-            let goes_on = send(&self.streams[at], *token, self.faults);
-            if token.last || !goes_on {
+            let stays_open = send_token(&self.streams[at], *token, self.fault);
+            if token.last || !stays_open {
                 self.streams.remove(at);
                 self.batch.cancel(token.id);
             }
         }
     }
 
-    pub(super) fn begin(&mut self, order: &Order) -> Begun {
-        if self.setup.fences && !order::fenced(self.number, order.number) {
+    pub(super) fn begin_order(&mut self, order: &Order) -> OrderStart {
+        if self.setup.fences && !order::fenced(self.highest_order, order.number) {
             self.counts.stale += 1;
-            return Begun::Stale;
+            return OrderStart::Stale;
         }
-        self.number = self.number.max(order.number);
-        let away = Duration::from_millis(self.setup.speed.change_ms);
-        if self.changing && self.becoming == order.wanted {
+        self.highest_order = self.highest_order.max(order.number);
+        let duration = Duration::from_millis(self.setup.speed.change_ms);
+        if self.changing && self.target == order.wanted {
             // the same order again changes nothing; its answer comes when the end is reached
-            return Begun::Changing(away);
+            return OrderStart::Changing(duration);
         }
         if self.changing {
             self.counts.conflicts += 1;
         }
         if self.holds == order.wanted && !self.changing {
-            return Begun::Reached;
+            return OrderStart::Reached;
         }
         self.changing = true;
-        self.becoming = order.wanted.clone();
+        self.target = order.wanted.clone();
         self.counts.changes += 1;
-        self.counts.cut += u64::try_from(self.streams.len()).unwrap_or(0);
+        self.counts.interrupted += u64::try_from(self.streams.len()).unwrap_or(0);
         for stream in self.streams.drain(..) {
-            broken(&stream);
+            reset_stream(&stream);
         }
         self.batch.clear();
-        Begun::Changing(away)
+        OrderStart::Changing(duration)
     }
 
-    pub(super) fn finish(&mut self, order: &Order) {
+    pub(super) fn finish_order(&mut self, order: &Order) {
         // a different order that struck meanwhile has its own end
-        if self.becoming == order.wanted {
+        if self.target == order.wanted {
             self.holds = order.wanted.clone();
             self.changing = false;
         }
@@ -213,10 +213,10 @@
             boot: self.boot,
             holds: self.holds.clone(),
             changing: self.changing,
-            number: self.number,
+            number: self.highest_order,
             requests: u64::try_from(self.batch.requests()).unwrap_or(0),
             waiting_prompt_tokens: self.batch.waiting_prompt_tokens(),
-            writing: u64::try_from(self.batch.writing()).unwrap_or(0),
+            writing: u64::try_from(self.batch.decoding()).unwrap_or(0),
             cache_sequence: self.batch.cache().sequence(),
         }
     }
@@ -232,36 +232,36 @@
 }
 
 /// Sends a token and says whether the stream goes on; a caller that hung up ends it.
-fn send(stream: &Stream, token: Token, faults: Faults) -> bool {
-    let frame = frame(stream, token);
-    let line = line(&frame);
-    let all = |lines: &[Bytes]| {
+fn send_token(stream: &Stream, token: Token, fault: Fault) -> bool {
+    let frame = build_frame(stream, token);
+    let line = encode_line(&frame);
+    let send_all = |lines: &[Bytes]| {
         lines
             .iter()
             .all(|line| stream.sender.unbounded_send(Ok(line.clone())).is_ok())
     };
-    match faults {
-        Faults::CutAt(at) if at == token.offset => {
-            broken(stream);
+    match fault {
+        Fault::ResetAt(at) if at == token.offset => {
+            reset_stream(stream);
             false
         }
-        Faults::EndAt(at) if at == token.offset => false,
-        Faults::SkipAt(at) if at == token.offset => true,
-        Faults::Double => all(&[line.clone(), line]),
-        Faults::Cross => {
+        Fault::CloseAt(at) if at == token.offset => false,
+        Fault::SkipAt(at) if at == token.offset => true,
+        Fault::DuplicateFrames => send_all(&[line.clone(), line]),
+        Fault::ForeignFrames => {
             let other = Frame {
                 attempt: frame.attempt ^ 1,
                 text: "not yours ".to_owned(),
                 ..frame
             };
-            all(&[self::line(&other), line])
+            send_all(&[self::encode_line(&other), line])
         }
-        Faults::Garbage => all(&[Bytes::from_static(b"{\xff}\n")]),
-        _ => all(&[line]),
+        Fault::MalformedFrames => send_all(&[Bytes::from_static(b"{\xff}\n")]),
+        _ => send_all(&[line]),
     }
 }
 
-fn frame(stream: &Stream, token: Token) -> Frame {
+fn build_frame(stream: &Stream, token: Token) -> Frame {
     let generate = &stream.generate;
     let reason = if generate.export {
         FinishReason::Exported
@@ -272,7 +272,7 @@
         attempt: generate.attempt,
         offset: token.offset,
         tokens: 1,
-        text: word(&generate.prompt, token.offset),
+        text: token_text(&generate.prompt, token.offset),
         done: token.last.then_some(Done {
             reason,
             prompt_tokens: stream.prompt_tokens,
@@ -281,14 +281,14 @@
     }
 }
 
-fn line(frame: &Frame) -> Bytes {
+fn encode_line(frame: &Frame) -> Bytes {
     // a frame of plain fields always has a JSON form
     let mut line = serde_json::to_vec(frame).unwrap_or_default();
     line.push(b'\n');
     line.into()
 }
 
-fn broken(stream: &Stream) {
+fn reset_stream(stream: &Stream) {
     // a caller that hung up needs no sign
     let _ = stream
         .sender
--- a/components/standin/src/link/mod.rs
+++ b/components/standin/src/link/mod.rs
@@ -43,7 +43,7 @@
     rate: Option<u32>,
     /// How often all open connections went silent for good: those that were made before the last time
     /// forward nothing any more.
-    silenced: u64,
+    stall_count: u64,
 }
 
 /// A running link; dropping it closes its port.
@@ -51,7 +51,7 @@
 pub struct Link {
     address: SocketAddr,
     condition: Arc<watch::Sender<Condition>>,
-    carried: Arc<AtomicU64>,
+    response_bytes: Arc<AtomicU64>,
     task: JoinHandle<()>,
 }
 
@@ -65,19 +65,19 @@
         let listener = TcpListener::bind(("127.0.0.1", 0)).await?;
         let address = listener.local_addr()?;
         let condition = Arc::new(watch::Sender::default());
-        let watching = Arc::clone(&condition);
-        let carried = Arc::new(AtomicU64::new(0));
-        let counter = Arc::clone(&carried);
+        let condition_source = Arc::clone(&condition);
+        let response_bytes = Arc::new(AtomicU64::new(0));
+        let counter = Arc::clone(&response_bytes);
         let task = tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let (condition, counter) = (watching.subscribe(), Arc::clone(&counter));
+                let (condition, counter) = (condition_source.subscribe(), Arc::clone(&counter));
                 tokio::spawn(async move { forward(stream, target, condition, counter).await });
             }
         });
         Ok(Self {
             address,
             condition,
-            carried,
+            response_bytes,
             task,
         })
     }
@@ -90,8 +90,8 @@
 
     /// Bytes of answers that it has carried so far, on all connections.
     #[must_use]
-    pub fn carried(&self) -> u64 {
-        self.carried.load(Ordering::Relaxed)
+    pub fn response_bytes(&self) -> u64 {
+        self.response_bytes.load(Ordering::Relaxed)
     }
 
     /// Cuts the link, or heals it.
@@ -106,15 +106,15 @@
     }
 
     /// Has it carry so many bytes a second from now on, whatever else is done to it.
-    pub fn narrow(&self, rate: u32) {
+    pub fn limit_rate(&self, rate: u32) {
         self.condition
             .send_modify(|condition| condition.rate = Some(rate));
     }
 
     /// Has all open connections go silent for good, without a reset; new ones work.
-    pub fn silence(&self) {
+    pub fn stall_connections(&self) {
         self.condition
-            .send_modify(|condition| condition.silenced += 1);
+            .send_modify(|condition| condition.stall_count += 1);
     }
 }
 
@@ -125,96 +125,96 @@
 }
 
 async fn forward(
-    near: TcpStream,
+    client: TcpStream,
     target: SocketAddr,
     mut condition: watch::Receiver<Condition>,
-    carried: Arc<AtomicU64>,
+    response_bytes: Arc<AtomicU64>,
 ) {
-    let born = *condition.borrow();
-    if born.state == State::Cut {
+    let initial = *condition.borrow();
+    if initial.state == State::Cut {
         return;
     }
-    let Ok(far) = TcpStream::connect(target).await else {
+    let Ok(server) = TcpStream::connect(target).await else {
         return;
     };
     // sockets that are gone already need no option
-    let _ = (near.set_nodelay(true), far.set_nodelay(true));
-    let (near_read, near_write) = near.into_split();
-    let (far_read, far_write) = far.into_split();
-    let carry = |from, to, answers| Carrier {
+    let _ = (client.set_nodelay(true), server.set_nodelay(true));
+    let (client_read, client_write) = client.into_split();
+    let (server_read, server_write) = server.into_split();
+    let direction = |from, to, is_response| Direction {
         from,
         to,
         condition: condition.clone(),
-        born: born.silenced,
-        answers,
-        carried: Arc::clone(&carried),
+        initial_stalls: initial.stall_count,
+        is_response,
+        response_bytes: Arc::clone(&response_bytes),
     };
-    let there = carry(near_read, far_write, false).run();
-    let back = carry(far_read, near_write, true).run();
+    let requests = direction(client_read, server_write, false).run();
+    let responses = direction(server_read, client_write, true).run();
     tokio::select! {
-        _ = async { tokio::join!(there, back) } => {}
+        _ = async { tokio::join!(requests, responses) } => {}
         _ = condition.wait_for(|condition| condition.state == State::Cut) => {}
     }
 }
 
 /// How long so many bytes take at a rate of bytes a second.
-fn span(bytes: usize, rate: u32) -> Duration {
+fn transfer_time(bytes: usize, rate: u32) -> Duration {
     let bytes = u32::try_from(bytes).unwrap_or(u32::MAX);
     Duration::from_secs(1) * bytes / rate.max(1)
 }
 
 /// One way of a connection.
-struct Carrier {
+struct Direction {
     from: OwnedReadHalf,
     to: OwnedWriteHalf,
     condition: watch::Receiver<Condition>,
     /// How often connections had gone silent when this one was made.
-    born: u64,
+    initial_stalls: u64,
     /// Whether it carries answers.
-    answers: bool,
+    is_response: bool,
     /// Bytes of answers so far.
-    carried: Arc<AtomicU64>,
+    response_bytes: Arc<AtomicU64>,
 }
 
-impl Carrier {
+impl Direction {
     /// Carries bytes until either end is gone.
     async fn run(mut self) {
         let mut buffer = vec![0; 16 << 10];
         while let Ok(length @ 1..) = self.from.read(&mut buffer).await {
-            self.let_through().await;
-            let now = *self.condition.borrow();
-            if let State::Slow(time) = now.state {
-                tokio::time::sleep(time).await;
+            self.wait_until_forwarding().await;
+            let condition = *self.condition.borrow();
+            if let State::Slow(delay) = condition.state {
+                tokio::time::sleep(delay).await;
             }
-            if let Some(rate) = now.rate {
-                tokio::time::sleep(span(length, rate)).await;
+            if let Some(rate) = condition.rate {
+                tokio::time::sleep(transfer_time(length, rate)).await;
             }
             if self.to.write_all(&buffer[..length]).await.is_err() {
                 return;
             }
-            if self.answers {
+            if self.is_response {
                 let length = u64::try_from(length).unwrap_or(u64::MAX);
-                self.carried.fetch_add(length, Ordering::Relaxed);
+                self.response_bytes.fetch_add(length, Ordering::Relaxed);
             }
         }
-        self.let_through().await;
+        self.wait_until_forwarding().await;
         // the other side may be gone already
         let _ = self.to.shutdown().await;
     }
 
     /// Waits until the link lets bytes through this way.
-    async fn let_through(&mut self) {
-        let (born, answers) = (self.born, self.answers);
-        let held_up = |condition: &Condition| match condition.state {
-            _ if condition.silenced > born => true,
+    async fn wait_until_forwarding(&mut self) {
+        let (initial_stalls, is_response) = (self.initial_stalls, self.is_response);
+        let is_held = |condition: &Condition| match condition.state {
+            _ if condition.stall_count > initial_stalls => true,
             State::Silent => true,
-            State::NoAnswers => answers,
+            State::NoAnswers => is_response,
             State::Open | State::Cut | State::Slow(_) => false,
         };
         // the link lives longer than its connections, or they end with it
         let _ = self
             .condition
-            .wait_for(|condition| !held_up(condition))
+            .wait_for(|condition| !is_held(condition))
             .await;
     }
 }
--- a/components/standin/src/main.rs
+++ b/components/standin/src/main.rs
@@ -57,20 +57,20 @@
                 holds,
             };
             let running = engine::Engine::start(listen, setup).await?;
-            forever(running.address()).await
+            serve_forever(running.address()).await
         }
         Command::Service { listen } => {
             let running = service::Service::start(listen).await?;
-            forever(running.address()).await
+            serve_forever(running.address()).await
         }
         Command::Platform { listen } => {
             let running = platform::Platform::start(listen).await?;
-            forever(running.address()).await
+            serve_forever(running.address()).await
         }
     }
 }
 
-async fn forever(address: SocketAddr) -> std::io::Result<()> {
+async fn serve_forever(address: SocketAddr) -> std::io::Result<()> {
     println!("listening on {address}");
     std::future::pending().await
 }
--- a/components/standin/src/platform/mod.rs
+++ b/components/standin/src/platform/mod.rs
@@ -11,7 +11,7 @@
 use bytes::Bytes;
 use cloud::{
     table::{Read, Transaction},
-    vms::{State as Life, Vm},
+    vms::{State as VmState, Vm},
 };
 use hyper::{Request, Response, StatusCode, body::Incoming};
 
@@ -20,20 +20,20 @@
 
 /// The ways in which the table can be told to fail.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Faults {
+pub enum Fault {
     /// It doesn't.
     #[default]
     None,
     /// It refuses reads and writes.
-    Down,
+    Unavailable,
     /// Writes take effect and their answers are lost.
-    LostAnswers,
+    LostResponses,
     /// Writes are lost before they take effect, and so are their answers.
     LostWrites,
     /// Everything takes this long, and takes effect at the end.
     Slow(Duration),
     /// It answers with what is not JSON.
-    Garbage,
+    MalformedResponse,
 }
 
 /// What the table has counted.
@@ -49,7 +49,7 @@
 struct State {
     store: Store,
     vms: Vec<Vm>,
-    faults: Faults,
+    fault: Fault,
     counts: Counts,
 }
 
@@ -72,9 +72,9 @@
     /// The system's error when the address can't be bound.
     pub async fn start(address: SocketAddr) -> std::io::Result<Self> {
         let state = Arc::new(Mutex::new(State::default()));
-        let serving = Arc::clone(&state);
+        let handler_state = Arc::clone(&state);
         let server = Server::start(address, move |request| {
-            handle(Arc::clone(&serving), request)
+            handle(Arc::clone(&handler_state), request)
         })
         .await?;
         Ok(Self { server, state })
@@ -87,8 +87,8 @@
     }
 
     /// Changes the ways in which the table fails.
-    pub fn fail(&self, faults: Faults) {
-        lock(&self.state).faults = faults;
+    pub fn set_fault(&self, fault: Fault) {
+        lock(&self.state).fault = fault;
     }
 
     /// What the table has counted.
@@ -98,32 +98,32 @@
     }
 
     /// Puts a VM on the list, or changes what the list says of it.
-    pub fn list(&self, vm: Vm) {
+    pub fn add_vm(&self, vm: Vm) {
         let mut state = lock(&self.state);
         state.vms.retain(|other| other.address != vm.address);
         state.vms.push(vm);
     }
 
     /// Takes a VM off the list.
-    pub fn unlist(&self, address: SocketAddr) {
+    pub fn remove_vm(&self, address: SocketAddr) {
         lock(&self.state).vms.retain(|vm| vm.address != address);
     }
 
     /// Marks a VM as leaving.
-    pub fn leave(&self, address: SocketAddr) {
+    pub fn mark_leaving(&self, address: SocketAddr) {
         let mut state = lock(&self.state);
         for vm in state.vms.iter_mut().filter(|vm| vm.address == address) {
-            vm.state = Life::Leaving;
+            vm.state = VmState::Leaving;
         }
     }
 
-    /// Commits a transaction as another client would, past the faults.
+    /// Commits a transaction as another client would, past the fault.
     #[must_use]
     pub fn commit(&self, transaction: &Transaction) -> cloud::table::Outcome {
         lock(&self.state).store.commit(transaction)
     }
 
-    /// Reads as another client would, past the faults.
+    /// Reads as another client would, past the fault.
     #[must_use]
     pub fn read(&self, read: &Read) -> Vec<cloud::table::Row> {
         lock(&self.state).store.read(read)
@@ -138,66 +138,66 @@
     match path.as_str() {
         "/vms" => {
             let vms = lock(&state).vms.clone();
-            server::answer(&vms)
+            server::json_response(&vms)
         }
         "/table/read" => {
-            let read: Read = server::json(request).await?;
-            let faults = count(&state, |counts| &mut counts.reads);
-            if let Some(answer) = failed(faults).await? {
-                return Ok(answer);
+            let read: Read = server::read_json(request).await?;
+            let fault = record_call(&state, |counts| &mut counts.reads);
+            if let Some(response) = fault_response(fault).await? {
+                return Ok(response);
             }
             let rows = lock(&state).store.read(&read);
-            server::answer(&rows)
+            server::json_response(&rows)
         }
         "/table/commit" => {
-            let transaction: Transaction = server::json(request).await?;
-            let faults = count(&state, |counts| &mut counts.writes);
+            let transaction: Transaction = server::read_json(request).await?;
+            let fault = record_call(&state, |counts| &mut counts.writes);
             // a task of its own: a caller that gives up does not stop what has begun
-            let commit = tokio::spawn(commit(state, transaction, faults));
+            let commit = tokio::spawn(commit(state, transaction, fault));
             commit.await.map_err(std::io::Error::other)?
         }
-        _ => Ok(server::whole(StatusCode::NOT_FOUND, Bytes::new())),
+        _ => Ok(server::full_response(StatusCode::NOT_FOUND, Bytes::new())),
     }
 }
 
 async fn commit(
     state: Arc<Mutex<State>>,
     transaction: Transaction,
-    faults: Faults,
+    fault: Fault,
 ) -> std::io::Result<Response<Body>> {
-    if faults == Faults::LostWrites {
+    if fault == Fault::LostWrites {
         return Err(std::io::ErrorKind::ConnectionReset.into());
     }
-    if let Some(answer) = failed(faults).await? {
-        return Ok(answer);
+    if let Some(response) = fault_response(fault).await? {
+        return Ok(response);
     }
     let outcome = lock(&state).store.commit(&transaction);
-    match faults {
-        Faults::LostAnswers => Err(std::io::ErrorKind::ConnectionReset.into()),
-        _ => server::answer(&outcome),
+    match fault {
+        Fault::LostResponses => Err(std::io::ErrorKind::ConnectionReset.into()),
+        _ => server::json_response(&outcome),
     }
 }
 
-fn count(state: &Mutex<State>, which: impl Fn(&mut Counts) -> &mut u64) -> Faults {
+fn record_call(state: &Mutex<State>, counter: impl Fn(&mut Counts) -> &mut u64) -> Fault {
     let mut state = lock(state);
-    *which(&mut state.counts) += 1;
-    state.faults
+    *counter(&mut state.counts) += 1;
+    state.fault
 }
 
-async fn failed(faults: Faults) -> std::io::Result<Option<Response<Body>>> {
-    match faults {
-        Faults::Down => Ok(Some(server::whole(
+async fn fault_response(fault: Fault) -> std::io::Result<Option<Response<Body>>> {
+    match fault {
+        Fault::Unavailable => Ok(Some(server::full_response(
             StatusCode::SERVICE_UNAVAILABLE,
             Bytes::new(),
         ))),
-        Faults::Garbage => Ok(Some(server::whole(
+        Fault::MalformedResponse => Ok(Some(server::full_response(
             StatusCode::OK,
             Bytes::from_static(b"\xff{"),
         ))),
-        Faults::Slow(time) => {
-            tokio::time::sleep(time).await;
+        Fault::Slow(delay) => {
+            tokio::time::sleep(delay).await;
             Ok(None)
         }
-        Faults::None | Faults::LostAnswers | Faults::LostWrites => Ok(None),
+        Fault::None | Fault::LostResponses | Fault::LostWrites => Ok(None),
     }
 }
--- a/components/standin/src/platform/store.rs
+++ b/components/standin/src/platform/store.rs
@@ -17,13 +17,13 @@
             .filter_map(|key| Some(self.rows[self.find(key).ok()?].clone()))
             .collect();
         for prefix in &read.prefixes {
-            let from = self
+            let start = self
                 .rows
                 .partition_point(|row| row.key.as_str() < prefix.as_str());
-            let under = self.rows[from..]
+            let matching = self.rows[start..]
                 .iter()
                 .take_while(|row| row.key.starts_with(prefix.as_str()));
-            rows.extend(under.cloned());
+            rows.extend(matching.cloned());
         }
         rows.sort_by(|a, b| a.key.cmp(&b.key));
         rows.dedup();
@@ -31,16 +31,16 @@
     }
 
     pub(super) fn commit(&mut self, transaction: &Transaction) -> Outcome {
-        let failed: Vec<Row> = transaction
+        let conflicts: Vec<Row> = transaction
             .checks
             .iter()
             .filter_map(|check| {
-                let now = self.now(&check.key);
-                (now.version != check.version).then_some(now)
+                let current = self.current(&check.key);
+                (current.version != check.version).then_some(current)
             })
             .collect();
-        if !failed.is_empty() {
-            return Outcome::Conflict(failed);
+        if !conflicts.is_empty() {
+            return Outcome::Conflict(conflicts);
         }
         self.version += 1;
         for write in &transaction.writes {
@@ -49,7 +49,7 @@
         Outcome::Committed(self.version)
     }
 
-    fn now(&self, key: &str) -> Row {
+    fn current(&self, key: &str) -> Row {
         match self.find(key) {
             Ok(at) => self.rows[at].clone(),
             Err(_) => Row {
--- a/components/standin/src/server/mod.rs
+++ b/components/standin/src/server/mod.rs
@@ -80,7 +80,7 @@
 /// # Errors
 ///
 /// When the body breaks off or is not what was expected.
-pub async fn json<T: DeserializeOwned>(request: Request<Incoming>) -> std::io::Result<T> {
+pub async fn read_json<T: DeserializeOwned>(request: Request<Incoming>) -> std::io::Result<T> {
     let bytes = request
         .into_body()
         .collect()
@@ -95,14 +95,14 @@
 /// # Errors
 ///
 /// When the value can't be written as JSON.
-pub fn answer<T: Serialize>(value: &T) -> std::io::Result<Response<Body>> {
+pub fn json_response<T: Serialize>(value: &T) -> std::io::Result<Response<Body>> {
     let bytes = serde_json::to_vec(value).map_err(std::io::Error::other)?;
-    Ok(whole(StatusCode::OK, bytes.into()))
+    Ok(full_response(StatusCode::OK, bytes.into()))
 }
 
 /// A whole answer.
 #[must_use]
-pub fn whole(status: StatusCode, bytes: Bytes) -> Response<Body> {
+pub fn full_response(status: StatusCode, bytes: Bytes) -> Response<Body> {
     let body = Full::new(bytes).map_err(|never| match never {}).boxed();
     let mut response = Response::new(body);
     *response.status_mut() = status;
@@ -111,7 +111,9 @@
 
 /// An answer whose body comes in parts; an error breaks it.
 #[must_use]
-pub fn streamed(parts: mpsc::UnboundedReceiver<std::io::Result<Bytes>>) -> Response<Body> {
-    let body = StreamBody::new(parts.map(|part| part.map(Frame::data)));
+pub fn streaming_response(
+    chunks: mpsc::UnboundedReceiver<std::io::Result<Bytes>>,
+) -> Response<Body> {
+    let body = StreamBody::new(chunks.map(|chunk| chunk.map(Frame::data)));
     Response::new(BodyExt::boxed(body))
 }
--- a/components/standin/src/service/mod.rs
+++ b/components/standin/src/service/mod.rs
@@ -1,4 +1,4 @@
-//! A stand-in of a plain service that remembers what it ran.
+//! A stand-in of a plain service that remembers what it executed.
 
 use std::{
     net::SocketAddr,
@@ -14,25 +14,25 @@
 
 /// The ways in which a service can be told to fail.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Faults {
+pub enum Fault {
     /// It doesn't.
     #[default]
     None,
     /// It refuses without running.
     Refuse,
     /// It cuts the connection without running.
-    CutBefore,
+    ResetBefore,
     /// It runs and cuts the connection.
-    CutAfter,
+    ResetAfter,
     /// It runs after a delay.
     Slow(Duration),
 }
 
 #[derive(Debug, Default)]
 struct State {
-    faults: Faults,
-    /// Path and body of each request that ran, in order.
-    ran: Vec<(String, Bytes)>,
+    fault: Fault,
+    /// Path and body of each request that executed, in order.
+    executed: Vec<(String, Bytes)>,
 }
 
 /// A running service; dropping it is a crash.
@@ -54,9 +54,9 @@
     /// The system's error when the address can't be bound.
     pub async fn start(address: SocketAddr) -> std::io::Result<Self> {
         let state = Arc::new(Mutex::new(State::default()));
-        let serving = Arc::clone(&state);
+        let handler_state = Arc::clone(&state);
         let server = Server::start(address, move |request| {
-            handle(Arc::clone(&serving), request)
+            handle(Arc::clone(&handler_state), request)
         })
         .await?;
         Ok(Self { server, state })
@@ -69,21 +69,25 @@
     }
 
     /// Changes the ways in which it fails.
-    pub fn fail(&self, faults: Faults) {
-        lock(&self.state).faults = faults;
+    pub fn set_fault(&self, fault: Fault) {
+        lock(&self.state).fault = fault;
     }
 
-    /// How often a request with this body ran.
+    /// How often a request with this body executed.
     #[must_use]
     pub fn runs(&self, body: &str) -> usize {
         let state = lock(&self.state);
-        state.ran.iter().filter(|(_, ran)| ran == body).count()
+        state
+            .executed
+            .iter()
+            .filter(|(_, executed)| executed == body)
+            .count()
     }
 
-    /// How many requests ran.
+    /// How many requests executed.
     #[must_use]
-    pub fn total(&self) -> usize {
-        lock(&self.state).ran.len()
+    pub fn total_runs(&self) -> usize {
+        lock(&self.state).executed.len()
     }
 }
 
@@ -99,17 +103,22 @@
         .await
         .map_err(std::io::Error::other)?
         .to_bytes();
-    let faults = lock(&state).faults;
-    match faults {
-        Faults::Refuse => return Ok(server::whole(StatusCode::SERVICE_UNAVAILABLE, Bytes::new())),
-        Faults::CutBefore => return Err(std::io::ErrorKind::ConnectionReset.into()),
-        Faults::Slow(time) => tokio::time::sleep(time).await,
-        Faults::None | Faults::CutAfter => {}
+    let fault = lock(&state).fault;
+    match fault {
+        Fault::Refuse => {
+            return Ok(server::full_response(
+                StatusCode::SERVICE_UNAVAILABLE,
+                Bytes::new(),
+            ));
+        }
+        Fault::ResetBefore => return Err(std::io::ErrorKind::ConnectionReset.into()),
+        Fault::Slow(delay) => tokio::time::sleep(delay).await,
+        Fault::None | Fault::ResetAfter => {}
     }
-    let answer = format!("{method} {path}: {} bytes taken\n", body.len());
-    lock(&state).ran.push((path, body));
-    match faults {
-        Faults::CutAfter => Err(std::io::ErrorKind::ConnectionReset.into()),
-        _ => Ok(server::whole(StatusCode::OK, answer.into())),
+    let text = format!("{method} {path}: {} bytes taken\n", body.len());
+    lock(&state).executed.push((path, body));
+    match fault {
+        Fault::ResetAfter => Err(std::io::ErrorKind::ConnectionReset.into()),
+        _ => Ok(server::full_response(StatusCode::OK, text.into())),
     }
 }
--- a/examples/demo_parts/checks.rs
+++ b/examples/demo_parts/checks.rs
@@ -9,7 +9,7 @@
     client::legacy::{Client, connect::HttpConnector},
     rt::TokioExecutor,
 };
-use standin::engine::{Faults, expected};
+use standin::engine::{Fault, expected_text};
 use wire::{CommitRequest, ReadRequest, operator_client::OperatorClient};
 
 use super::fleet::{Fleet, KEY, TOKEN, edit};
@@ -40,7 +40,7 @@
     fleet
         .engines
         .iter()
-        .for_each(|engine| engine.fail(Faults::Cross));
+        .for_each(|engine| engine.set_fault(Fault::ForeignFrames));
     tell(
         "crossed frames dropped",
         streamed(&http, fleet.callers(0), 30).await,
@@ -48,7 +48,7 @@
     fleet
         .engines
         .iter()
-        .for_each(|engine| engine.fail(Faults::None));
+        .for_each(|engine| engine.set_fault(Fault::None));
     tell(
         "a reading runs once, its answer is given again",
         once(&http, &fleet).await,
@@ -147,7 +147,7 @@
             Err(_) => done = line == "[DONE]",
         }
     }
-    answer.whole && done && text == expected(&prompt, 0, tokens)
+    answer.whole && done && text == expected_text(&prompt, 0, tokens)
 }
 
 async fn once(http: &Http, fleet: &Fleet) -> bool {
--- a/examples/mixshift_parts/run/mod.rs
+++ b/examples/mixshift_parts/run/mod.rs
@@ -240,8 +240,8 @@
             priority: request.class.priority(),
             prompt_tokens: request.prompt,
             blocks: request.blocks.clone(),
-            until,
-            from: 0,
+            end_offset: until,
+            start_offset: 0,
             imported: false,
         };
         self.flights[id] = Some(Flight {
@@ -300,8 +300,8 @@
                 priority: request.class.priority(),
                 prompt_tokens: request.prompt,
                 blocks: Vec::new(),
-                until: request.output,
-                from: 1,
+                end_offset: request.output,
+                start_offset: 1,
                 imported: true,
             };
             self.submit(decode, job);
@@ -349,7 +349,7 @@
         for engine in 0..self.engines.len() {
             let batch = &self.engines[engine].batch;
             let reading = batch.waiting_prompt_tokens();
-            let writing = batch.writing() as u64;
+            let writing = batch.decoding() as u64;
             let made = self.now;
             self.at(late, Event::ReportArrives(engine, reading, writing, made));
             let cache = self.engines[engine].batch.cache();
--- a/tests/system/callers.rs
+++ b/tests/system/callers.rs
@@ -120,7 +120,7 @@
         assert_eq!(told["error"]["run"], "not-run", "{}", row.what);
     }
     assert_eq!(fleet.engines[0].counts().attempts, 0);
-    assert_eq!(fleet.service.total(), 0);
+    assert_eq!(fleet.service.total_runs(), 0);
     let answer = Caller::new().complete(address, "still here", 4, true).await;
     assert!(streamed(&answer.expect("an answer").body).1);
 }
--- a/tests/system/decisions.rs
+++ b/tests/system/decisions.rs
@@ -50,7 +50,12 @@
     for caller in callers {
         caller.await.expect("no answer was cut");
     }
-    assert!(fleet.engines.iter().all(|engine| engine.counts().cut == 0));
+    assert!(
+        fleet
+            .engines
+            .iter()
+            .all(|engine| engine.counts().interrupted == 0)
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
--- a/tests/system/failure.rs
+++ b/tests/system/failure.rs
@@ -5,7 +5,7 @@
 use cloud::vms::{Kind, State, Vm};
 use hyper::StatusCode;
 use protocol::order::Role;
-use standin::engine::{Engine, Faults, Setup, expected};
+use standin::engine::{Engine, Fault, Setup, expected_text};
 
 use crate::fleet::{Caller, Fleet, KEY, completion, eventually, setup, streamed};
 
@@ -25,7 +25,7 @@
                 let answer = caller.complete(address, &prompt, LONG, true).await?;
                 let (text, whole) = streamed(&answer.body);
                 // a part that looks whole would be a lie
-                assert_eq!(whole, text == expected(&prompt, 0, LONG));
+                assert_eq!(whole, text == expected_text(&prompt, 0, LONG));
                 whole.then_some(text)
             })
         })
@@ -96,17 +96,17 @@
 async fn a_broken_frame_never_reaches_a_caller() {
     // whether the answer must come out whole, or may break as long as it doesn't look whole
     let cases = [
-        (Faults::Cross, true),
-        (Faults::Double, true),
-        (Faults::CutAt(5), true),
-        (Faults::EndAt(5), true),
-        (Faults::SkipAt(5), true),
-        (Faults::Garbage, true),
-        (Faults::Refuse, true),
+        (Fault::ForeignFrames, true),
+        (Fault::DuplicateFrames, true),
+        (Fault::ResetAt(5), true),
+        (Fault::CloseAt(5), true),
+        (Fault::SkipAt(5), true),
+        (Fault::MalformedFrames, true),
+        (Fault::Refuse, true),
     ];
     for (fault, must) in cases {
         let fleet = Fleet::start(mixed(2), 1).await;
-        fleet.engines[0].fail(fault);
+        fleet.engines[0].set_fault(fault);
         let caller = Caller::new();
         for nth in 0..6 {
             let prompt = format!("case {nth}");
@@ -116,20 +116,20 @@
                 .expect("an answer");
             let (text, whole) = streamed(&answer.body);
             assert_eq!(whole, must, "{fault:?}: {answer:?}");
-            assert_eq!(text, expected(&prompt, 0, 12), "{fault:?}");
+            assert_eq!(text, expected_text(&prompt, 0, 12), "{fault:?}");
         }
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_answer_that_no_engine_finishes_is_never_ended_as_whole() {
-    let faults = [Faults::CutAt(5), Faults::EndAt(5), Faults::SkipAt(5)];
+    let faults = [Fault::ResetAt(5), Fault::CloseAt(5), Fault::SkipAt(5)];
     futures::future::join_all(faults.map(never_whole)).await;
 }
 
-async fn never_whole(fault: Faults) {
+async fn never_whole(fault: Fault) {
     let fleet = Fleet::start(mixed(1), 1).await;
-    fleet.engines[0].fail(fault);
+    fleet.engines[0].set_fault(fault);
     let bearer = format!("Bearer {KEY}");
     let headers = [("authorization", bearer.as_str())];
     let caller = Caller::new();
@@ -186,7 +186,7 @@
             fleet.engines[0].holds().role == Role::Decode
         })
         .await;
-        assert_eq!(fleet.engines[0].counts().cut, 0);
+        assert_eq!(fleet.engines[0].counts().interrupted, 0);
         assert_eq!(fleet.engines[0].counts().changes, 1);
         let answer = caller
             .complete(fleet.daemons[0].callers, "on", 5, true)
@@ -224,8 +224,8 @@
         kind: Kind::Endpoint,
         state,
     };
-    fleet.platform.list(vm(State::Live));
-    fleet.platform.leave(fleet.engines[0].address());
+    fleet.platform.add_vm(vm(State::Live));
+    fleet.platform.mark_leaving(fleet.engines[0].address());
     for daemon in 0..2 {
         eventually("the daemon knows", async || {
             let (_, text) = fleet.operate(daemon, &["status"]);
@@ -274,7 +274,7 @@
         })
         .await;
         let counts = fleet.engines[0].counts();
-        assert_eq!((counts.conflicts, counts.cut), (0, 0), "{counts:?}");
+        assert_eq!((counts.conflicts, counts.interrupted), (0, 0), "{counts:?}");
         assert_eq!(counts.changes, 1, "{counts:?}");
     }
 }
@@ -357,7 +357,7 @@
         fleet.engines[0].holds().role == Role::Decode
     })
     .await;
-    assert_eq!(fleet.engines[0].counts().cut, 0);
+    assert_eq!(fleet.engines[0].counts().interrupted, 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -387,7 +387,7 @@
     })
     .await;
     let counts = fleet.engines[0].counts();
-    assert_eq!((counts.cut, counts.conflicts), (0, 0), "{counts:?}");
+    assert_eq!((counts.interrupted, counts.conflicts), (0, 0), "{counts:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
--- a/tests/system/once.rs
+++ b/tests/system/once.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use hyper::StatusCode;
-use standin::{platform::Faults as Store, service::Faults};
+use standin::{platform::Fault as Store, service::Fault};
 
 use crate::fleet::{Answer, Caller, Fleet, KEY, eventually};
 
@@ -40,16 +40,16 @@
     let fleet = Fleet::start(Vec::new(), 2).await;
     let caller = Caller::new();
     let faults = [
-        Faults::None,
-        Faults::Refuse,
-        Faults::CutBefore,
-        Faults::CutAfter,
-        Faults::Slow(Duration::from_millis(300)),
+        Fault::None,
+        Fault::Refuse,
+        Fault::ResetBefore,
+        Fault::ResetAfter,
+        Fault::Slow(Duration::from_millis(300)),
     ];
     for (nth, fault) in faults.into_iter().enumerate() {
         for key in [None, Some(format!("key {nth}"))] {
             let body = format!("{fault:?} {key:?}");
-            fleet.service.fail(fault);
+            fleet.service.set_fault(fault);
             // a daemon that lost an answer leaves the endpoint alone for a moment
             eventually("the endpoint takes requests", async || {
                 let (_, text) = fleet.operate(0, &["status"]);
@@ -58,7 +58,7 @@
             .await;
             let answer = report(&caller, &fleet, 0, key.as_deref(), &body).await;
             truthful(&fleet, answer.as_ref(), &body);
-            fleet.service.fail(Faults::None);
+            fleet.service.set_fault(Fault::None);
             if key.is_some() {
                 for daemon in [0, 1] {
                     let again = report(&caller, &fleet, daemon, key.as_deref(), &body).await;
@@ -74,23 +74,23 @@
     let fleet = Fleet::start(Vec::new(), 2).await;
     let caller = Caller::new();
     let faults = [
-        Store::Down,
-        Store::LostAnswers,
+        Store::Unavailable,
+        Store::LostResponses,
         Store::LostWrites,
         Store::Slow(Duration::from_millis(900)),
-        Store::Garbage,
+        Store::MalformedResponse,
     ];
     for (nth, fault) in faults.into_iter().enumerate() {
         let body = format!("{fault:?}");
         let key = format!("table key {nth}");
-        fleet.platform.fail(fault);
+        fleet.platform.set_fault(fault);
         for daemon in [0, 1, 0] {
             let answer = report(&caller, &fleet, daemon, Some(&key), &body).await;
             truthful(&fleet, answer.as_ref(), &body);
             let refused = answer.as_ref().and_then(Answer::run);
             assert_ne!(refused, Some("not-run"), "an earlier try may have run");
         }
-        fleet.platform.fail(Store::None);
+        fleet.platform.set_fault(Store::None);
         eventually("the key runs, or is known never to", async || {
             let answer = report(&caller, &fleet, 0, Some(&key), &body).await;
             truthful(&fleet, answer.as_ref(), &body);
@@ -104,7 +104,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_without_a_key_runs_in_an_outage() {
     let fleet = Fleet::start(Vec::new(), 1).await;
-    fleet.platform.fail(Store::Down);
+    fleet.platform.set_fault(Store::Unavailable);
     let answer = report(&Caller::new(), &fleet, 0, None, "no key").await;
     assert_eq!(answer.expect("an answer").status, StatusCode::OK);
     assert_eq!(fleet.service.runs("no key"), 1);
@@ -113,7 +113,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn the_same_key_at_all_daemons_at_once_runs_once() {
     let fleet = Fleet::start(Vec::new(), 3).await;
-    fleet.service.fail(Faults::Slow(Duration::from_millis(50)));
+    fleet
+        .service
+        .set_fault(Fault::Slow(Duration::from_millis(50)));
     let caller = Caller::new();
     let tries = (0..30).map(|nth| report(&caller, &fleet, nth % 3, Some("burst"), "alarm"));
     let answers = futures::future::join_all(tries).await;
@@ -131,7 +133,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_claim_of_a_killed_daemon_is_never_run_again() {
     let mut fleet = Fleet::start(Vec::new(), 2).await;
-    fleet.service.fail(Faults::Slow(Duration::from_millis(400)));
+    fleet
+        .service
+        .set_fault(Fault::Slow(Duration::from_millis(400)));
     let caller = Caller::new();
     let bearer = format!("Bearer {KEY}");
     let address = fleet.daemons[0].callers;
@@ -154,7 +158,7 @@
     .await;
     fleet.daemons[0].child.kill().expect("killed");
     assert!(lost.await.expect("no panic").is_none());
-    fleet.service.fail(Faults::None);
+    fleet.service.set_fault(Fault::None);
     eventually("the claimant is known to be gone", async || {
         let answer = report(&caller, &fleet, 1, Some("k"), "killed").await;
         let answer = answer.expect("an answer");
@@ -168,7 +172,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_claim_of_a_paused_daemon_is_not_run_by_another() {
     let fleet = Fleet::start(Vec::new(), 2).await;
-    fleet.service.fail(Faults::Slow(Duration::from_millis(300)));
+    fleet
+        .service
+        .set_fault(Fault::Slow(Duration::from_millis(300)));
     let caller = Caller::new();
     let first = report(&caller, &fleet, 0, Some("p"), "paused");
     let others = async {
--- a/tests/system/path.rs
+++ b/tests/system/path.rs
@@ -2,7 +2,7 @@
 
 use hyper::StatusCode;
 use protocol::order::Role;
-use standin::engine::expected;
+use standin::engine::expected_text;
 
 use crate::fleet::{ALARM_KEY, Caller, Fleet, KEY, eventually, setup, streamed};
 
@@ -18,13 +18,13 @@
         assert_eq!(answer.status, StatusCode::OK);
         let (text, whole) = streamed(&answer.body);
         assert!(whole);
-        assert_eq!(text, expected("is it dense enough", 0, 40));
+        assert_eq!(text, expected_text("is it dense enough", 0, 40));
         let answer = caller
             .complete(daemon.callers, "again", 7, false)
             .await
             .expect("an answer");
         let json: serde_json::Value = serde_json::from_str(&answer.body).expect("JSON");
-        assert_eq!(json["choices"][0]["text"], expected("again", 0, 7));
+        assert_eq!(json["choices"][0]["text"], expected_text("again", 0, 7));
         assert_eq!(json["usage"]["completion_tokens"], 7);
     }
 }
@@ -40,7 +40,7 @@
         let answer = caller.complete(daemon, "split", 9, true).await;
         let (text, whole) = streamed(&answer.expect("an answer").body);
         assert!(whole);
-        assert_eq!(text, expected("split", 0, 9));
+        assert_eq!(text, expected_text("split", 0, 9));
         fleet
             .engines
             .iter()
--- a/tests/system/settings.rs
+++ b/tests/system/settings.rs
@@ -1,6 +1,6 @@
 //! Settings: accepted changes hold everywhere and never go back, whatever fails.
 
-use standin::{link::Link, platform::Faults};
+use standin::{link::Link, platform::Fault};
 
 use crate::fleet::{Caller, Fleet, eventually, ready, setup, streamed};
 use protocol::order::Role;
@@ -68,13 +68,13 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_lost_commit_answer_is_found_out() {
     let fleet = Fleet::start(Vec::new(), 2).await;
-    fleet.platform.fail(Faults::LostAnswers);
+    fleet.platform.set_fault(Fault::LostResponses);
     let (code, text) = fleet.operate(0, &["set", "group/field", "share=5"]);
     assert_eq!(code, 0, "{text}");
-    fleet.platform.fail(Faults::LostWrites);
+    fleet.platform.set_fault(Fault::LostWrites);
     let (code, text) = fleet.operate(0, &["set", "group/field", "share=6"]);
     assert_eq!(code, 3, "{text}");
-    fleet.platform.fail(Faults::None);
+    fleet.platform.set_fault(Fault::None);
     eventually("the accepted one is in force", async || {
         version(&fleet, 1) == 2
     })
@@ -88,7 +88,7 @@
     let mut fleet = Fleet::start(vec![setup(Role::Mixed, false)], 2).await;
     let (code, text) = fleet.operate(0, &["set", "--wait", "group/field", "share=4"]);
     assert_eq!(code, 0, "{text}");
-    fleet.platform.fail(Faults::Down);
+    fleet.platform.set_fault(Fault::Unavailable);
     fleet.add_daemon();
     ready(&fleet.daemons[2]).await;
     assert_eq!(version(&fleet, 2), 2);
@@ -100,7 +100,7 @@
     let (code, text) = fleet.operate(2, &["set", "group/field", "share=5"]);
     assert_eq!(code, 1, "{text}");
     assert!(text.contains("nothing was changed"), "{text}");
-    fleet.platform.fail(Faults::None);
+    fleet.platform.set_fault(Fault::None);
     eventually("changes are taken again", async || {
         fleet.operate(2, &["set", "group/field", "share=6"]).0 == 0
     })
@@ -121,7 +121,7 @@
     fleet.grow(GROUPS);
     fleet.add_daemon();
     ready(&fleet.daemons[0]).await;
-    fleet.platform.fail(Faults::Down);
+    fleet.platform.set_fault(Fault::Unavailable);
     fleet.add_daemon();
     ready(&fleet.daemons[1]).await;
     assert_eq!(version(&fleet, 1), 2);
@@ -130,7 +130,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn without_peers_or_table_a_daemon_is_not_ready() {
     let mut fleet = Fleet::start(Vec::new(), 0).await;
-    fleet.platform.fail(Faults::Down);
+    fleet.platform.set_fault(Fault::Unavailable);
     fleet.add_daemon();
     let caller = Caller::new();
     let answer = caller
@@ -138,7 +138,7 @@
         .await;
     let answer = answer.expect("an answer");
     assert_eq!(answer.run(), Some("not-run"));
-    fleet.platform.fail(Faults::None);
+    fleet.platform.set_fault(Fault::None);
     ready(&fleet.daemons[0]).await;
 }
 
