--- a/tests/process.rs
+++ b/tests/process.rs
@@ -10,10 +10,10 @@
 };
 
 use platform_standin::{
-    any,
-    caller::{self, Ask},
+    any_port,
+    caller::{self, RequestSpec},
     configuration,
-    endpoint::{Endpoint, Fabric, Faults, Setup},
+    endpoint::{Endpoint, EngineRegistry, Faults, Setup},
     ledger::Ledger,
     store::Store,
 };
@@ -36,18 +36,18 @@
 
 /// A port that is free now.
 fn free() -> SocketAddr {
-    let listener = std::net::TcpListener::bind(any()).expect("a port");
+    let listener = std::net::TcpListener::bind(any_port()).expect("a port");
     listener.local_addr().expect("its address")
 }
 
 impl Process {
     async fn start(name: &str, grace_s: u64) -> Self {
         let store = Arc::new(Store::start().await.expect("store"));
-        store.configure(&configuration::usual(1));
+        store.configure(&configuration::standard(1));
         let ledger = Ledger::default();
         let setup = Setup::engine("d1", "engines", "decode");
-        let fabric = Fabric::default();
-        let engine = Endpoint::start(setup, &store, &ledger, &fabric).await;
+        let registry = EngineRegistry::default();
+        let engine = Endpoint::start(setup, &store, &ledger, &registry).await;
         let engine = engine.expect("engine");
         let (callers, ready) = (free(), free());
         let settings = std::env::temp_dir().join(format!("{name}-{}.toml", std::process::id()));
@@ -83,7 +83,7 @@
     }
 
     async fn is_ready(&self) -> bool {
-        caller::ask(self.ready, &Ask::plain("", "/ready"))
+        caller::send(self.ready, &RequestSpec::plain("", "/ready"))
             .await
             .code()
             == 200
@@ -91,8 +91,11 @@
 
     /// Waits until an endpoint has got a request.
     async fn arrives(&self, id: &str) {
-        let arrived = |seen: &[platform_standin::ledger::Seen]| seen.iter().any(|s| s.id == id);
-        assert!(self.ledger.becomes(LONGEST, arrived).await, "{id} arrives");
+        let arrived = |seen: &[platform_standin::ledger::Arrival]| seen.iter().any(|s| s.id == id);
+        assert!(
+            self.ledger.wait_until(LONGEST, arrived).await,
+            "{id} arrives"
+        );
     }
 
     /// Stops it as operators do, and gives all that it logged.
@@ -136,9 +139,9 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_caller_that_closes_its_connection_has_a_line_with_request_and_endpoint() {
     let process = Process::start("caller-closes", 3).await;
-    process.engine.fail(Faults::Mute);
-    let ask = Ask::generation("r1", "/stream/", 10, 2);
-    caller::leave_after(process.callers, &ask, Duration::from_millis(300)).await;
+    process.engine.fail(Faults::Unresponsive);
+    let ask = RequestSpec::generation("r1", "/stream/", 10, 2);
+    caller::disconnect_after(process.callers, &ask, Duration::from_millis(300)).await;
     process.arrives("r1").await;
     tokio::time::sleep(Duration::from_millis(500)).await;
     let lines = tokio::task::spawn_blocking(|| process.stop()).await;
@@ -154,16 +157,16 @@
     let process = Process::start("process-ends", 3).await;
     // the answer's head has come, and nothing more will
     process.engine.fail(Faults::Stalls);
-    let ask = Ask {
+    let ask = RequestSpec {
         deadline: LONGEST,
-        ..Ask::generation("r1", "/stream/", 10, 2)
+        ..RequestSpec::generation("r1", "/stream/", 10, 2)
     };
     let callers = process.callers;
-    let asking = tokio::spawn(async move { caller::ask(callers, &ask).await });
+    let asking = tokio::spawn(async move { caller::send(callers, &ask).await });
     process.arrives("r1").await;
     let lines = tokio::task::spawn_blocking(|| process.stop()).await;
     let lines = lines.expect("stopped");
-    assert!(!asking.await.expect("asked").whole);
+    assert!(!asking.await.expect("asked").complete);
     let line = find(&lines, ENDED).expect("a line of its end");
     assert_eq!(line["request"], "r1");
     assert_eq!(line["endpoint"], "d1");
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -9,7 +9,7 @@
 };
 
 use futures::{StreamExt, stream};
-use soak::{Addresses, Options, play};
+use soak::{Addresses, Options, run_seed};
 
 /// Seeds that are played at a time: each has three daemons and ends with a planned stop's wait.
 const AT_ONCE: usize = 3;
@@ -55,11 +55,11 @@
             .into_iter()
             .chain(CASES.into_iter().flatten().copied()),
     )
-    .map(|seed| play(seed, &options))
+    .map(|seed| run_seed(seed, &options))
     .buffer_unordered(AT_ONCE);
     while let Some(report) = reports.next().await {
         let report = report.expect("the fleet is set up");
-        assert!(report.broken.is_empty(), "{report:#?}");
+        assert!(report.violations.is_empty(), "{report:#?}");
         assert!(report.served > 0, "{report:#?}");
     }
 }
@@ -95,12 +95,14 @@
         logs: Some(folder.clone()),
     };
     hold_starts(&folder, options.gateways);
-    let report = play(RESTARTS, &options).await.expect("the fleet is set up");
-    let told = |what: &str| {
+    let report = run_seed(RESTARTS, &options)
+        .await
+        .expect("the fleet is set up");
+    let told = |text: &str| {
         report
-            .moments
+            .timeline
             .iter()
-            .any(|moment| moment.what.contains(what))
+            .any(|entry| entry.description.contains(text))
     };
     std::fs::remove_dir_all(&folder).expect("the folder is there");
     assert!(told("the start of a process took"), "{report:#?}");
