--- a/components/gateway/src/request/plain.rs
+++ b/components/gateway/src/request/plain.rs
@@ -48,7 +48,7 @@
         let Some(target) = choose(&job, attempts.tried()) else {
             break attempts.exhausted_refusal();
         };
-        let writing = DecodeGuard::new(&target, false);
+        let decode_guard = DecodeGuard::new(&target, false);
         let outcome = attempt(&job, &target, &attempts).await;
         match outcome {
             Ok(answer) if should_retry_failure(&job, &answer, &attempts) => {
@@ -57,12 +57,17 @@
             }
             Ok(answer) => {
                 if let Some((failure, _)) = failure {
-                    failure.run.finish();
+                    failure.guard.finish();
                 }
-                return Ok(relay::forward(job, answer, writing, attempts.runs() + 1));
+                return Ok(relay::forward(
+                    job,
+                    answer,
+                    decode_guard,
+                    attempts.runs() + 1,
+                ));
             }
             Err(cause) => {
-                drop(writing);
+                drop(decode_guard);
                 let phase = Phase::Run;
                 let failed = FailedAttempt {
                     target,
@@ -76,8 +81,8 @@
         }
     };
     let (answer, attempts) = failure.ok_or(reason)?;
-    let writing = DecodeGuard::new(&answer.target, false);
-    Ok(relay::forward(job, answer, writing, attempts))
+    let decode_guard = DecodeGuard::new(&answer.target, false);
+    Ok(relay::forward(job, answer, decode_guard, attempts))
 }
 
 /// Chooses the endpoint with the least load relative to its slots, with a penalty for other data
