--- /dev/null
+++ b/components/gateway/src/endpoint/connection.rs
@@ -0,0 +1,151 @@
+//! Connection to an endpoint. It serves one request at a time and is closed when dropped.
+
+use std::{
+    net::SocketAddr,
+    sync::{
+        Arc,
+        atomic::{AtomicUsize, Ordering},
+    },
+    time::Duration,
+};
+
+use bytes::Bytes;
+use clock::Instant;
+use derive_more::{Display, Error};
+use http_body_util::Full;
+use hyper::client::conn::http1::{self, SendRequest};
+use hyper_util::rt::TokioIo;
+use socket2::{SockRef, TcpKeepalive};
+use tokio::{net::TcpStream, task::JoinHandle};
+
+/// Time-out of connecting. Data centres are a few milliseconds apart. A lost SYN is only
+/// retransmitted after a second, by when another endpoint has served the request.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// How long data may stay unacknowledged before the connection breaks, since the endpoint's host is
+/// down or cut off. Well above the time of a few retransmissions on a lossy link.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(3);
+/// Idle time before the first TCP keep-alive probe, and the interval between probes.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+/// Number of unanswered keep-alive probes after which the connection breaks.
+const KEEPALIVE_RETRIES: u32 = 3;
+/// An idle connection is dropped this long before the endpoint would close it, so that no request
+/// is sent while it is being closed.
+const CLOSE_MARGIN: Duration = Duration::from_millis(700);
+/// Idle time-out of a connection if the endpoint does not report its own.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
+
+/// Reason why no connection was opened. Nothing was sent.
+#[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
+pub enum ConnectError {
+    /// The endpoint did not respond in time.
+    #[display("the endpoint did not answer a new connection")]
+    Silent,
+    /// Nothing listens at the address, or the connection was reset.
+    #[display("the endpoint refused a new connection")]
+    Refused,
+    /// The limit on this process's connections to the endpoint is reached.
+    #[display("all connections to the endpoint are in use")]
+    Full,
+}
+
+/// An open HTTP/1.1 connection.
+#[derive(Debug)]
+pub struct Connection {
+    sender: SendRequest<Full<Bytes>>,
+    task: JoinHandle<()>,
+    open_count: Arc<AtomicUsize>,
+}
+
+impl Connection {
+    /// Returns the sender of requests.
+    pub fn sender(&mut self) -> &mut SendRequest<Full<Bytes>> {
+        &mut self.sender
+    }
+}
+
+impl Drop for Connection {
+    fn drop(&mut self) {
+        // closes the socket at once, so that the endpoint stops work on a cancelled request
+        self.task.abort();
+        self.open_count.fetch_sub(1, Ordering::Relaxed);
+    }
+}
+
+/// Opens a connection. `open_count` counts it until it is dropped.
+pub(super) async fn open(
+    address: SocketAddr,
+    open_count: &Arc<AtomicUsize>,
+) -> Result<Connection, ConnectError> {
+    let connecting = TcpStream::connect(address);
+    let stream = match clock::timeout(CONNECT_TIMEOUT, connecting).await {
+        Ok(Ok(stream)) => stream,
+        Ok(Err(_)) => return Err(ConnectError::Refused),
+        Err(_) => return Err(ConnectError::Silent),
+    };
+    set_socket_options(&stream);
+    let handshake = http1::handshake(TokioIo::new(stream)).await;
+    let (sender, connection) = handshake.map_err(|_| ConnectError::Refused)?;
+    let task = tokio::spawn(async move {
+        // the request in flight gets the error from its sender
+        let _ = connection.await;
+    });
+    open_count.fetch_add(1, Ordering::Relaxed);
+    Ok(Connection {
+        sender,
+        task,
+        open_count: Arc::clone(open_count),
+    })
+}
+
+fn set_socket_options(stream: &TcpStream) {
+    let socket = SockRef::from(stream);
+    let keepalive = TcpKeepalive::new()
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(KEEPALIVE_RETRIES);
+    let options = [
+        stream.set_nodelay(true),
+        socket.set_tcp_keepalive(&keepalive),
+        socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT)),
+    ];
+    for error in options.into_iter().filter_map(Result::err) {
+        log::debug!(error:%; "failed to set a socket option; an unresponsive endpoint will be detected later");
+    }
+}
+
+/// An idle connection.
+#[derive(Debug)]
+pub(super) struct Idle {
+    pub(super) connection: Connection,
+    since: Instant,
+    expires: Instant,
+}
+
+impl Idle {
+    pub(super) fn new(
+        connection: Connection,
+        now: Instant,
+        idle_timeout: Option<Duration>,
+    ) -> Self {
+        let ttl = idle_timeout.map_or(DEFAULT_IDLE_TIMEOUT, |idle_timeout| {
+            idle_timeout.saturating_sub(CLOSE_MARGIN)
+        });
+        Self {
+            connection,
+            since: now,
+            expires: now + ttl,
+        }
+    }
+
+    /// Whether the endpoint still keeps it open, as far as is known.
+    pub(super) fn is_open(&self, now: Instant) -> bool {
+        self.expires > now && !self.connection.sender.is_closed()
+    }
+
+    /// Whether it can serve a request that accepts connections idle for at most `max_idle`.
+    pub(super) fn is_usable(&self, now: Instant, max_idle: Duration) -> bool {
+        self.is_open(now)
+            && now.duration_since(self.since) <= max_idle
+            && self.connection.sender.is_ready()
+    }
+}
--- a/components/gateway/src/endpoint/registry.rs
+++ b/components/gateway/src/endpoint/registry.rs
@@ -1,73 +1,75 @@
-//! All endpoints, by service, as the last update of the directory left them.
+//! Registry of all endpoints by service, as of the last update of the endpoint list.
 
 use std::sync::Arc;
 
 use parking_lot::{Mutex, RwLock};
 
-use super::{Busy, Id, Life, Profile, State, Target, subset};
+use super::{BusySet, Id, IncarnationOrder, Profile, State, Target, subset};
 use crate::edge::Change;
 
-/// The most endpoints that are new at once and have a line in the log each: the lists of the first
-/// deployments have 60. The thousands of a large one would push all other lines out of it at each start.
-const MOST_LINES: usize = 100;
+/// Maximum number of changes in an update up to which each new endpoint gets a log line. The lists
+/// of the first deployments have 60 endpoints; at each start the thousands of a large fleet would
+/// push all other lines out of the log.
+const MAX_LOG_LINES: usize = 100;
 
 /// The endpoints of one service, sorted by name.
 #[derive(Clone, Debug, Default)]
 pub struct Fleet {
     targets: Arc<Vec<Arc<Target>>>,
-    used: Arc<Vec<Arc<Target>>>,
+    subset: Arc<Vec<Arc<Target>>>,
 }
 
 impl Fleet {
-    /// Its endpoints.
+    /// Returns all endpoints of the service.
     #[must_use]
     pub fn targets(&self) -> &[Arc<Target>] {
         &self.targets
     }
 
-    /// Those of them that this process sends requests to.
+    /// Returns the endpoints that this process sends requests to.
     #[must_use]
-    pub fn used(&self) -> &[Arc<Target>] {
-        &self.used
+    pub fn subset(&self) -> &[Arc<Target>] {
+        &self.subset
     }
 }
 
-/// All endpoints.
+/// Registry of all endpoints.
 #[derive(Debug, Default)]
 pub struct Registry {
     /// All listed endpoints, sorted by name.
     targets: RwLock<Arc<Vec<Arc<Target>>>>,
-    /// The same by service, sorted by its name. Services are few, endpoints many.
+    /// The same endpoints by service, sorted by the service's name. There are few services and many
+    /// endpoints.
     fleets: RwLock<Vec<(Arc<str>, Fleet)>>,
-    /// The same by their short numbers, sorted by these.
-    numbered: RwLock<Vec<(u32, Arc<Target>)>>,
-    /// Which endpoints of large fleets this process uses.
-    choice: subset::Choice,
-    /// Those with something under way.
-    busy: Arc<Busy>,
-    /// Only one update at a time.
+    /// The same endpoints by short id, sorted by it.
+    by_short_id: RwLock<Vec<(u32, Arc<Target>)>>,
+    /// Selects the endpoints of large fleets that this process uses.
+    selector: subset::Selector,
+    /// Endpoints at which this process has requests in flight.
+    busy: Arc<BusySet>,
+    /// Serializes updates.
     updating: Mutex<()>,
 }
 
 impl Registry {
-    /// No endpoints yet, for a process in a data centre.
+    /// Creates an empty registry for a process in a data centre.
     #[must_use]
     pub fn new(process: &str, data_centre: &str) -> Self {
         Self {
-            choice: subset::Choice::new(process, data_centre),
+            selector: subset::Selector::new(process, data_centre),
             ..Self::default()
         }
     }
 
-    /// An endpoint by its short number.
+    /// Returns the endpoint with a short id.
     #[must_use]
-    pub fn find(&self, short: u32) -> Option<Arc<Target>> {
-        let numbered = self.numbered.read();
-        let at = numbered.binary_search_by_key(&short, |(short, _)| *short);
-        at.ok().map(|at| Arc::clone(&numbered[at].1))
+    pub fn find(&self, short_id: u32) -> Option<Arc<Target>> {
+        let by_short_id = self.by_short_id.read();
+        let at = by_short_id.binary_search_by_key(&short_id, |(short_id, _)| *short_id);
+        at.ok().map(|at| Arc::clone(&by_short_id[at].1))
     }
 
-    /// The endpoints of a service.
+    /// Returns the endpoints of a service.
     #[must_use]
     pub fn fleet(&self, service: &str) -> Fleet {
         let fleets = self.fleets.read();
@@ -75,20 +77,22 @@
         at.map(|at| fleets[at].1.clone()).unwrap_or_default()
     }
 
-    /// All endpoints.
+    /// Returns all endpoints, sorted by name.
     #[must_use]
     pub fn all(&self) -> Arc<Vec<Arc<Target>>> {
         Arc::clone(&self.targets.read())
     }
 
-    /// The endpoints at which this process has something under way, also those that have left the list.
+    /// Returns the endpoints at which this process has requests in flight, including those no
+    /// longer listed.
     #[must_use]
-    pub fn busy(&self) -> &Busy {
+    pub fn busy(&self) -> &BusySet {
         &self.busy
     }
 
-    /// Takes an update. With `whole` the changes are all that there is, and what isn't among them is
-    /// gone. Gives the endpoints that are gone and had not said that they leave.
+    /// Applies an update. With `whole` the changes are the complete list, and endpoints that are
+    /// not in it are removed. Returns the removed endpoints that had not announced that they were
+    /// draining.
     pub fn apply(&self, changes: &[Change], whole: bool) -> Vec<Arc<Target>> {
         let _updating = self.updating.lock();
         let mut targets: Vec<Arc<Target>> = self.targets.read().as_ref().clone();
@@ -99,66 +103,67 @@
             let is_present = |target: &Arc<Target>| present.binary_search(&&target.id).is_ok();
             gone.extend(targets.extract_if(.., |target| !is_present(target)));
         }
-        let each = changes.len() <= MOST_LINES;
-        if !each {
-            log::info!(changes = changes.len(), whole, before = targets.len(); "many endpoints changed");
+        let log_each = changes.len() <= MAX_LOG_LINES;
+        if !log_each {
+            log::info!(changes = changes.len(), whole, before = targets.len(); "many endpoints changed; new ones are not logged individually");
         }
         for change in changes {
             match change {
-                Change::Present(profile) => gone.extend(self.present(&mut targets, profile, each)),
+                Change::Present(profile) => gone.extend(self.put(&mut targets, profile, log_each)),
                 Change::Gone(id) | Change::Unusable(id) => gone.extend(remove(&mut targets, id)),
             }
         }
         for target in &gone {
-            leave(target);
+            unlist(target);
         }
         self.publish(targets);
-        let stayed =
+        let was_ready =
             |target: &Arc<Target>| target.with(|state| state.profile.state == State::Ready);
-        gone.retain(stayed);
+        gone.retain(was_ready);
         gone
     }
 
-    /// Takes an entry. Gives the incarnation in whose place it comes.
-    fn present(
+    /// Adds or updates an endpoint from a list entry. Returns the former incarnation if the entry
+    /// replaces it.
+    fn put(
         &self,
         targets: &mut Vec<Arc<Target>>,
         profile: &Profile,
-        tell: bool,
+        log_new: bool,
     ) -> Option<Arc<Target>> {
         match targets.binary_search_by(|target| target.id.cmp(&profile.id)) {
-            Ok(at) => match targets[at].with(|state| state.profile.life(profile)) {
-                Life::Same => update(&targets[at], profile),
-                Life::Former => log::info!(
+            Ok(at) => match targets[at].with(|state| state.profile.compare_incarnation(profile)) {
+                IncarnationOrder::Same => update(&targets[at], profile),
+                IncarnationOrder::Older => log::info!(
                     endpoint = &*profile.id.0, started = profile.started;
-                    "an entry of an earlier incarnation is passed over"
+                    "ignoring a list entry of an earlier incarnation"
                 ),
-                Life::Next => {
-                    let former = std::mem::replace(&mut targets[at], self.target(profile));
+                IncarnationOrder::Newer => {
+                    let former = std::mem::replace(&mut targets[at], self.new_target(profile));
                     log::info!(
                         endpoint = &*profile.id.0, started = profile.started, address:% = profile.address;
-                        "an endpoint has started again"
+                        "endpoint restarted"
                     );
-                    former.end();
+                    former.mark_terminated();
                     return Some(former);
                 }
             },
             Err(at) => {
-                if tell {
+                if log_new {
                     log::info!(
                         endpoint = &*profile.id.0, service = &*profile.service, state:% = profile.state,
                         address:% = profile.address, data_centre = &*profile.data_centre;
-                        "an endpoint is listed"
+                        "endpoint listed"
                     );
                 }
-                targets.insert(at, self.target(profile));
+                targets.insert(at, self.new_target(profile));
             }
         }
         None
     }
 
-    /// An incarnation of which nothing is known yet.
-    fn target(&self, profile: &Profile) -> Arc<Target> {
+    /// Creates a target without any history.
+    fn new_target(&self, profile: &Profile) -> Arc<Target> {
         Arc::new(Target::new(profile.clone(), Arc::clone(&self.busy)))
     }
 
@@ -173,24 +178,24 @@
         }
         *self.fleets.write() = fleets
             .into_iter()
-            .map(|(name, targets)| (name, self.fleet_of(targets)))
+            .map(|(name, targets)| (name, self.build_fleet(targets)))
             .collect();
-        let mut numbered: Vec<(u32, Arc<Target>)> = targets
+        let mut by_short_id: Vec<(u32, Arc<Target>)> = targets
             .iter()
-            .map(|target| (target.short, Arc::clone(target)))
+            .map(|target| (target.short_id, Arc::clone(target)))
             .collect();
-        numbered.sort_unstable_by_key(|(short, _)| *short);
-        *self.numbered.write() = numbered;
+        by_short_id.sort_unstable_by_key(|(short_id, _)| *short_id);
+        *self.by_short_id.write() = by_short_id;
         *self.targets.write() = Arc::new(targets);
     }
 
-    fn fleet_of(&self, targets: Vec<Arc<Target>>) -> Fleet {
+    fn build_fleet(&self, targets: Vec<Arc<Target>>) -> Fleet {
         let targets = Arc::new(targets);
-        let used = match self.choice.of(&targets) {
-            Some(used) => Arc::new(used),
+        let subset = match self.selector.select(&targets) {
+            Some(subset) => Arc::new(subset),
             None => Arc::clone(&targets),
         };
-        Fleet { targets, used }
+        Fleet { targets, subset }
     }
 }
 
@@ -199,13 +204,13 @@
     if before.state != profile.state {
         log::info!(
             endpoint = &*profile.id.0, before:% = before.state, now:% = profile.state;
-            "an endpoint changed its state"
+            "endpoint state changed"
         );
     }
     if let (Some(before), Some(now)) = (before.stage, profile.stage)
         && before != now
     {
-        log::info!(endpoint = &*profile.id.0, before:%, now:%; "an engine changed its stage");
+        log::info!(endpoint = &*profile.id.0, before:%, now:%; "engine stage changed");
     }
 }
 
@@ -214,8 +219,8 @@
     Some(targets.remove(at))
 }
 
-fn leave(target: &Target) {
+fn unlist(target: &Target) {
     target.with(|state| state.listed = false);
-    target.forget_links();
-    log::info!(endpoint = &*target.id.0; "an endpoint is no longer listed");
+    target.drop_idle_connections();
+    log::info!(endpoint = &*target.id.0; "endpoint is no longer listed");
 }
--- /dev/null
+++ b/components/gateway/src/endpoint/requests.rs
@@ -0,0 +1,163 @@
+//! Fingerprints of the requests in flight at an endpoint: when the endpoint crashes, one of them
+//! may be the cause. See `docs/DESIGN.md#requests-that-end-endpoints`.
+
+use std::{collections::VecDeque, sync::Arc, time::Duration};
+
+use clock::Instant;
+
+use super::Target;
+use crate::request::Fingerprint;
+
+/// How long a cancelled request may still be the cause of a crash: an engine notices a cancellation
+/// with a delay.
+const CANCELLED_TTL: Duration = Duration::from_secs(1);
+/// How long a request whose connection broke is kept: a crashed endpoint stays listed until several
+/// of its heartbeats are missing.
+const BROKEN_TTL: Duration = Duration::from_secs(6);
+/// Maximum number of unanswered requests that are kept for an endpoint.
+const MAX_UNANSWERED: usize = 256;
+
+/// Why a request got no answer.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Interruption {
+    /// It was cancelled.
+    Cancelled,
+    /// Its connection broke.
+    ConnectionBroken,
+}
+
+#[derive(Clone, Copy, Debug)]
+struct Unanswered {
+    fingerprint: Fingerprint,
+    interruption: Interruption,
+    at: Instant,
+}
+
+impl Unanswered {
+    fn is_expired(&self, now: Instant) -> bool {
+        let ttl = match self.interruption {
+            Interruption::Cancelled => CANCELLED_TTL,
+            Interruption::ConnectionBroken => BROKEN_TTL,
+        };
+        now.duration_since(self.at) > ttl
+    }
+}
+
+/// Requests in flight at an endpoint, and those that recently ended without an answer.
+#[derive(Debug, Default)]
+pub struct RequestTracker {
+    in_flight: Vec<(u64, Fingerprint)>,
+    /// Oldest first.
+    unanswered: VecDeque<Unanswered>,
+    /// Number of requests so far.
+    total: u64,
+}
+
+impl RequestTracker {
+    fn insert(&mut self, fingerprint: Fingerprint) -> u64 {
+        self.total += 1;
+        self.in_flight.push((self.total, fingerprint));
+        self.total
+    }
+
+    fn remove(&mut self, number: u64) -> Option<Fingerprint> {
+        let at = self
+            .in_flight
+            .iter()
+            .position(|(request, _)| *request == number)?;
+        Some(self.in_flight.swap_remove(at).1)
+    }
+
+    fn interrupt(&mut self, number: u64, interruption: Interruption) {
+        let Some(fingerprint) = self.remove(number) else {
+            return;
+        };
+        let at = Instant::now();
+        self.unanswered.retain(|other| !other.is_expired(at));
+        if self.unanswered.len() == MAX_UNANSWERED {
+            self.unanswered.pop_front();
+        }
+        self.unanswered.push_back(Unanswered {
+            fingerprint,
+            interruption,
+            at,
+        });
+    }
+
+    /// Takes the fingerprints of all requests that may have caused a crash at `now`, sorted: those
+    /// in flight and those recently left unanswered.
+    pub fn take_all(&mut self, now: Instant) -> Vec<Fingerprint> {
+        let unanswered = self
+            .unanswered
+            .drain(..)
+            .filter(|request| !request.is_expired(now));
+        let in_flight = self.in_flight.drain(..).map(|(_, fingerprint)| fingerprint);
+        sorted(
+            unanswered
+                .map(|request| request.fingerprint)
+                .chain(in_flight),
+        )
+    }
+
+    /// Takes the fingerprints of the requests whose connections recently broke, sorted, and
+    /// discards the other unanswered ones.
+    pub fn take_broken(&mut self, now: Instant) -> Vec<Fingerprint> {
+        let broken = |request: &Unanswered| {
+            request.interruption == Interruption::ConnectionBroken && !request.is_expired(now)
+        };
+        let unanswered = self.unanswered.drain(..).filter(broken);
+        sorted(unanswered.map(|request| request.fingerprint))
+    }
+}
+
+fn sorted(fingerprints: impl Iterator<Item = Fingerprint>) -> Vec<Fingerprint> {
+    let mut fingerprints: Vec<Fingerprint> = fingerprints.collect();
+    fingerprints.sort_unstable();
+    fingerprints.dedup();
+    fingerprints
+}
+
+/// A request in flight at an endpoint. Dropping it records a cancellation.
+#[derive(Debug)]
+pub struct RequestGuard {
+    target: Arc<Target>,
+    number: u64,
+    suspect: bool,
+}
+
+impl RequestGuard {
+    /// Records a request that is about to be sent to an endpoint. `suspect` tells whether other
+    /// endpoints have crashed during it.
+    #[must_use]
+    pub fn new(target: &Arc<Target>, fingerprint: Fingerprint, suspect: bool) -> Self {
+        target.add_load(|load| load.suspects += u64::from(suspect));
+        Self {
+            target: Arc::clone(target),
+            number: target.with(|state| state.requests.insert(fingerprint)),
+            suspect,
+        }
+    }
+
+    /// Records that the endpoint gave a complete answer, or never began to process the request.
+    pub fn finish(self) {
+        self.target.with(|state| state.requests.remove(self.number));
+    }
+
+    /// Records that the connection broke.
+    pub fn connection_broke(self) {
+        self.interrupt(Interruption::ConnectionBroken);
+    }
+
+    fn interrupt(&self, interruption: Interruption) {
+        self.target
+            .with(|state| state.requests.interrupt(self.number, interruption));
+    }
+}
+
+impl Drop for RequestGuard {
+    fn drop(&mut self) {
+        self.interrupt(Interruption::Cancelled);
+        self.target
+            .with(|state| state.own_load.suspects -= u64::from(self.suspect));
+    }
+}
--- a/components/gateway/src/peer/paces.rs
+++ b/components/gateway/src/peer/paces.rs
@@ -1,83 +1,86 @@
-//! How fast engines are, as peers tell each other: what one has learnt in the first moments of a service spares the
-//! others the same mistakes, and a process that starts knows at once what the others know.
+//! Exchange of learnt engine paces between peers.
+//!
+//! What one process learns in the first moments of a service spares the others the same wrong
+//! estimates, and a process that starts knows at once what the others know.
 
 use std::sync::Arc;
 
-use policy::learn::{Pace, Samples};
+use policy::estimate::{Latency, Samples};
 use wire::ServicePace;
 
 use crate::{
-    endpoint::{Stage, short},
+    endpoint::{Stage, short_id},
     process::Gateway,
 };
 
-/// What this process has learnt, as digests tell it; with `all` also what only a new peer wants to know.
-pub(super) fn own(gateway: &Gateway, all: bool) -> Vec<ServicePace> {
+/// Returns the paces that this process has learnt, encoded for a digest. With `all`, paces that
+/// only a new peer lacks are included.
+pub(super) fn collect(gateway: &Gateway, all: bool) -> Vec<ServicePace> {
     let services = gateway.own_paces(all);
     services
         .iter()
         .flat_map(|(service, paces)| {
             [
-                encode(service, Stage::Prefill, &paces.readers),
-                encode(service, Stage::Decode, &paces.writers),
+                encode(service, Stage::Prefill, &paces.prefill),
+                encode(service, Stage::Decode, &paces.decode),
             ]
         })
         .collect()
 }
 
-/// Takes what a peer has learnt of services that the configuration in force knows.
-pub(super) fn take(gateway: &Gateway, told: &[ServicePace]) {
-    if told.is_empty() {
+/// Adopts paces learnt by a peer, for services of the current configuration.
+pub(super) fn apply(gateway: &Gateway, received: &[ServicePace]) {
+    if received.is_empty() {
         return;
     }
     let Some(version) = gateway.configuration() else {
         return;
     };
-    for told in told {
+    for received in received {
         let mut services = version.services().iter();
-        let service = services.find(|service| short(&service.name) == told.service);
+        let service = services.find(|service| short_id(&service.name) == received.service);
         if let Some(service) = service {
-            let stage = if told.prefill {
+            let stage = if received.prefill {
                 Stage::Prefill
             } else {
                 Stage::Decode
             };
-            gateway.adopt_pace(&Arc::clone(&service.name), stage, &decode(told));
+            gateway.adopt_pace(&Arc::clone(&service.name), stage, &decode(received));
         }
     }
 }
 
-fn encode(service: &str, stage: Stage, pace: &Pace) -> ServicePace {
+fn encode(service: &str, stage: Stage, pace: &Latency) -> ServicePace {
     ServicePace {
-        service: short(service),
+        service: short_id(service),
         prefill: stage == Stage::Prefill,
-        start_us: narrow(pace.start_us),
-        read_us: narrow(pace.read_us),
-        step_us: narrow(pace.step_us),
-        start_samples: pace.samples.start,
-        read_samples: pace.samples.read,
-        step_samples: pace.samples.step,
+        start_us: narrow(pace.overhead_us),
+        read_us: narrow(pace.prefill_token_us),
+        step_us: narrow(pace.decode_token_us),
+        start_samples: pace.samples.overhead,
+        read_samples: pace.samples.prefill,
+        step_samples: pace.samples.decode,
     }
 }
 
-fn decode(told: &ServicePace) -> Pace {
-    Pace {
-        start_us: told.start_us.into(),
-        read_us: told.read_us.into(),
-        step_us: told.step_us.into(),
-        // one wrong sample of it would reach all gateways at once
-        slowed_us: None,
+fn decode(received: &ServicePace) -> Latency {
+    Latency {
+        overhead_us: received.start_us.into(),
+        prefill_token_us: received.read_us.into(),
+        decode_token_us: received.step_us.into(),
+        // not exchanged: one wrong sample would reach all gateways at once
+        contended_token_us: None,
         samples: Samples {
-            start: told.start_samples,
-            read: told.read_samples,
-            step: told.step_samples,
+            overhead: received.start_samples,
+            prefill: received.read_samples,
+            decode: received.step_samples,
         },
     }
 }
 
 #[expect(
     clippy::cast_possible_truncation,
-    reason = "learnt times are known to a few percent"
+    reason = "learnt times are only accurate to a few percent"
 )]
 fn narrow(time: f64) -> f32 {
     time as f32
--- /dev/null
+++ b/components/gateway/src/request/generate/prefill.rs
@@ -0,0 +1,249 @@
+//! Prompts being read, and their KV caches that wait to be fetched.
+
+use std::sync::Arc;
+
+use clock::Instant;
+use http_body_util::{BodyExt, Collected, Limited};
+use policy::estimate::WaitFactor;
+
+use super::{
+    run::failed,
+    snapshot::{Snapshot, placement_request},
+    timing,
+};
+use crate::{
+    edge::{Directive, KvHandle, Priority},
+    endpoint::{PrefillGuard, Target},
+    process::Gateway,
+    request::{
+        attempt::{self, Cause},
+        attempts::{Attempts, FailedAttempt, Phase},
+        job::Job,
+        timeout::{EarlyTimeout, Timeout},
+    },
+};
+
+/// The most of an answer to a read prompt that is taken, in bytes.
+const MAX_HANDLE_RESPONSE_BYTES: usize = 16 << 10;
+
+/// A prompt being read, with what was ahead of it.
+pub struct InFlight {
+    /// Counts it as long as this lives.
+    pub guard: PrefillGuard,
+    /// Work that was ahead of it.
+    pub ahead: u64,
+}
+
+/// Counts a prompt at an engine, and notes that the engine will hold its parts.
+pub fn start(job: &Job, snapshot: &Snapshot, at: usize, deferred: bool) -> InFlight {
+    let target = &snapshot.targets[at];
+    let engine = &snapshot.engines[at];
+    let held = engine.cached_tokens + engine.fetch.tokens;
+    let work = policy::prompt::prefill_work(placement_request(job).prompt_tokens, held);
+    let paces = job.gateway.paces(&job.service.name);
+    let now = Instant::now();
+    let ahead = target.with(|state| {
+        let common = paces.for_stage(state.profile.stage);
+        let load = state.total_load();
+        let left = state.remaining_prefill(now, common);
+        let ahead =
+            policy::place::work_ahead(left, load.low_priority_work, load.low_priority_prompts);
+        if !deferred {
+            state.record_prefill(now, common, work);
+        }
+        ahead
+    });
+    note_parts(job, target, false);
+    InFlight {
+        guard: PrefillGuard::new(target, work, deferred),
+        ahead,
+    }
+}
+
+/// Notes that an engine will hold the parts of a prompt: soon if it is `fetched`, or else once it is read.
+pub fn note_parts(job: &Job, target: &Arc<Target>, fetched: bool) {
+    if let Some(prompt) = &job.metadata.prompt {
+        let common = job.gateway.common(&job.service.name);
+        target.with(|state| state.record_prompt(Instant::now(), &common, &prompt.parts, fetched));
+        job.gateway
+            .peers
+            .record_placement(target.short_id, &prompt.parts);
+    }
+}
+
+/// When a prompt is wanted, with the time in microseconds that is expected.
+#[derive(Clone, Copy, Debug)]
+pub enum Mode {
+    /// Its answer is to begin in time, after so long.
+    OnTime(f64),
+    /// Its answer is late, and it gives way to others; it is read after so long.
+    Deferred(f64),
+}
+
+impl Mode {
+    /// When its engine is suspected to be lost; a late prompt may wait.
+    fn early_timeout<'a>(self, job: &'a Job, attempts: &'a Attempts) -> Option<EarlyTimeout<'a>> {
+        match self {
+            Self::OnTime(first) => Some(timing::early_timeout(job, attempts, first)),
+            Self::Deferred(_) => None,
+        }
+    }
+}
+
+/// A prompt that is waited for. What a late one shows of its line is learnt also if its caller leaves before it is
+/// read.
+struct DeferredWait<'a> {
+    job: &'a Job,
+    /// The time expected of a late prompt, until it is known how long it took.
+    expected: Option<f64>,
+    begun: Instant,
+}
+
+impl<'a> DeferredWait<'a> {
+    fn new(job: &'a Job, mode: Mode) -> Self {
+        let expected = match mode {
+            Mode::OnTime(_) => None,
+            Mode::Deferred(read) => Some(read),
+        };
+        Self {
+            job,
+            expected,
+            begun: Instant::now(),
+        }
+    }
+
+    /// Takes that the prompt has been read.
+    fn finish(&mut self) {
+        self.learn(WaitFactor::observe);
+    }
+
+    fn learn(&mut self, learn: impl FnOnce(&mut WaitFactor, f64, policy::Micros)) {
+        if let Some(expected) = self.expected.take() {
+            let took = policy::micros(self.begun.elapsed());
+            let gateway = &self.job.gateway;
+            gateway.learn_stretch(&self.job.service.name, |stretch| {
+                learn(stretch, expected, took);
+            });
+        }
+    }
+}
+
+impl Drop for DeferredWait<'_> {
+    fn drop(&mut self) {
+        self.learn(WaitFactor::observe_cancelled);
+    }
+}
+
+/// Has a prompt read at an engine, which keeps its KV cache for another one.
+pub async fn run(
+    job: &Job,
+    snapshot: &Snapshot,
+    at: usize,
+    attempts: &Attempts,
+    mode: Mode,
+) -> Result<HeldHandle, FailedAttempt> {
+    let target = &snapshot.targets[at];
+    let deferred = matches!(mode, Mode::Deferred(_));
+    let failed = |cause| failed(target, cause, Phase::Read);
+    let in_flight = start(job, snapshot, at, deferred);
+    let begun = Instant::now();
+    let directive = Directive {
+        timeout: job.time_left(),
+        expected_endpoint: Some(target.id.clone()),
+        prefill_only: true,
+        fetch_from: snapshot.fetch_from(at),
+        priority: Some(if deferred {
+            Priority::Low
+        } else {
+            Priority::Normal
+        }),
+        ..Directive::default()
+    };
+    let timeout = Timeout::with_early(job.deadline, mode.early_timeout(job, attempts));
+    let mut wait = DeferredWait::new(job, mode);
+    let answer = match attempt::send(job, target, &directive, timeout).await {
+        Ok(answer) => answer,
+        Err(cause) => {
+            job.arrivals.prefill_failed();
+            return Err(failed(match cause {
+                Cause::TimedOut if deferred => Cause::Starved,
+                cause => cause,
+            }));
+        }
+    };
+    let status = answer.head.status;
+    let body = Limited::new(answer.body, MAX_HANDLE_RESPONSE_BYTES)
+        .collect()
+        .await;
+    let body = body.map(Collected::to_bytes);
+    let body = match body {
+        Ok(body) if status.is_success() => body,
+        Ok(_) => {
+            answer.run.finish();
+            job.arrivals.prefill_failed();
+            return Err(failed(Cause::ErrorStatus(status.as_u16())));
+        }
+        Err(_) => {
+            job.arrivals.prefill_failed();
+            answer.run.connection_broke();
+            job.gateway.check_for_crash(target, &job.metadata.id).await;
+            return Err(failed(Cause::ConnectionBroken));
+        }
+    };
+    answer.run.finish();
+    job.arrivals.prefill_accepted(job);
+    wait.finish();
+    let address = target.with(|state| state.profile.address);
+    let handle = job.gateway.adapters.dialect.parse_handle(address, &body);
+    let handle = handle.ok_or_else(|| failed(Cause::ForeignResponse))?;
+    if !deferred {
+        learn_pace(job, target, in_flight.ahead + in_flight.guard.work(), begun);
+    }
+    target.return_connection(answer.link);
+    log::info!(
+        request = job.metadata.id, endpoint = &*target.id.0, late = deferred, ahead = in_flight.ahead,
+        work = in_flight.guard.work(), took_us = policy::micros(begun.elapsed());
+        "a prompt was read"
+    );
+    Ok(HeldHandle {
+        handle,
+        target: Arc::clone(target),
+        gateway: Arc::clone(&job.gateway),
+        fetched: false,
+    })
+}
+
+/// Learns from a prompt that was read, with all the work there was since it was sent.
+pub fn learn_pace(job: &Job, target: &Target, work: u64, begun: Instant) {
+    let took = policy::micros(begun.elapsed());
+    job.gateway
+        .learn_pace(target, |pace| pace.observe_prefill(work, took));
+}
+
+/// A handle that is given back if nobody takes it.
+pub struct HeldHandle {
+    /// The handle.
+    pub handle: KvHandle,
+    target: Arc<Target>,
+    gateway: Arc<Gateway>,
+    fetched: bool,
+}
+
+impl HeldHandle {
+    /// Notes that an engine has fetched it.
+    pub fn mark_fetched(mut self) {
+        self.fetched = true;
+    }
+}
+
+impl Drop for HeldHandle {
+    fn drop(&mut self) {
+        if self.fetched {
+            return;
+        }
+        let call = self.gateway.adapters.dialect.release_call(&self.handle);
+        let target = Arc::clone(&self.target);
+        // a handle that stays is only a cost, and the engine drops it in the end
+        tokio::spawn(async move { attempt::call(&target, call).await });
+    }
+}
--- a/components/gateway/src/request/generate/view.rs
+++ b/components/gateway/src/request/generate/snapshot.rs
@@ -4,30 +4,30 @@
 
 use clock::Instant;
 use policy::{
-    place::{self, Ask, Choice, Plan, Weights},
+    place::{self, Choice, Placement, Request, Weights},
     prompt::Prompt,
 };
 
 use crate::{
-    endpoint::{Seen, Stage, Target},
-    process::Asked,
+    endpoint::{self, Stage, Target},
+    process::DemandTotals,
     request::job::Job,
 };
 
 /// Time there and back to an engine in another data centre, until it is measured.
-const FAR: policy::Micros = 4_000;
+const REMOTE_RTT_US: policy::Micros = 4_000;
 /// Fewer tokens than this are read rather than fetched.
-const LEAST_FETCH: u64 = 512;
+const MIN_FETCH_TOKENS: u64 = 512;
 /// How much longer a fetch may take than the link needs: others are under way, and it may come from
 /// another data centre.
-const FETCH_SLACK: f64 = 3.0;
+const FETCH_TIME_FACTOR: f64 = 3.0;
 /// Microseconds in a second.
-const MICROS: f64 = 1e6;
+const MICROS_PER_SECOND: f64 = 1e6;
 /// Nanoseconds in a microsecond.
-const NANOS: f64 = 1e3;
+const NANOS_PER_MICRO: f64 = 1e3;
 
 /// The engines of a service as one decision sees them.
-pub struct View {
+pub struct Snapshot {
     /// The endpoints, by index.
     pub targets: Vec<Arc<Target>>,
     /// The same as placement sees them.
@@ -36,48 +36,51 @@
     source: Option<usize>,
 }
 
-impl View {
+impl Snapshot {
     /// The engines that take a request now, without those that failed it.
     pub fn new(job: &Job, tried: &[Arc<Target>]) -> Self {
         let now = Instant::now();
         let fleet = job.gateway.registry.fleet(&job.service.name);
         let parts = job
-            .ask
+            .metadata
             .prompt
             .as_ref()
             .map_or(&[][..], |prompt| &prompt.parts);
         let near = &job.gateway.settings.gateway.data_centre;
-        let cut_off = job.gateway.peers.cut_off();
+        let cut_off = job.gateway.peers.unreachable_data_centres();
         let common = job.gateway.common(&job.service.name);
-        let mut found: Vec<(Arc<Target>, Seen)> = fleet
-            .used()
+        let mut found: Vec<(Arc<Target>, endpoint::Snapshot)> = fleet
+            .subset()
             .iter()
             .filter(|target| !tried.iter().any(|other| other.id == target.id))
-            .filter_map(|target| Some((Arc::clone(target), target.seen(now, parts, &common)?)))
+            .filter_map(|target| Some((Arc::clone(target), target.snapshot(now, parts, &common)?)))
             .filter(|(_, seen)| !cut_off.contains(&seen.profile.data_centre))
             .collect();
-        if job.gateway.is_suspect(job.content) {
-            keep_apart(&mut found);
+        if job.gateway.is_suspect(job.fingerprint) {
+            isolate_suspects(&mut found);
         }
-        let fetchable: Vec<u64> = found.iter().map(|(_, seen)| seen.fetchable).collect();
+        let fetchable: Vec<u64> = found
+            .iter()
+            .map(|(_, seen)| seen.fetchable_tokens)
+            .collect();
         let (targets, engines) = found
             .into_iter()
             .map(|(target, seen)| {
-                let engine = engine(&seen, near, order(job, &target));
+                let engine = engine(&seen, near, tie_break_order(job, &target));
                 (target, engine)
             })
             .unzip();
-        let mut view = Self {
+        let mut snapshot = Self {
             targets,
             engines,
             source: None,
         };
-        view.add_fetches(job, &fetchable);
-        view
+        snapshot.add_fetches(job, &fetchable);
+        snapshot
     }
 
     /// Leaves engines that read alone.
-    pub fn only_writers(&mut self) {
+    pub fn retain_decode_engines(&mut self) {
         let stages = self.engines.iter().map(|engine| engine.stage);
         let keep: Vec<bool> = stages.map(|stage| stage == place::Stage::Decode).collect();
         let mut kept = keep.iter();
@@ -100,13 +103,13 @@
         let Some((at, held)) = most.max_by_key(|(_, held)| *held) else {
             return;
         };
-        let token_us = engines.move_token.as_secs_f64() * MICROS;
+        let token_us = engines.transfer_per_token.as_secs_f64() * MICROS_PER_SECOND;
         for engine in &mut self.engines {
-            let tokens = held.saturating_sub(engine.held);
-            if tokens >= LEAST_FETCH {
+            let tokens = held.saturating_sub(engine.cached_tokens);
+            if tokens >= MIN_FETCH_TOKENS {
                 engine.fetch = place::Fetch {
                     tokens,
-                    time: policy::real(tokens) * token_us * FETCH_SLACK,
+                    time_us: policy::to_f64(tokens) * token_us * FETCH_TIME_FACTOR,
                 };
             }
         }
@@ -122,39 +125,44 @@
 
     /// Where the request is best placed.
     pub fn choose(&self, job: &Job) -> Option<Choice> {
-        place::choose(&self.engines, &ask(job), &Weights::default())
+        place::choose(&self.engines, &placement_request(job), &Weights::default())
     }
 
     /// Whether a request that finds no room, behind so many others, may get some before its time is over: the
     /// line is no longer than the slots that answers leave one after the other.
-    pub fn may_get_room(&self, waiting: usize) -> bool {
+    pub fn may_get_slot(&self, waiting: usize) -> bool {
         let writers = self.engines.iter();
         let writers = writers.filter(|engine| engine.stage == place::Stage::Decode);
-        let slots: u64 = writers.map(|engine| engine.slots).sum();
+        let slots: u64 = writers.map(|engine| engine.decode_slots).sum();
         u64::try_from(waiting).is_ok_and(|waiting| waiting < slots)
     }
 
     /// Whether the plan reads a prompt so short where it is answered that it makes no difference to anybody: then
     /// a request that is late goes there too.
-    pub fn reads_in_passing(&self, job: &Job, choice: &Choice) -> bool {
-        match choice.plan {
-            Plan::Whole { engine } => {
-                place::is_short(&self.engines[engine], &ask(job), &Weights::default())
-            }
-            Plan::Split { .. } => false,
+    pub fn has_negligible_prefill(&self, job: &Job, choice: &Choice) -> bool {
+        match choice.placement {
+            Placement::Single { engine } => place::is_short_prefill(
+                &self.engines[engine],
+                &placement_request(job),
+                &Weights::default(),
+            ),
+            Placement::Split { .. } => false,
         }
     }
 
     /// The work for an engine that reads; none if the prompt is short.
-    fn to_read(&self, job: &Job) -> u64 {
-        let prompt = ask(job).prompt;
+    fn prefill_work(&self, job: &Job) -> u64 {
+        let prompt = placement_request(job).prompt_tokens;
         let readers = self
             .engines
             .iter()
             .filter(|engine| engine.stage == place::Stage::Prefill);
-        let held = readers.map(|engine| engine.held).max().unwrap_or(0);
-        if prompt.saturating_sub(held) > Weights::default().short_prompt {
-            policy::prompt::work(prompt, held)
+        let held = readers
+            .map(|engine| engine.cached_tokens)
+            .max()
+            .unwrap_or(0);
+        if prompt.saturating_sub(held) > Weights::default().short_prompt_max_tokens {
+            policy::prompt::prefill_work(prompt, held)
         } else {
             0
         }
@@ -162,23 +170,23 @@
 
     /// Says where a request is placed, and what that was decided by.
     pub fn log_placement(&self, job: &Job, choice: &Choice, how: &str) {
-        let (first, last) = match choice.plan {
-            Plan::Whole { engine } => (engine, engine),
-            Plan::Split { prefill, decode } => (prefill, decode),
+        let (first, last) = match choice.placement {
+            Placement::Single { engine } => (engine, engine),
+            Placement::Split { prefill, decode } => (prefill, decode),
         };
         let names = (&*self.targets[first].id.0, &*self.targets[last].id.0);
         let (reader, writer) = (&self.engines[first], &self.engines[last]);
-        let ask = ask(job);
+        let request = placement_request(job);
         log::info!(
-            request = job.ask.id, reads = names.0, writes = names.1,
-            expected_us = policy::count(choice.first),
-            margin_us = policy::count(job.gateway.margin(&job.service.name)), left_us = ask.within,
-            prompt = ask.prompt, held = reader.held, fetched = reader.fetch.tokens, output = ask.output,
-            content:% = job.content, parts = parts(job), reading = reader.reading, writing = writer.writing,
-            long = writer.long, start_us = policy::count(writer.pace.start_us),
-            read_ns = policy::count(reader.pace.read_us * NANOS),
-            step_us = policy::count(writer.pace.step_us), late = reader.late,
-            slowed_us = writer.pace.slowed_us.map(policy::count);
+            request = job.metadata.id, reads = names.0, writes = names.1,
+            expected_us = policy::to_u64(choice.first_event_us),
+            margin_us = policy::to_u64(job.gateway.margin(&job.service.name)), left_us = request.first_event_timeout,
+            prompt = request.prompt_tokens, held = reader.cached_tokens, fetched = reader.fetch.tokens, output = request.expected_output_tokens,
+            content:% = job.fingerprint, parts = format_parts(job), reading = reader.prefill_work, writing = writer.answers,
+            long = writer.long_answers, start_us = policy::to_u64(writer.latency.overhead_us),
+            read_ns = policy::to_u64(reader.latency.prefill_token_us * NANOS_PER_MICRO),
+            step_us = policy::to_u64(writer.latency.decode_token_us), late = reader.deferred_work,
+            slowed_us = writer.latency.contended_token_us.map(policy::to_u64);
             "{how}"
         );
     }
@@ -186,7 +194,7 @@
 
 /// Keeps of each stage the engines with the fewest suspects. Of two requests that end endpoints, or seem to, each must
 /// be seen for itself: one that another one took down with it would otherwise go down with it again.
-fn keep_apart(found: &mut Vec<(Arc<Target>, Seen)>) {
+fn isolate_suspects(found: &mut Vec<(Arc<Target>, endpoint::Snapshot)>) {
     for stage in [Some(Stage::Prefill), Some(Stage::Decode)] {
         let of_stage = found.iter().filter(|(_, seen)| seen.profile.stage == stage);
         let least = of_stage.map(|(_, seen)| seen.load.suspects).min();
@@ -195,8 +203,8 @@
 }
 
 /// The parts of a request's prompt as a line of the log names them.
-fn parts(job: &Job) -> String {
-    let prompt = job.ask.prompt.iter();
+fn format_parts(job: &Job) -> String {
+    let prompt = job.metadata.prompt.iter();
     let parts = prompt.flat_map(|prompt| &prompt.parts);
     let named: Vec<String> = parts
         .map(|part| format!("{:x}:{}", part.key, part.tokens))
@@ -205,89 +213,93 @@
 }
 
 /// The place of an endpoint in this process's own order.
-fn order(job: &Job, target: &Target) -> u64 {
+fn tie_break_order(job: &Job, target: &Target) -> u64 {
     let seed = job.gateway.incarnation;
-    xxhash_rust::xxh3::xxh3_64_with_seed(&target.short.to_le_bytes(), seed)
+    xxhash_rust::xxh3::xxh3_64_with_seed(&target.short_id.to_le_bytes(), seed)
 }
 
-fn engine(seen: &Seen, near: &str, order: u64) -> place::Engine {
+fn engine(seen: &endpoint::Snapshot, near: &str, order: u64) -> place::Engine {
     let stage = seen.profile.stage.unwrap_or(Stage::Decode);
     place::Engine {
         stage: match stage {
             Stage::Prefill => place::Stage::Prefill,
             Stage::Decode => place::Stage::Decode,
         },
-        reading: seen.load.reading,
-        late: seen.load.late,
-        late_prompts: seen.load.late_prompts,
-        writing: seen.load.writing,
-        long: seen.load.long,
-        slots: seen.profile.slots,
-        held: seen.held,
+        prefill_work: seen.load.prefill_work,
+        deferred_work: seen.load.low_priority_work,
+        deferred_prompts: seen.load.low_priority_prompts,
+        answers: seen.load.decoding,
+        long_answers: seen.load.long_answers,
+        decode_slots: seen.profile.slots,
+        cached_tokens: seen.cached_tokens,
         fetch: place::Fetch::default(),
-        pace: seen.pace,
-        distance: if *seen.profile.data_centre == *near {
+        latency: seen.pace,
+        extra_round_trip: if *seen.profile.data_centre == *near {
             0
         } else {
-            FAR
+            REMOTE_RTT_US
         },
-        failures: seen.failures,
-        order,
+        failure_ratio: seen.failure_ratio,
+        rank: order,
     }
 }
 
 /// What a request asks of placement.
-pub fn ask(job: &Job) -> Ask {
+pub fn placement_request(job: &Job) -> Request {
     let none = Prompt::default();
-    let prompt = job.ask.prompt.as_ref().unwrap_or(&none);
+    let prompt = job.metadata.prompt.as_ref().unwrap_or(&none);
     let left = job.objective.saturating_duration_since(Instant::now());
-    Ask {
-        prompt: prompt.tokens,
-        output: prompt.expected_output(),
-        within: policy::micros(left),
-        pace: policy::real(policy::micros(job.time_left()))
-            / policy::real(prompt.most_output.max(1)),
-        bearable: bearable(job),
-        event: event_tokens(job),
-        pause: job
-            .pause
-            .map_or(f64::MAX, |pause| policy::real(policy::micros(pause))),
+    Request {
+        prompt_tokens: prompt.tokens,
+        expected_output_tokens: prompt.expected_output_tokens(),
+        first_event_timeout: policy::micros(left),
+        max_inter_token_latency_us: policy::to_f64(policy::micros(job.time_left()))
+            / policy::to_f64(prompt.max_output_tokens.max(1)),
+        service_max_inter_token_latency_us: max_inter_token_latency(job),
+        tokens_per_event: tokens_per_event(job),
+        max_stall_us: job
+            .max_stall
+            .map_or(f64::MAX, |stall| policy::to_f64(policy::micros(stall))),
     }
 }
 
 /// Tokens in one event of an answer.
-fn event_tokens(job: &Job) -> u64 {
+fn tokens_per_event(job: &Job) -> u64 {
     let engines = job.service.engines.as_ref();
-    engines.map_or(1, |engines| engines.event_tokens.max(1))
+    engines.map_or(1, |engines| engines.tokens_per_event.max(1))
 }
 
 /// The longest time between two tokens that long answers of a request's service bear, in microseconds.
-fn bearable(job: &Job) -> f64 {
-    let whole = job.gateway.bearable(&job.service.name);
-    let event = event_tokens(job);
-    let pause = job.pause.map_or(f64::MAX, |pause| {
-        policy::real(policy::micros(pause)) / policy::real(event)
+fn max_inter_token_latency(job: &Job) -> f64 {
+    let whole = job.gateway.max_inter_token_latency(&job.service.name);
+    let event = tokens_per_event(job);
+    let limit = job.max_stall.map_or(f64::MAX, |stall| {
+        policy::to_f64(policy::micros(stall)) / policy::to_f64(event)
     });
-    whole.min(pause)
+    whole.min(limit)
 }
 
 /// Whether a request's answer will be long.
-pub fn is_long(job: &Job) -> bool {
-    ask(job).output > Weights::default().long_answer
+pub fn is_long_answer(job: &Job) -> bool {
+    placement_request(job).expected_output_tokens > Weights::default().short_answer_max_tokens
 }
 
 /// Counts what a request asks of its service.
-pub fn count(job: &Job, view: &View) {
+pub fn count_demand(job: &Job, snapshot: &Snapshot) {
     let gateway = &job.gateway;
     let service = &job.service.name;
-    let writing = if is_long(job) { ask(job).output } else { 0 };
-    let asked = Asked {
-        reading: view.to_read(job),
-        writing,
+    let writing = if is_long_answer(job) {
+        placement_request(job).expected_output_tokens
+    } else {
+        0
+    };
+    let asked = DemandTotals {
+        prefill_work: snapshot.prefill_work(job),
+        decode_tokens: writing,
     };
     gateway.count_demand(service, asked);
-    if let Some(prompt) = job.ask.prompt.as_ref().filter(|_| is_long(job)) {
+    if let Some(prompt) = job.metadata.prompt.as_ref().filter(|_| is_long_answer(job)) {
         let time = job.deadline - job.arrived;
-        gateway.count_long(service, prompt.most_output, time);
+        gateway.record_long_answer(service, prompt.max_output_tokens, time);
     }
 }
