--- a/components/spec/src/answers.rs
+++ b/components/spec/src/answers.rs
@@ -1,5 +1,5 @@
-//! Whole answers: frames of two attempts and of a stranger, late, doubled, lost, and a stream that
-//! closes before its end.
+//! Completeness of streamed answers: frames of two attempts and of an unknown attempt are delayed,
+//! duplicated or lost, and the stream may close before the last frame.
 
 use protocol::stream::{Assembler, Verdict};
 
@@ -11,25 +11,26 @@
 const TOKENS: u64 = 3;
 const ATTEMPTS: u64 = 2;
 const BOUNDS: &str =
-    "answers of 3 tokens, 2 attempts and a stranger's, frames doubled, lost, crossed";
+    "answers of 3 tokens, 2 attempts, frames duplicated, lost, delayed or of an unknown attempt";
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Variant {
     Correct,
-    /// Frames are taken whatever attempt they name.
+    /// Accepts frames of any attempt.
     AnyAttempt,
-    /// Frames are taken whatever offset they name.
+    /// Accepts frames with any offset.
     AnyOffset,
-    /// An orderly close is taken for the end.
+    /// Treats an orderly close as the end of the answer.
     CloseIsEnd,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     assembler: Assembler,
-    /// The next token that the running attempt's engine writes.
+    /// Offset of the next token that the engine of the current attempt decodes.
     next_offset: u64,
-    /// Tokens delivered to the caller: attempt-independent offsets; a stranger's is `u64::MAX`.
+    /// Offsets of the tokens delivered to the caller; `u64::MAX` for a token of the unknown
+    /// attempt.
     delivered: Vec<u64>,
     ended: bool,
     violation: Option<&'static str>,
@@ -100,7 +101,7 @@
     if variant == Variant::CloseIsEnd {
         finish(&mut closed);
     } else {
-        // the caller sees an error, never an end
+        // the caller receives an error, and no further tokens come
         closed.next_offset = TOKENS;
     }
     steps.push((Label::StreamCloses, closed));
@@ -154,12 +155,12 @@
     }
 }
 
-/// The model's cases.
+/// The cases of this model.
 pub const CASES: &[Case] = &[
     case("as built", false, || run(Variant::Correct)),
     case("frames of any attempt", true, || run(Variant::AnyAttempt)),
     case("frames of any offset", true, || run(Variant::AnyOffset)),
-    case("orderly close taken for the end", true, || {
+    case("orderly close treated as the end", true, || {
         run(Variant::CloseIsEnd)
     }),
 ];
--- a/components/spec/src/claims.rs
+++ b/components/spec/src/claims.rs
@@ -1,5 +1,5 @@
-//! Requests that may not be repeated: one key, two daemons, tries that a caller may repeat at
-//! either, a table whose answers are lost or late, crashes.
+//! Requests that must not be executed twice: one idempotency key, two daemons, attempts that the
+//! caller may send to either of them, a table whose responses are lost or delayed, and crashes.
 
 use protocol::{
     Incarnation,
@@ -13,38 +13,38 @@
 
 const DAEMONS: usize = 2;
 const ATTEMPTS: usize = 3;
-const BOUNDS: &str = "2 daemons, 3 tries with one key, lost and late table writes, 1 crash";
+const BOUNDS: &str = "2 daemons, 3 attempts with one key, lost and delayed table writes, 1 crash";
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Variant {
     Correct,
-    /// The claim is written after the request was sent.
+    /// Writes the claim after the request was dispatched.
     ClaimAfterDispatch,
-    /// An unclear write is taken for written.
+    /// Treats a write of unknown outcome as written.
     UnclearIsWritten,
-    /// A claim whose claimant seems dead is claimed again.
+    /// Claims a key again if its claimant appears to be dead.
     TakeOver,
-    /// A key that can't be read is told as "not run".
+    /// Replies "not run" if the key can't be read.
     UnreadIsNotRun,
-    /// A claim is written without checking that the row is as it was read.
+    /// Writes a claim without checking that the row has not changed since it was read.
     UncheckedWrite,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Phase {
-    /// The caller has not sent it yet.
+    /// The caller has not sent the request yet.
     Unsent,
-    /// It has arrived.
+    /// The daemon has received the request.
     Arrived,
-    /// The key was looked up: the row's version.
+    /// The key was looked up and may be claimed; holds the version of the row as read.
     Claim(u64),
-    /// The write is on its way, its answer not come.
+    /// The write of the claim is in flight, over the given version of the row.
     Writing(Row, u64),
-    /// The claim stands.
+    /// The claim is written.
     Claimed(Row),
-    /// The request runs or has run; its answer comes or is lost.
+    /// The request was dispatched; its answer arrives or is lost.
     Sent(Row),
-    /// The caller was told.
+    /// The caller has received a reply.
     Replied(Reply),
 }
 
@@ -67,7 +67,7 @@
 struct State {
     row: Option<Row>,
     version: u64,
-    /// Writes that may yet take effect: the version that they check, and the row.
+    /// Delayed writes that may still take effect: the version that they check, and the row.
     delayed: Vec<(u64, Row)>,
     attempts: [Attempt; ATTEMPTS],
     alive: [bool; DAEMONS],
@@ -105,7 +105,8 @@
         row: None,
         version: 0,
         delayed: Vec::new(),
-        // the balancer sends the tries wherever it likes; by symmetry the first goes to the first
+        // the load balancer may send an attempt to either daemon; by symmetry the first attempt
+        // goes to the first daemon
         attempts: [unsent(0), unsent(1), unsent(0)],
         alive: [true; DAEMONS],
         runs: 0,
@@ -173,7 +174,7 @@
         .iter()
         .any(|attempt| attempt.phase == Phase::Replied(Reply::NotRun) && attempt.ran);
     state.violation = match () {
-        () if state.runs > 1 => Some("a request that may not be repeated runs at most once"),
+        () if state.runs > 1 => Some("a request that must not be retried runs at most once"),
         () if denied => Some("a refusal that says \"not run\" is true"),
         () => None,
     };
@@ -237,7 +238,7 @@
     }
 }
 
-/// The claimant records the end of its own claim.
+/// The claimant records the outcome of its own claim.
 fn record_outcome(state: &mut State, row: Row) {
     if state.row.as_ref().is_some_and(|now| now.token == row.token) {
         state.row = Some(row);
@@ -275,9 +276,9 @@
     if commit(&mut done, expected, row, variant) {
         after_write(&mut done, nth, row, Write::Written, variant);
         steps.push((Label::WriteIsAnswered { nth }, done.clone()));
-        // it took effect, its answer was lost, and a read shows the token
+        // the write took effect, its response was lost, and a read shows the claimant's token
         steps.push((Label::ReadsBack { nth }, done.clone()));
-        // it took effect, and neither the answer nor the read came
+        // the write took effect, and both its response and the read were lost
         let mut lost = state.clone();
         commit(&mut lost, expected, row, variant);
         after_write(&mut lost, nth, row, Write::Unclear, variant);
@@ -286,7 +287,7 @@
         after_write(&mut done, nth, row, Write::Taken, variant);
         steps.push((Label::WriteIsRefused { nth }, done));
     }
-    // it is late: it takes effect after the daemon has given up, or never
+    // the write is delayed: it takes effect after the daemon has timed out, or never
     let mut delayed = state.clone();
     delayed.delayed.push((expected, row.clone()));
     after_write(&mut delayed, nth, row, Write::Unclear, variant);
@@ -301,7 +302,7 @@
         return;
     }
     if write == Write::Unclear {
-        // it was not sent, and the claimant says so in the table
+        // the request was not dispatched, and the claimant records this in the table
         let not_run = Row {
             stage: Stage::NotRun,
             ..row.clone()
@@ -329,22 +330,22 @@
     }
 }
 
-/// The model's cases.
+/// The cases of this model.
 pub const CASES: &[Case] = &[
     case("as built", false, || run(Variant::Correct)),
-    case("claim after dispatch", true, || {
+    case("claim written after dispatch", true, || {
         run(Variant::ClaimAfterDispatch)
     }),
-    case("unclear write taken for written", true, || {
+    case("unclear write treated as written", true, || {
         run(Variant::UnclearIsWritten)
     }),
-    case("dead claimant's claim taken over", true, || {
+    case("claim of a dead claimant taken over", true, || {
         run(Variant::TakeOver)
     }),
-    case("unread key told as not run", true, || {
+    case("unreadable key reported as not run", true, || {
         run(Variant::UnreadIsNotRun)
     }),
-    case("write without a check", true, || {
+    case("claim written without a version check", true, || {
         run(Variant::UncheckedWrite)
     }),
 ];
--- a/components/spec/src/closing.rs
+++ b/components/spec/src/closing.rs
@@ -1,4 +1,5 @@
-//! Closing an engine: a steward, a daemon that serves and one that starts in the middle.
+//! Closing an engine's gates before an order: a steward, a daemon that serves and a daemon that
+//! starts during the run.
 
 use protocol::gate::Gate;
 
@@ -10,30 +11,30 @@
 const DAEMONS: usize = 2;
 const MAX_DISPATCHES: u8 = 2;
 const BOUNDS: &str =
-    "2 daemons (1 starts in the middle), 2 orders, 2 requests a daemon, late and lost messages";
+    "2 daemons (1 starts during the run), 2 orders, 2 requests each, delayed and lost messages";
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Variant {
     Correct,
-    /// The order goes out although an answer is missing.
+    /// The steward sends the order although the answer of a daemon is missing.
     WithoutAllAnswers,
-    /// A daemon reads what is closing before it registers.
+    /// A starting daemon reads which engines are closing before it registers.
     ReadBeforeRegister,
-    /// The steward reads who is registered before it writes that it is closing.
+    /// The steward reads the registered daemons before it writes the closing row.
     ReadBeforeClosing,
-    /// A daemon answers while requests are in flight.
+    /// A daemon answers a close request while it has requests in flight.
     AnswerWithRequestsInFlight,
-    /// A late open for an older order opens a newer close.
+    /// A delayed open for an older order opens a gate that is closed for a newer one.
     OpenWithoutNumber,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Startup {
-    /// Not started.
+    /// The daemon has not started.
     NotStarted,
-    /// One of the two steps is done.
+    /// One of the two startup steps (register, read the closing row) is done.
     FirstStepDone,
-    /// It dispatches.
+    /// The daemon dispatches requests.
     Serving,
 }
 
@@ -43,20 +44,21 @@
     registered: bool,
     gate: Gate,
     dispatched: u8,
-    /// A close request for this order has arrived and is not answered yet.
+    /// The latest order for which a close request has arrived.
     asked: Option<u64>,
     answered: u64,
 }
 
-/// How far the steward has come with its present order.
+/// The steward's progress with its current order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Steward {
     Idle,
-    /// The closing row is written; who is registered is not read yet.
+    /// The closing row is written; the registered daemons are not read yet.
     ClosingWritten,
-    /// Those registered were read and are asked.
+    /// The registered daemons were read and are asked to close. True for those that have answered
+    /// or need not be asked.
     AwaitingAnswers([bool; DAEMONS]),
-    /// The intent is committed; the order may strike.
+    /// The intent is committed; the order may take effect at any moment.
     Intent,
 }
 
@@ -64,11 +66,11 @@
 struct State {
     steward: Steward,
     number: u64,
-    /// Whether the row says that daemons must not dispatch.
+    /// Whether the row tells daemons not to dispatch to the engine.
     closing: bool,
     participants: [bool; DAEMONS],
     daemons: [Daemon; DAEMONS],
-    /// Opens on their way: daemon and order.
+    /// Open messages in transit: daemon and order number.
     open_messages: Vec<(usize, u64)>,
     violated: bool,
 }
@@ -159,7 +161,8 @@
             next.closing = true;
             next.steward = Steward::ClosingWritten;
             if variant == Variant::ReadBeforeClosing {
-                // both readings of "who is registered" are explored: the one of just before
+                // the registered daemons are read in this step; the closing row takes effect in the
+                // next
                 next.participants = registered(state);
                 next.closing = false;
             }
@@ -196,7 +199,7 @@
     }
 }
 
-/// The outcome is committed and told to everybody.
+/// Commits the outcome and sends an open message to every daemon that was asked.
 fn finish_order(state: &mut State) {
     state.closing = false;
     state.steward = Steward::Idle;
@@ -244,7 +247,7 @@
         next.daemons[at].gate.release();
         steps.push((Label::RequestEnds(at), next));
     }
-    // a daemon that missed the open reads the row
+    // a daemon that missed the open message reads the row
     if daemon.gate.closed_for().is_some() && !state.closing {
         let mut next = state.clone();
         next.daemons[at].gate.open(state.number);
@@ -264,7 +267,7 @@
 ) {
     let daemon = state.daemons[at];
     let number = state.number;
-    // requests and answers may be late or lost: the steps need not be taken
+    // close requests and answers may be delayed or lost: these steps are optional
     if state.participants[at] && daemon.asked != Some(number) && daemon.start != Startup::NotStarted
     {
         let mut next = state.clone();
@@ -291,7 +294,7 @@
         |state| {
             state
                 .violated
-                .then_some("no request is cut by a planned change")
+                .then_some("no request is interrupted by a planned change")
         },
     )
 }
@@ -306,22 +309,26 @@
     }
 }
 
-/// The model's cases.
+/// The cases of this model.
 pub const CASES: &[Case] = &[
     case("as built", false, || run(Variant::Correct)),
-    case("closing without all answers", true, || {
+    case("order sent without all answers", true, || {
         run(Variant::WithoutAllAnswers)
     }),
-    case("daemon reads before it registers", true, || {
-        run(Variant::ReadBeforeRegister)
-    }),
-    case("steward reads before it writes", true, || {
-        run(Variant::ReadBeforeClosing)
-    }),
-    case("answer with requests in flight", true, || {
+    case(
+        "daemon reads the closing row before it registers",
+        true,
+        || run(Variant::ReadBeforeRegister),
+    ),
+    case(
+        "steward reads the daemons before it writes the row",
+        true,
+        || run(Variant::ReadBeforeClosing),
+    ),
+    case("daemon answers with requests in flight", true, || {
         run(Variant::AnswerWithRequestsInFlight)
     }),
-    case("late open opens a newer close", true, || {
+    case("delayed open opens a newer close", true, || {
         run(Variant::OpenWithoutNumber)
     }),
 ];
--- a/components/spec/src/explore.rs
+++ b/components/spec/src/explore.rs
@@ -1,31 +1,31 @@
-//! Breadth-first search for a broken invariant, with the shortest counter-example as a time line.
+//! Breadth-first search for a violated invariant. Yields the shortest counter-example.
 
 use std::{cell::Cell, fmt::Debug, hash::Hash};
 
 use pathfinding::directed::bfs::bfs;
 
-/// What a search found.
+/// The result of a search.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outcome {
-    /// States explored.
+    /// Number of states explored.
     pub states: usize,
-    /// The broken invariant and the steps that break it; none when all states hold.
+    /// The violated invariant and the steps to it; none if every state satisfies all invariants.
     pub violation: Option<Violation>,
 }
 
 /// A counter-example.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// The invariant.
+    /// The violated invariant.
     pub invariant: &'static str,
-    /// The steps, in order.
+    /// The steps that lead to the violation, in order.
     pub steps: Vec<String>,
 }
 
-/// Explores all states that can be reached from `start`.
+/// Explores all states reachable from `start`.
 ///
-/// `successors` gives the steps that can be taken with the states they lead to; `violation` names the
-/// invariant that a state breaks.
+/// `successors` returns the steps possible in a state, each with the state it leads to. `violation`
+/// returns the invariant that a state violates, if any.
 pub fn explore<S, L>(
     start: &S,
     successors: impl Fn(&S) -> Vec<(L, S)>,
--- a/components/spec/src/lib.rs
+++ b/components/spec/src/lib.rs
@@ -1,8 +1,9 @@
 //! Model checker of the core protocol.
 //!
-//! Five small models, each explored exhaustively to its bounds. They run the transitions of the
-//! `protocol` crate, the ones that the daemon runs. Each model has seeded wrong variants that must
-//! be caught: the proof that it can fail. See `docs/PROOFS.md`.
+//! Five small models, each explored exhaustively within its bounds. They call the transition
+//! functions of the `protocol` crate, the same ones that the daemon calls. Each model has seeded
+//! faulty variants that must violate an invariant, which shows that the model can detect faults.
+//! See `docs/PROOFS.md`.
 
 pub mod answers;
 pub mod claims;
@@ -13,21 +14,21 @@
 
 use explore::Outcome;
 
-/// A model with one of its variants, ready to be explored.
+/// One variant of a model, with the function that explores it.
 pub struct Case {
-    /// The model's name.
+    /// Name of the model.
     pub model: &'static str,
-    /// The variant's name.
+    /// Name of the variant.
     pub variant: &'static str,
-    /// The bounds.
+    /// Bounds of the exploration, as text for the report.
     pub bounds: &'static str,
-    /// Whether an invariant must be found broken.
+    /// Whether the exploration must find a violated invariant.
     pub expect_violation: bool,
-    /// Explores it.
+    /// Explores the variant.
     pub run: fn() -> Outcome,
 }
 
-/// All models with all their variants.
+/// All variants of all models.
 #[must_use]
 pub fn cases() -> Vec<Case> {
     [
--- a/components/spec/src/main.rs
+++ b/components/spec/src/main.rs
@@ -1,4 +1,4 @@
-//! Explores all models and prints what was found.
+//! Explores all models and prints the results.
 
 use std::process::ExitCode;
 
@@ -9,10 +9,10 @@
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version)]
 enum Command {
-    /// Explore all models and their wrong variants.
+    /// Explore all models and their faulty variants.
     #[bpaf(command)]
     Check {
-        /// Print each counter-example as a time line
+        /// Print the steps of each counter-example
         verbose: bool,
     },
 }
@@ -32,7 +32,7 @@
     }
 }
 
-/// Prints one case and says whether it went as it must.
+/// Prints the result of one case and returns whether it is the expected one.
 fn report(case: &Case, outcome: &Outcome, verbose: bool) -> bool {
     let passed = case.expect_violation == outcome.violation.is_some();
     let mark = if passed { "ok  " } else { "FAIL" };
@@ -48,7 +48,7 @@
             outcome.states
         ),
         Some(violation) => println!(
-            "{mark} {model}: {variant}: breaks \"{}\" in {} steps, {} states",
+            "{mark} {model}: {variant}: violates \"{}\" in {} steps, {} states",
             violation.invariant,
             violation.steps.len(),
             outcome.states
--- a/components/spec/src/orders/mod.rs
+++ b/components/spec/src/orders/mod.rs
@@ -1,6 +1,8 @@
-//! Stewardship and orders: two daemons, one engine of either kind, late and lost messages, lost
-//! answers of the table, crashes. A pause is any delay between two steps of a daemon, so every
-//! pause is covered; a lease may lapse at any moment, since safety may not rest on its term.
+//! Stewardship and orders: two daemons, one engine that does or does not check fencing numbers,
+//! delayed and lost messages, lost responses of the table, and crashes.
+//!
+//! A pause of a process is a delay between two of its steps, so every pause is covered. A lease may
+//! expire at any moment, since safety must not depend on its term.
 
 mod state;
 
@@ -19,12 +21,13 @@
 };
 
 const DAEMONS: usize = 2;
-/// The highest epoch and the highest order number that are explored.
+/// Bounds on the epoch and on the order number.
 const MAX_EPOCH: u64 = 3;
 const MAX_ORDER_NUMBER: u64 = 2;
-/// Orders on their way at once.
+/// Maximum number of orders in transit at once.
 const MAX_IN_TRANSIT: usize = 3;
-const BOUNDS: &str = "2 daemons, 1 engine, epochs to 3, orders to 2, 3 on the way, 2 ends, 1 crash";
+const BOUNDS: &str =
+    "2 daemons, 1 engine, epochs to 3, order numbers to 2, 3 in transit, 2 wanted roles, 1 crash";
 
 fn successors(state: &State, setup: Setup, variant: Variant) -> Vec<(Label, State)> {
     let mut steps = Vec::new();
@@ -58,7 +61,7 @@
     ));
 }
 
-/// Whether a commit under this epoch's lease row would be accepted.
+/// Whether the table would accept a commit that checks the lease row for this epoch.
 fn commit_accepted(state: &State, epoch: u64, variant: Variant) -> bool {
     variant == Variant::LeaseTermOnly || state.lease.is_some_and(|lease| lease.epoch == epoch)
 }
@@ -91,7 +94,7 @@
             clean,
             gone,
         ) {
-            // closing is a model of its own; here all daemons have closed
+            // closing has its own model; here all daemons have closed their gates
             Step::Close(row) => order::intend(&row),
             Step::Resend(row) | Step::Reopen(row) => row,
             Step::Wait(_) | Step::Nothing => continue,
@@ -142,7 +145,7 @@
         },
         answered,
     ));
-    // the write took effect and its answer was lost for good: nothing is sent
+    // the write took effect and its response was lost: the order is not sent
     lost.daemons[at].phase = Phase::Nothing;
     steps.push((Label::CommitAnswerLost { daemon: at, number }, lost));
 }
@@ -173,7 +176,7 @@
         Phase::Send(row) => {
             let mut next = state.clone();
             let label = if variant == Variant::IntentAfterSend {
-                // the intent, after the order has left
+                // the intent is committed after the order was sent
                 if commit_accepted(state, row.epoch, variant) {
                     next.row = Some(row.clone());
                 }
@@ -193,7 +196,7 @@
             steps.push((label, next));
         }
         Phase::Await(row) => {
-            // the call is cut; the order may still arrive
+            // the call is lost; the order may still arrive
             let mut next = state.clone();
             let ended = if variant == Variant::LostCallIsEnded {
                 Ended::NotReached
@@ -237,7 +240,7 @@
     }
     let mut withdrawn = next.clone();
     steps.push((Label::OutcomeRefused { daemon: at }, next));
-    // a former sender whose call has ended takes its name out
+    // an earlier sender whose call has ended removes itself from the row
     if let (Some(now), true) = (withdrawn.row.as_mut(), ended != Ended::Lost)
         && now.number == row.number
         && now.earlier.contains(&incarnation(at))
@@ -260,7 +263,8 @@
         phase: Phase::Nothing,
         lost_orders: Vec::new(),
     };
-    // its connections end with it; what has left its machine is lost, since gone means gone
+    // its connections end with it, and its orders in transit are lost: the protocol takes a daemon
+    // for gone only when it certainly can't send any more
     next.network.retain(|message| message.from != at);
     steps.push((Label::Crashes { daemon: at }, next));
 }
@@ -285,7 +289,7 @@
             };
             (label, Ended::Reached)
         };
-        // the answer reaches a sender that still waits for it
+        // the response reaches the sender if it still waits for it
         if let Phase::Await(row) = &state.daemons[message.from].phase
             && row.number == message.number
         {
@@ -295,10 +299,11 @@
     }
 }
 
-/// The engine carries an order out; what it may not do is noted.
+/// Applies an order to the engine and records a violated invariant.
 ///
-/// At an engine that checks, authority is lost when a newer number has arrived. Until then an order
-/// that was committed may take effect, but only while the row keeps the endpoint closed.
+/// At an engine that checks fencing numbers, a sender loses its authority when a newer number has
+/// arrived. Until then a committed order may take effect, but only while the row keeps the endpoint
+/// closed.
 fn apply_order(state: &mut State, message: &Message, setup: Setup) {
     let changes_role = state.engine_role != message.wanted.role;
     let closed = state.row.as_ref().is_some_and(|row| row.closes(false));
@@ -340,27 +345,31 @@
     }
 }
 
-/// The model's cases.
+/// The cases of this model.
 pub const CASES: &[Case] = &[
-    case("as built, engine that checks", false, || {
+    case("as built, engine checks fencing numbers", false, || {
         run(true, Variant::Correct)
     }),
-    case("as built, engine that doesn't check", false, || {
-        run(false, Variant::Correct)
-    }),
-    case("intent after send", true, || {
+    case(
+        "as built, engine doesn't check fencing numbers",
+        false,
+        || run(false, Variant::Correct),
+    ),
+    case("order sent before its intent is committed", true, || {
         run(false, Variant::IntentAfterSend)
     }),
-    case("lease term alone, engine that checks", true, || {
-        run(true, Variant::LeaseTermOnly)
-    }),
-    case("lease term alone", true, || {
+    case(
+        "lease term only, engine checks fencing numbers",
+        true,
+        || run(true, Variant::LeaseTermOnly),
+    ),
+    case("lease term only", true, || {
         run(false, Variant::LeaseTermOnly)
     }),
-    case("different order without waiting", true, || {
+    case("different order without waiting for senders", true, || {
         run(false, Variant::NoWait)
     }),
-    case("lost call taken for ended", true, || {
+    case("lost call treated as ended", true, || {
         run(false, Variant::LostCallIsEnded)
     }),
 ];
--- a/components/spec/src/orders/state.rs
+++ b/components/spec/src/orders/state.rs
@@ -1,4 +1,4 @@
-//! What the daemons, the table and the engine are in, and what can happen to them.
+//! The state of the daemons, the table and the engine, and the labels of the transitions.
 
 use protocol::{
     Incarnation,
@@ -8,17 +8,17 @@
 
 use super::DAEMONS;
 
-/// What is done wrong on purpose.
+/// The seeded faults, and the correct protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Variant {
     Correct,
-    /// The order is sent before its intent is committed.
+    /// Sends the order before its intent is committed.
     IntentAfterSend,
-    /// A commit checks neither epoch nor row: the lease's term alone protects.
+    /// Checks neither epoch nor row in a commit; only the term of the lease protects.
     LeaseTermOnly,
-    /// A different order doesn't wait for the senders of open ones.
+    /// Sends a different order without waiting for the senders of open orders.
     NoWait,
-    /// An order that may still strike after a lost call is taken for ended.
+    /// Treats an order as ended after a lost call, although it may still take effect.
     LostCallIsEnded,
 }
 
@@ -27,20 +27,20 @@
     pub(super) fences: bool,
 }
 
-/// What a daemon is about to do.
+/// The phase of the order that a daemon carries out.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) enum Phase {
     Nothing,
-    /// It has read the rows and decided; the commit is not made yet.
+    /// The daemon has read the rows and decided on an order; the commit is not made yet.
     Commit {
         row: Row,
         expected: Option<Row>,
     },
-    /// The intent is committed, or so it believes; the order is not sent yet.
+    /// The intent is committed as far as the daemon knows; the order is not sent yet.
     Send(Row),
-    /// The order is on its way.
+    /// The order is sent; the daemon waits for the engine's response.
     Await(Row),
-    /// The call has ended.
+    /// The call to the engine has ended; the outcome is not committed yet.
     Finish(Row, Ended),
 }
 
@@ -49,7 +49,7 @@
     pub(super) alive: bool,
     pub(super) epoch: Option<u64>,
     pub(super) phase: Phase,
-    /// Orders of its own that may still strike.
+    /// Numbers of this daemon's orders whose calls were lost: they may still take effect.
     pub(super) lost_orders: Vec<u64>,
 }
 
@@ -65,17 +65,17 @@
     pub(super) lease: Option<Lease>,
     pub(super) row: Option<Row>,
     pub(super) daemons: [Daemon; DAEMONS],
-    /// Sorted.
+    /// Orders in transit, sorted.
     pub(super) network: Vec<Message>,
     pub(super) engine_role: Role,
     pub(super) highest_seen: u64,
-    /// The highest number that took effect.
+    /// The highest order number that took effect.
     pub(super) highest_applied: u64,
     pub(super) crashes: u8,
     pub(super) violation: Option<&'static str>,
 }
 
-/// What happens.
+/// A transition, as printed in a counter-example.
 #[derive(Debug)]
 #[expect(dead_code, reason = "the fields are read by Debug")]
 pub(super) enum Label {
--- a/components/spec/src/versions.rs
+++ b/components/spec/src/versions.rs
@@ -1,5 +1,5 @@
-//! Settings: two daemons accept changes of operators and tell each other; messages are late, lost
-//! and doubled, the table's answers are lost.
+//! Versions of the settings: two daemons accept changes from operators and notify each other.
+//! Messages are delayed, lost or duplicated, and responses of the table are lost.
 
 use crate::{
     Case,
@@ -8,18 +8,19 @@
 
 const DAEMONS: usize = 2;
 const MAX_CHANGES: u8 = 3;
-const BOUNDS: &str = "2 daemons, 3 accepted changes, late, lost and doubled messages, lost answers";
+const BOUNDS: &str =
+    "2 daemons, 3 accepted changes, delayed, lost and duplicated messages, lost table responses";
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Variant {
     Correct,
-    /// A daemon applies whatever came last.
+    /// A daemon applies the version that it received last, even if it is older.
     LastWins,
-    /// A commit doesn't compare the version that was read.
+    /// A commit doesn't check that the table still has the version that was read.
     UncheckedCommit,
 }
 
-/// A tree, reduced to the set of accepted changes that it holds, as bits.
+/// A settings tree, reduced to a bit set of the accepted changes that it contains.
 type Tree = u8;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -32,9 +33,9 @@
 struct State {
     table: Version,
     daemons: [Version; DAEMONS],
-    /// A commit that is being prepared: the version it was read at.
+    /// The version that each daemon's commit in preparation is based on.
     preparing: [Option<Version>; DAEMONS],
-    /// Versions on their way to a daemon; delivered any number of times.
+    /// Versions in transit to a daemon; each may be delivered any number of times.
     network: Vec<(usize, Version)>,
     accepted: Tree,
     changes: u8,
@@ -134,7 +135,7 @@
     if version.tree != next.accepted {
         next.violation = Some("an accepted configuration is in force and never reverts");
     }
-    // a lost answer: the change is accepted, and this daemon hears of it later
+    // the response is lost: the change is accepted, and this daemon learns of it later
     let lost = next.clone();
     apply(&mut next, daemon, version, variant);
     for other in 0..DAEMONS {
@@ -166,11 +167,13 @@
     }
 }
 
-/// The model's cases.
+/// The cases of this model.
 pub const CASES: &[Case] = &[
     case("as built", false, || run(Variant::Correct)),
-    case("what came last is applied", true, || run(Variant::LastWins)),
-    case("commit without comparing", true, || {
+    case("version received last is applied", true, || {
+        run(Variant::LastWins)
+    }),
+    case("commit without comparing versions", true, || {
         run(Variant::UncheckedCommit)
     }),
 ];
--- a/components/spec/tests/check.rs
+++ b/components/spec/tests/check.rs
@@ -1,4 +1,5 @@
-//! The protocol as built holds, and each seeded wrong variant is caught.
+//! The protocol as built violates no invariant, and every seeded faulty variant violates one. A
+//! faulty variant that passes means that its model can no longer detect the fault.
 
 use spec::cases;
 
--- a/components/standin/src/batch/cache.rs
+++ b/components/standin/src/batch/cache.rs
@@ -1,11 +1,11 @@
-//! A prefix cache that drops what was used longest ago.
+//! A prefix cache that evicts the least recently used blocks.
 
 use endpoint::engine::CacheEvent;
 
-/// How many events are kept for readers that come late; older ones are a gap to them.
+/// How many events are kept for readers that lag behind; older events are a gap for them.
 const MAX_EVENTS: usize = 4_096;
 
-/// Blocks held, and the events that tell of them.
+/// The cached blocks, and the events that report changes of them.
 #[derive(Clone, Debug)]
 pub struct Cache {
     capacity: usize,
@@ -17,7 +17,7 @@
 }
 
 impl Cache {
-    /// An empty cache of so many blocks.
+    /// An empty cache with a capacity in blocks.
     #[must_use]
     pub fn new(capacity: usize) -> Self {
         Self {
@@ -29,7 +29,7 @@
         }
     }
 
-    /// How many of the first blocks are held.
+    /// How many blocks at the start of `blocks` are cached, without a gap.
     #[must_use]
     pub fn cached_prefix_blocks(&self, blocks: &[u64]) -> usize {
         blocks
@@ -38,7 +38,7 @@
             .count()
     }
 
-    /// Holds these blocks.
+    /// Adds blocks, or marks them as used now.
     pub fn insert(&mut self, blocks: &[u64]) {
         self.clock += 1;
         for block in blocks {
@@ -55,13 +55,13 @@
         }
     }
 
-    /// The highest sequence number told.
+    /// The sequence number of the last event.
     #[must_use]
     pub fn sequence(&self) -> u64 {
         self.sequence
     }
 
-    /// The events after a sequence number, as far as they are kept.
+    /// The events after a sequence number that are still kept.
     #[must_use]
     pub fn events_after(&self, sequence: u64) -> &[CacheEvent] {
         let index = self
@@ -75,7 +75,7 @@
             .binary_search_by_key(&block, |(block, _)| *block)
     }
 
-    /// Drops an eighth at once, so that the sort pays.
+    /// Evicts an eighth of the capacity at once, to amortize the sort.
     fn evict(&mut self) {
         let keep = self.capacity - self.capacity / 8;
         let mut ages: Vec<u64> = self.blocks.iter().map(|(_, age)| *age).collect();
--- a/components/standin/src/batch/mod.rs
+++ b/components/standin/src/batch/mod.rs
@@ -1,36 +1,37 @@
-//! The timing of an engine: continuous batching with a limited prefix cache.
+//! A timing model of an engine: continuous batching with a bounded prefix cache.
 //!
-//! Pure: it says what a step does and how long it takes. The engine stand-in sleeps for that long,
-//! and the measurement of decisions adds it to a time of its own.
+//! It has no side effects: it computes what a step does and how long it takes. The engine stand-in
+//! sleeps for that long, and the simulation that measures placement decisions adds it to its
+//! simulated time.
 
 mod cache;
 
 pub use cache::Cache;
 use endpoint::engine::prefix::BLOCK_TOKENS;
 
-/// How fast an engine is. Times are in microseconds.
+/// The speed of an engine. Times are in microseconds unless stated otherwise.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Speed {
-    /// Cost of a step by itself.
+    /// Fixed cost of a step.
     pub step_us: u64,
-    /// Cost of each request that writes in a step.
+    /// Cost of each request that decodes in a step.
     pub decode_us: u64,
-    /// Cost of reading a thousand prompt tokens.
+    /// Cost of prefilling a thousand prompt tokens.
     pub prefill_us_per_thousand: u64,
-    /// Most prompt tokens read in a step while others write.
+    /// Maximum number of prompt tokens prefilled in a step while other requests decode.
     pub chunk_tokens: u64,
-    /// Most requests in a batch.
+    /// Maximum number of requests in a batch.
     pub max_running: usize,
-    /// Blocks that the prefix cache holds.
+    /// Capacity of the prefix cache in blocks.
     pub cache_blocks: usize,
-    /// Cost of fetching a thousand tokens of KV cache from another engine.
+    /// Cost of importing a thousand tokens of KV cache from another engine.
     pub import_us_per_thousand: u64,
-    /// Time away for a change of role or model, in milliseconds.
+    /// How long the engine is unavailable for a change of role or model, in milliseconds.
     pub change_ms: u64,
 }
 
 impl Default for Speed {
-    /// An engine of today's middle size.
+    /// A present-day engine of medium size.
     fn default() -> Self {
         Self {
             step_us: 8_000,
@@ -46,7 +47,7 @@
 }
 
 impl Speed {
-    /// An engine that is quick enough for tests.
+    /// An engine that is fast enough for tests.
     #[must_use]
     pub fn quick() -> Self {
         Self {
@@ -59,22 +60,22 @@
     }
 }
 
-/// What an engine is asked to do.
+/// A request to an engine.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Job {
-    /// Its number.
+    /// Identifier of the job.
     pub id: u64,
-    /// 9 goes first.
+    /// Priority; higher goes first, 9 is the highest.
     pub priority: u8,
-    /// Tokens of the prompt.
+    /// Number of tokens of the prompt.
     pub prompt_tokens: u64,
     /// Hashes of the prompt's blocks.
     pub blocks: Vec<u64>,
-    /// Tokens to write, up to this offset.
+    /// The offset at which the answer ends; the token at this offset is not decoded.
     pub end_offset: u64,
-    /// The first offset to write.
+    /// The offset of the first token to decode.
     pub start_offset: u64,
-    /// Whether the prompt's KV cache comes from another engine.
+    /// Whether the prompt's KV cache is imported from another engine.
     pub imported: bool,
 }
 
@@ -92,23 +93,23 @@
     }
 }
 
-/// A token written in a step.
+/// A token decoded in a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Token {
-    /// The job that it belongs to.
+    /// Identifier of its job.
     pub id: u64,
-    /// Its offset in the answer.
+    /// Offset in the answer.
     pub offset: u64,
-    /// Whether the job ends with it.
+    /// Whether it is the last token of the job.
     pub last: bool,
 }
 
-/// What a step did.
+/// The result of a step.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Step {
-    /// How long it takes.
+    /// Duration in microseconds.
     pub us: u64,
-    /// The tokens that are written at its end.
+    /// The tokens decoded, available at the end of the step.
     pub tokens: Vec<Token>,
 }
 
@@ -133,10 +134,10 @@
         }
     }
 
-    /// Adds a job and says how many tokens of its prompt the cache holds.
+    /// Adds a job to the queue and returns the number of cached tokens of its prompt.
     pub fn submit(&mut self, job: Job) -> u64 {
         let cached = self.cached_tokens(&job);
-        // behind those of the same priority
+        // behind queued jobs of the same priority
         let at = self
             .waiting
             .partition_point(|other| other.priority >= job.priority);
@@ -144,24 +145,25 @@
         cached
     }
 
-    /// Takes a job away; one that is not known has ended.
+    /// Removes a job; an unknown job has finished already.
     pub fn cancel(&mut self, id: u64) {
         self.waiting.retain(|job| job.id != id);
         self.running.retain(|running| running.job.id != id);
     }
 
-    /// Takes all jobs and the cache away, as a change of role or a crash does.
+    /// Removes all jobs and clears the cache, as a change of role or a crash does.
     pub fn clear(&mut self) {
         *self = Self::new(self.speed);
     }
 
-    /// Requests running or waiting.
+    /// Number of requests, running or queued.
     #[must_use]
     pub fn requests(&self) -> usize {
         self.waiting.len() + self.running.len()
     }
 
-    /// Prompt tokens still to read.
+    /// Number of prompt tokens not prefilled yet. Those of queued jobs count in full, cached or
+    /// not.
     #[must_use]
     pub fn waiting_prompt_tokens(&self) -> u64 {
         let waiting: u64 = self.waiting.iter().map(|job| job.prompt_tokens).sum();
@@ -173,7 +175,7 @@
         waiting + running
     }
 
-    /// Requests writing tokens.
+    /// Number of requests that are decoding.
     #[must_use]
     pub fn decoding(&self) -> usize {
         self.running
@@ -188,7 +190,7 @@
         &self.cache
     }
 
-    /// Does one step; none when there is nothing to do.
+    /// Executes one step; `None` if there is nothing to do.
     pub fn step(&mut self) -> Option<Step> {
         self.admit();
         if self.running.is_empty() {
@@ -201,7 +203,7 @@
             .map(|running| running.import_left_us)
             .max();
         if decoding == 0 && self.running.iter().all(|running| running.prefill_left == 0) {
-            // nothing but fetches: the step lasts until the first of them is through
+            // all requests import their KV cache: the step lasts until the first import is complete
             let shortest = self
                 .running
                 .iter()
@@ -229,7 +231,7 @@
 
     fn cached_tokens(&self, job: &Job) -> u64 {
         let blocks = u64::try_from(self.cache.cached_prefix_blocks(&job.blocks)).unwrap_or(0);
-        // the last token is always read, to have something to write from
+        // the last token of a prompt is always prefilled: decoding starts from its output
         (blocks * BLOCK_TOKENS as u64).min(job.prompt_tokens.saturating_sub(1))
     }
 
@@ -257,7 +259,7 @@
         }
     }
 
-    /// Reads prompts, the highest priority first, and says how many tokens.
+    /// Prefills prompts, the highest priority first, and returns the number of tokens prefilled.
     fn prefill(&mut self, others_decode: bool) -> u64 {
         let limit = if others_decode {
             self.speed.chunk_tokens
@@ -300,5 +302,5 @@
 }
 
 const THOUSAND: u64 = 1_000;
-/// How many chunks a step reads when nobody waits for a token meanwhile.
+/// How many chunks a step prefills when no request is decoding.
 const PREFILL_ONLY_CHUNKS: u64 = 4;
--- a/components/standin/src/contract/mod.rs
+++ b/components/standin/src/contract/mod.rs
@@ -1,4 +1,4 @@
-//! What every adapter to a table service must do, as cases that its tests run.
+//! The contract of adapters to a table service, as test cases that the tests of each adapter call.
 
 use std::{future::Future, time::Duration};
 
@@ -6,21 +6,21 @@
 
 use crate::platform::Fault;
 
-/// An adapter and the stand-in that it speaks to.
+/// An adapter and the stand-in of its table service.
 pub trait Harness: Send + Sync + Sized {
-    /// A fresh harness.
+    /// Starts a new stand-in and an adapter to it.
     fn start() -> impl Future<Output = Self> + Send;
 
-    /// The adapter.
+    /// The adapter under test.
     fn table(&self) -> &dyn Table;
 
-    /// How long the adapter waits for an answer.
+    /// The adapter's response timeout.
     fn timeout(&self) -> Duration;
 
-    /// Changes how the stand-in fails.
+    /// Sets the fault of the stand-in.
     fn set_fault(&self, fault: Fault);
 
-    /// The value of a row, past the faults.
+    /// The value of a row, read without the injected fault.
     fn stored(&self, key: &str) -> Option<String>;
 }
 
@@ -31,11 +31,11 @@
     }
 }
 
-/// A transaction is whole and compares versions.
+/// A transaction is atomic and compares versions.
 ///
 /// # Panics
 ///
-/// When the pair does otherwise.
+/// When the adapter violates this.
 pub async fn transaction_is_atomic<H: Harness>() {
     let harness = H::start().await;
     let table = harness.table();
@@ -46,7 +46,7 @@
         panic!("an absent row has version 0");
     };
     let Ok(Outcome::Conflict(rows)) = table.commit(first).await else {
-        panic!("the row is there now");
+        panic!("the row exists by now");
     };
     assert_eq!((rows[0].version, rows[0].value.as_str()), (version, "1"));
     let both = Transaction::default()
@@ -65,11 +65,11 @@
     assert_eq!(table.read(one("a")).await, Ok(Vec::new()));
 }
 
-/// A prefix reads its rows, sorted, and no others.
+/// A read by prefix returns the rows with this prefix, sorted, and no others.
 ///
 /// # Panics
 ///
-/// When the pair does otherwise.
+/// When the adapter violates this.
 pub async fn prefix_reads_its_rows<H: Harness>() {
     let harness = H::start().await;
     let table = harness.table();
@@ -88,13 +88,13 @@
     assert_eq!(keys, ["p/a", "p/b", "q"]);
 }
 
-/// Each failure says truly whether the write may have taken effect.
+/// Each error reports correctly whether the write may have taken effect.
 ///
 /// # Panics
 ///
-/// When the pair does otherwise.
+/// When the adapter violates this.
 pub async fn failures_report_whether_the_write_may_have_applied<H: Harness>() {
-    // what the adapter says, whether the write is there afterwards
+    // fault, error that the adapter returns, whether the write has taken effect afterwards
     let cases = |timeout: Duration| {
         [
             (Fault::Unavailable, Error::NotApplied, false),
@@ -110,7 +110,7 @@
         harness.set_fault(fault);
         let write = Transaction::default().write("k", "v".to_owned());
         assert_eq!(harness.table().commit(write).await, Err(error), "{fault:?}");
-        // a slow one takes effect after its time-out
+        // a slow write takes effect after the adapter has timed out
         for _ in 0..100 {
             if !applied || harness.stored("k").is_some() {
                 break;
--- a/components/standin/src/engine/mod.rs
+++ b/components/standin/src/engine/mod.rs
@@ -1,7 +1,7 @@
 //! A stand-in of a language-model engine.
 //!
-//! Its answers can be checked: each token names the prompt it answers and its own offset, see
-//! [`expected_text`].
+//! Its answers can be checked: the text of each token identifies the prompt and contains the
+//! token's offset, see [`expected_text`].
 
 mod state;
 
@@ -26,7 +26,8 @@
     server::{self, Body, Server},
 };
 
-/// The text that an engine writes for a prompt, from one offset up to another.
+/// The text that an engine generates for a prompt, from offset `from` up to but not including
+/// `until`.
 #[must_use]
 pub fn expected_text(prompt: &str, from: u64, until: u64) -> String {
     (from..until).map(|at| token_text(prompt, at)).collect()
@@ -39,18 +40,18 @@
     format!("{sum:04x}.{offset} ")
 }
 
-/// How an engine is set up.
+/// Configuration of an engine.
 #[derive(Clone, Debug, Default)]
 pub struct Setup {
-    /// How fast it is.
+    /// Speed of the engine.
     pub speed: Speed,
-    /// Whether it refuses orders with an old fencing number.
+    /// Whether it refuses orders with a stale fencing number.
     pub fences: bool,
-    /// What it holds at start.
+    /// Role, model, adapter and version that it holds at start.
     pub holds: Wanted,
 }
 
-/// A running engine; dropping it is a crash.
+/// A running engine. Dropping it acts as a crash.
 #[derive(Debug)]
 pub struct Engine {
     server: Server,
@@ -71,7 +72,7 @@
 }
 
 impl Engine {
-    /// Starts an engine on an address (port 0 takes any).
+    /// Starts an engine on an address; port 0 binds any free port.
     ///
     /// # Errors
     ///
@@ -95,24 +96,24 @@
         })
     }
 
-    /// Where it listens.
+    /// The address on which it listens.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Changes the ways in which it fails.
+    /// Sets the injected fault.
     pub fn set_fault(&self, fault: Fault) {
         self.shared.lock().fault = fault;
     }
 
-    /// What it has counted.
+    /// The counters.
     #[must_use]
     pub fn counts(&self) -> Counts {
         self.shared.lock().counts
     }
 
-    /// What it holds now.
+    /// Role, model, adapter and version that it holds now.
     #[must_use]
     pub fn holds(&self) -> Wanted {
         self.shared.lock().holds.clone()
--- a/components/standin/src/engine/state.rs
+++ b/components/standin/src/engine/state.rs
@@ -1,4 +1,4 @@
-//! The state of an engine stand-in, under one lock.
+//! The state of an engine stand-in, guarded by one lock.
 
 use std::time::Duration;
 
@@ -12,53 +12,53 @@
 
 type Sender = UnboundedSender<std::io::Result<Bytes>>;
 
-/// The ways in which an engine can be told to fail.
+/// Faults of an engine that can be injected.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Fault {
-    /// It doesn't.
+    /// No fault.
     #[default]
     None,
-    /// It refuses every request.
+    /// Refuses every request.
     Refuse,
-    /// It breaks a stream before the token at this offset.
+    /// Resets a stream before the token at this offset.
     ResetAt(u64),
-    /// It closes a stream in an orderly way before the token at this offset.
+    /// Closes a stream in an orderly way before the token at this offset.
     CloseAt(u64),
-    /// It leaves out the token at this offset.
+    /// Omits the token at this offset.
     SkipAt(u64),
-    /// It sends every frame twice.
+    /// Sends every frame twice.
     DuplicateFrames,
-    /// It sends, before each frame, one of another attempt.
+    /// Sends a frame of another attempt before each frame.
     ForeignFrames,
-    /// It sends bytes that are no frame.
+    /// Sends bytes that can't be decoded as a frame.
     MalformedFrames,
 }
 
-/// What an engine has counted.
+/// Counters of an engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Attempts taken.
+    /// Attempts accepted.
     pub attempts: u64,
-    /// Attempts cancelled before their end.
+    /// Attempts cancelled before they finished.
     pub cancelled: u64,
-    /// Changes carried out.
+    /// Changes of role or model started.
     pub changes: u64,
-    /// Orders refused for an old number.
+    /// Orders refused for a stale number.
     pub stale: u64,
-    /// Orders that struck while a different one was being carried out.
+    /// Orders that arrived while a different one was being carried out.
     pub conflicts: u64,
-    /// Streams cut by a change.
+    /// Streams interrupted by a change of role or model.
     pub interrupted: u64,
-    /// Tokens written.
+    /// Tokens decoded.
     pub tokens: u64,
 }
 
 pub(super) enum OrderStart {
-    /// The number is old.
+    /// The order's number is stale.
     Stale,
-    /// The wanted end holds already.
+    /// The engine already holds what is wanted.
     Reached,
-    /// Away for this long.
+    /// The engine is unavailable for this long.
     Changing(Duration),
 }
 
@@ -84,7 +84,7 @@
     boot: u64,
     highest_order: u64,
     changing: bool,
-    /// What the change under way leads to.
+    /// What the change in progress leads to.
     target: Wanted,
     pub(super) holds: Wanted,
     pub(super) fault: Fault,
@@ -180,7 +180,7 @@
         self.highest_order = self.highest_order.max(order.number);
         let duration = Duration::from_millis(self.setup.speed.change_ms);
         if self.changing && self.target == order.wanted {
-            // the same order again changes nothing; its answer comes when the end is reached
+            // a retry of the same order changes nothing; it is answered when the change is complete
             return OrderStart::Changing(duration);
         }
         if self.changing {
@@ -201,7 +201,7 @@
     }
 
     pub(super) fn finish_order(&mut self, order: &Order) {
-        // a different order that struck meanwhile has its own end
+        // if a different order arrived meanwhile, its own call completes the change
         if self.target == order.wanted {
             self.holds = order.wanted.clone();
             self.changing = false;
@@ -231,7 +231,8 @@
     }
 }
 
-/// Sends a token and says whether the stream goes on; a caller that hung up ends it.
+/// Sends a token and returns whether the stream stays open. A caller that closed the connection
+/// ends the stream.
 fn send_token(stream: &Stream, token: Token, fault: Fault) -> bool {
     let frame = build_frame(stream, token);
     let line = encode_line(&frame);
@@ -282,14 +283,14 @@
 }
 
 fn encode_line(frame: &Frame) -> Bytes {
-    // a frame of plain fields always has a JSON form
+    // can't fail: all fields of a frame have a JSON form
     let mut line = serde_json::to_vec(frame).unwrap_or_default();
     line.push(b'\n');
     line.into()
 }
 
 fn reset_stream(stream: &Stream) {
-    // a caller that hung up needs no sign
+    // fails only if the caller has closed the connection
     let _ = stream
         .sender
         .unbounded_send(Err(std::io::ErrorKind::ConnectionReset.into()));
--- a/components/standin/src/lib.rs
+++ b/components/standin/src/lib.rs
@@ -1,7 +1,7 @@
 //! Small stand-ins of an engine, a plain service and the platform.
 //!
-//! For tests, the demonstration and measurements only; the product does not depend on them. Each
-//! can be told to fail in the ways that the real one does.
+//! For tests, the demonstration and measurements only; the released programs do not depend on them.
+//! Faults that occur in the real systems can be injected into each.
 
 pub mod batch;
 pub mod contract;
--- a/components/standin/src/link/mod.rs
+++ b/components/standin/src/link/mod.rs
@@ -1,4 +1,5 @@
-//! A link that forwards bytes and fails on demand, to stand for the network between two processes.
+//! A TCP proxy that forwards bytes and fails on demand, in place of the network between two
+//! processes.
 
 use std::{
     net::SocketAddr,
@@ -19,34 +20,35 @@
     task::JoinHandle,
 };
 
-/// How a link does.
+/// The state of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum State {
-    /// It forwards at once.
+    /// Forwards without delay.
     #[default]
     Open,
-    /// It resets open connections and refuses new ones.
+    /// Closes open connections, and new ones at once.
     Cut,
-    /// It forwards everything so much later.
+    /// Forwards after this delay.
     Slow(Duration),
-    /// It takes connections and bytes and forwards nothing. What is held up comes when it heals.
+    /// Accepts connections and bytes and forwards nothing. The bytes held back are forwarded when
+    /// the link is restored.
     Silent,
-    /// It forwards requests, and holds answers up.
+    /// Forwards requests and holds back responses.
     NoAnswers,
 }
 
-/// What holds for the connections of a link.
+/// The conditions that apply to the connections of a link.
 #[derive(Clone, Copy, Debug, Default)]
 struct Condition {
     state: State,
-    /// Bytes a second that each way of each connection carries; none if there is no bound.
+    /// Bytes per second that each direction of each connection forwards; `None` for no limit.
     rate: Option<u32>,
-    /// How often all open connections went silent for good: those that were made before the last time
-    /// forward nothing any more.
+    /// How many times all open connections were stalled for good. Connections opened before the
+    /// last time forward nothing any more.
     stall_count: u64,
 }
 
-/// A running link; dropping it closes its port.
+/// A running link. Dropping it closes its port.
 #[derive(Debug)]
 pub struct Link {
     address: SocketAddr,
@@ -56,7 +58,7 @@
 }
 
 impl Link {
-    /// Forwards from a fresh loopback port to a target.
+    /// Forwards from a new loopback port to a target.
     ///
     /// # Errors
     ///
@@ -82,36 +84,37 @@
         })
     }
 
-    /// Where it listens.
+    /// The address on which it listens.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Bytes of answers that it has carried so far, on all connections.
+    /// Bytes of responses forwarded so far, on all connections.
     #[must_use]
     pub fn response_bytes(&self) -> u64 {
         self.response_bytes.load(Ordering::Relaxed)
     }
 
-    /// Cuts the link, or heals it.
+    /// Cuts the link, or restores it.
     pub fn cut(&self, cut: bool) {
         self.set(if cut { State::Cut } else { State::Open });
     }
 
-    /// Changes how it does.
+    /// Sets the state.
     pub fn set(&self, state: State) {
         self.condition
             .send_modify(|condition| condition.state = state);
     }
 
-    /// Has it carry so many bytes a second from now on, whatever else is done to it.
+    /// Limits each direction of each connection to this many bytes per second from now on, in every
+    /// state.
     pub fn limit_rate(&self, rate: u32) {
         self.condition
             .send_modify(|condition| condition.rate = Some(rate));
     }
 
-    /// Has all open connections go silent for good, without a reset; new ones work.
+    /// Stalls all open connections for good, without a reset; new connections work.
     pub fn stall_connections(&self) {
         self.condition
             .send_modify(|condition| condition.stall_count += 1);
@@ -137,7 +140,7 @@
     let Ok(server) = TcpStream::connect(target).await else {
         return;
     };
-    // sockets that are gone already need no option
+    // fails only if the connections are closed already
     let _ = (client.set_nodelay(true), server.set_nodelay(true));
     let (client_read, client_write) = client.into_split();
     let (server_read, server_write) = server.into_split();
@@ -157,27 +160,27 @@
     }
 }
 
-/// How long so many bytes take at a rate of bytes a second.
+/// How long a number of bytes takes at a rate in bytes per second.
 fn transfer_time(bytes: usize, rate: u32) -> Duration {
     let bytes = u32::try_from(bytes).unwrap_or(u32::MAX);
     Duration::from_secs(1) * bytes / rate.max(1)
 }
 
-/// One way of a connection.
+/// One direction of a connection.
 struct Direction {
     from: OwnedReadHalf,
     to: OwnedWriteHalf,
     condition: watch::Receiver<Condition>,
-    /// How often connections had gone silent when this one was made.
+    /// The stall count when this connection was opened.
     initial_stalls: u64,
-    /// Whether it carries answers.
+    /// Whether this direction carries responses.
     is_response: bool,
-    /// Bytes of answers so far.
+    /// Bytes of responses forwarded by the link so far.
     response_bytes: Arc<AtomicU64>,
 }
 
 impl Direction {
-    /// Carries bytes until either end is gone.
+    /// Forwards bytes until either side closes.
     async fn run(mut self) {
         let mut buffer = vec![0; 16 << 10];
         while let Ok(length @ 1..) = self.from.read(&mut buffer).await {
@@ -198,11 +201,11 @@
             }
         }
         self.wait_until_forwarding().await;
-        // the other side may be gone already
+        // the other side may be closed already
         let _ = self.to.shutdown().await;
     }
 
-    /// Waits until the link lets bytes through this way.
+    /// Waits until the link forwards bytes in this direction.
     async fn wait_until_forwarding(&mut self) {
         let (initial_stalls, is_response) = (self.initial_stalls, self.is_response);
         let is_held = |condition: &Condition| match condition.state {
@@ -211,7 +214,7 @@
             State::NoAnswers => is_response,
             State::Open | State::Cut | State::Slow(_) => false,
         };
-        // the link lives longer than its connections, or they end with it
+        // an error means that the link was dropped, and its connections end with it
         let _ = self
             .condition
             .wait_for(|condition| !is_held(condition))
--- a/components/standin/src/main.rs
+++ b/components/standin/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs one stand-in as a process of its own.
+//! Runs one stand-in as a separate process.
 
 use std::net::SocketAddr;
 
@@ -6,7 +6,7 @@
 use protocol::order::{Role, Wanted};
 use standin::{batch::Speed, engine, platform, service};
 
-/// Small stand-ins of what wrenramp meets, for trying it out.
+/// Small stand-ins of the systems around wrenramp, for trying it out.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version)]
 enum Command {
@@ -16,10 +16,10 @@
         /// Where to listen.
         #[bpaf(argument("ADDRESS"))]
         listen: SocketAddr,
-        /// Its role at start: prefill, decode or mixed.
+        /// Role at start: prefill, decode or mixed.
         #[bpaf(argument("ROLE"), fallback(Role::Mixed))]
         role: Role,
-        /// Refuse orders with an old fencing number.
+        /// Refuse orders with a stale fencing number.
         fences: bool,
     },
     /// A plain service.
@@ -29,7 +29,7 @@
         #[bpaf(argument("ADDRESS"))]
         listen: SocketAddr,
     },
-    /// The platform: table and VM list.
+    /// The platform: table service and VM list.
     #[bpaf(command)]
     Platform {
         /// Where to listen.
@@ -38,7 +38,7 @@
     },
 }
 
-/// Serves until it is killed.
+/// Serves until the process is killed.
 #[tokio::main]
 async fn main() -> std::io::Result<()> {
     match command().run() {
--- a/components/standin/src/platform/mod.rs
+++ b/components/standin/src/platform/mod.rs
@@ -1,4 +1,4 @@
-//! A stand-in of the platform: the transactional table and the VM list.
+//! A stand-in of the platform: the transactional table service and the VM list.
 
 mod store;
 
@@ -18,30 +18,30 @@
 use crate::server::{self, Body, Server};
 use store::Store;
 
-/// The ways in which the table can be told to fail.
+/// Faults of the table service that can be injected.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Fault {
-    /// It doesn't.
+    /// No fault.
     #[default]
     None,
-    /// It refuses reads and writes.
+    /// Reads and writes are refused.
     Unavailable,
-    /// Writes take effect and their answers are lost.
+    /// Writes take effect and their responses are lost.
     LostResponses,
-    /// Writes are lost before they take effect, and so are their answers.
+    /// Writes are lost before they take effect, without a response.
     LostWrites,
-    /// Everything takes this long, and takes effect at the end.
+    /// Each call takes this long and takes effect at the end.
     Slow(Duration),
-    /// It answers with what is not JSON.
+    /// Responses are not valid JSON.
     MalformedResponse,
 }
 
-/// What the table has counted.
+/// Counters of the table service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Reads asked for.
+    /// Read calls received.
     pub reads: u64,
-    /// Transactions asked for.
+    /// Transactions received.
     pub writes: u64,
 }
 
@@ -53,7 +53,7 @@
     counts: Counts,
 }
 
-/// A running platform; dropping it takes its state along.
+/// A running platform. Dropping it discards its state.
 #[derive(Debug)]
 pub struct Platform {
     server: Server,
@@ -65,7 +65,7 @@
 }
 
 impl Platform {
-    /// Starts a platform on an address (port 0 takes any).
+    /// Starts a platform on an address; port 0 binds any free port.
     ///
     /// # Errors
     ///
@@ -80,31 +80,31 @@
         Ok(Self { server, state })
     }
 
-    /// Where it listens.
+    /// The address on which it listens.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Changes the ways in which the table fails.
+    /// Sets the fault of the table service.
     pub fn set_fault(&self, fault: Fault) {
         lock(&self.state).fault = fault;
     }
 
-    /// What the table has counted.
+    /// The counters of the table service.
     #[must_use]
     pub fn counts(&self) -> Counts {
         lock(&self.state).counts
     }
 
-    /// Puts a VM on the list, or changes what the list says of it.
+    /// Adds a VM to the list, or replaces its entry.
     pub fn add_vm(&self, vm: Vm) {
         let mut state = lock(&self.state);
         state.vms.retain(|other| other.address != vm.address);
         state.vms.push(vm);
     }
 
-    /// Takes a VM off the list.
+    /// Removes a VM from the list.
     pub fn remove_vm(&self, address: SocketAddr) {
         lock(&self.state).vms.retain(|vm| vm.address != address);
     }
@@ -117,13 +117,13 @@
         }
     }
 
-    /// Commits a transaction as another client would, past the fault.
+    /// Commits a transaction directly, without the injected fault.
     #[must_use]
     pub fn commit(&self, transaction: &Transaction) -> cloud::table::Outcome {
         lock(&self.state).store.commit(transaction)
     }
 
-    /// Reads as another client would, past the fault.
+    /// Reads rows directly, without the injected fault.
     #[must_use]
     pub fn read(&self, read: &Read) -> Vec<cloud::table::Row> {
         lock(&self.state).store.read(read)
@@ -152,7 +152,7 @@
         "/table/commit" => {
             let transaction: Transaction = server::read_json(request).await?;
             let fault = record_call(&state, |counts| &mut counts.writes);
-            // a task of its own: a caller that gives up does not stop what has begun
+            // in a separate task: a client that times out does not cancel a commit in progress
             let commit = tokio::spawn(commit(state, transaction, fault));
             commit.await.map_err(std::io::Error::other)?
         }
--- a/components/standin/src/platform/store.rs
+++ b/components/standin/src/platform/store.rs
@@ -1,8 +1,8 @@
-//! The rows of the table stand-in.
+//! The rows of the table service.
 
 use cloud::table::{Outcome, Read, Row, Transaction};
 
-/// Rows sorted by key, and the count from which versions are taken.
+/// Rows sorted by key, and the version of the last commit.
 #[derive(Debug, Default)]
 pub(super) struct Store {
     rows: Vec<Row>,
--- a/components/standin/src/server/mod.rs
+++ b/components/standin/src/server/mod.rs
@@ -1,4 +1,4 @@
-//! A small HTTP server on a loopback port that can be stopped dead.
+//! A small HTTP server that can be stopped abruptly, as by a kill of its process.
 
 use std::{future::Future, net::SocketAddr, sync::Arc};
 
@@ -18,10 +18,10 @@
     task::{JoinHandle, JoinSet},
 };
 
-/// A body of an answer: whole or streamed. An error breaks the transfer.
+/// The body of a response, complete or streamed. An error aborts the transfer.
 pub type Body = BoxBody<Bytes, std::io::Error>;
 
-/// A running server; dropping it closes its port and cuts its connections, as a kill would.
+/// A running server. Dropping it closes its port and its connections, as a kill would.
 #[derive(Debug)]
 pub struct Server {
     address: SocketAddr,
@@ -29,7 +29,7 @@
 }
 
 impl Server {
-    /// Serves on an address (port 0 takes any) with one handler.
+    /// Serves on an address with one handler; port 0 binds any free port.
     ///
     /// # Errors
     ///
@@ -43,15 +43,15 @@
         let address = listener.local_addr()?;
         let handler = Arc::new(handler);
         let task = tokio::spawn(async move {
-            // the set cuts its connections when the task is aborted
+            // dropping the set when the task is aborted closes the connections
             let mut connections = JoinSet::new();
             while let Ok((stream, _)) = listener.accept().await {
-                // a socket that is gone already needs no option
+                // fails only if the connection is closed already
                 let _ = stream.set_nodelay(true);
                 let handler = Arc::clone(&handler);
                 connections.spawn(async move {
                     let service = service_fn(move |request| handler(request));
-                    // a broken connection is the peer's business
+                    // connection errors are ignored: the client handles them
                     let _ = http1::Builder::new()
                         .serve_connection(TokioIo::new(stream), service)
                         .await;
@@ -62,7 +62,7 @@
         Ok(Self { address, task })
     }
 
-    /// Where it listens.
+    /// The address on which it listens.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
@@ -75,11 +75,11 @@
     }
 }
 
-/// Reads a JSON body.
+/// Reads a JSON request body.
 ///
 /// # Errors
 ///
-/// When the body breaks off or is not what was expected.
+/// When the body can't be read to its end or does not parse as `T`.
 pub async fn read_json<T: DeserializeOwned>(request: Request<Incoming>) -> std::io::Result<T> {
     let bytes = request
         .into_body()
@@ -90,17 +90,17 @@
     serde_json::from_slice(&bytes).map_err(std::io::Error::other)
 }
 
-/// A whole JSON answer.
+/// A complete JSON response.
 ///
 /// # Errors
 ///
-/// When the value can't be written as JSON.
+/// When the value can't be serialized.
 pub fn json_response<T: Serialize>(value: &T) -> std::io::Result<Response<Body>> {
     let bytes = serde_json::to_vec(value).map_err(std::io::Error::other)?;
     Ok(full_response(StatusCode::OK, bytes.into()))
 }
 
-/// A whole answer.
+/// A response with a complete body.
 #[must_use]
 pub fn full_response(status: StatusCode, bytes: Bytes) -> Response<Body> {
     let body = Full::new(bytes).map_err(|never| match never {}).boxed();
@@ -109,7 +109,7 @@
     response
 }
 
-/// An answer whose body comes in parts; an error breaks it.
+/// A response whose body is sent chunk by chunk; an error aborts it.
 #[must_use]
 pub fn streaming_response(
     chunks: mpsc::UnboundedReceiver<std::io::Result<Bytes>>,
--- a/components/standin/src/service/mod.rs
+++ b/components/standin/src/service/mod.rs
@@ -1,4 +1,4 @@
-//! A stand-in of a plain service that remembers what it executed.
+//! A stand-in of a plain service that records the requests it executes.
 
 use std::{
     net::SocketAddr,
@@ -12,30 +12,30 @@
 
 use crate::server::{self, Body, Server};
 
-/// The ways in which a service can be told to fail.
+/// Faults of a service that can be injected.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Fault {
-    /// It doesn't.
+    /// No fault.
     #[default]
     None,
-    /// It refuses without running.
+    /// Refuses requests without executing them.
     Refuse,
-    /// It cuts the connection without running.
+    /// Resets the connection without executing the request.
     ResetBefore,
-    /// It runs and cuts the connection.
+    /// Executes the request and resets the connection.
     ResetAfter,
-    /// It runs after a delay.
+    /// Executes the request after a delay.
     Slow(Duration),
 }
 
 #[derive(Debug, Default)]
 struct State {
     fault: Fault,
-    /// Path and body of each request that executed, in order.
+    /// Path and body of each executed request, in order.
     executed: Vec<(String, Bytes)>,
 }
 
-/// A running service; dropping it is a crash.
+/// A running service. Dropping it acts as a crash.
 #[derive(Debug)]
 pub struct Service {
     server: Server,
@@ -47,7 +47,7 @@
 }
 
 impl Service {
-    /// Starts a service on an address (port 0 takes any).
+    /// Starts a service on an address; port 0 binds any free port.
     ///
     /// # Errors
     ///
@@ -62,18 +62,18 @@
         Ok(Self { server, state })
     }
 
-    /// Where it listens.
+    /// The address on which it listens.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Changes the ways in which it fails.
+    /// Sets the injected fault.
     pub fn set_fault(&self, fault: Fault) {
         lock(&self.state).fault = fault;
     }
 
-    /// How often a request with this body executed.
+    /// How many times a request with this body was executed.
     #[must_use]
     pub fn runs(&self, body: &str) -> usize {
         let state = lock(&self.state);
@@ -84,7 +84,7 @@
             .count()
     }
 
-    /// How many requests executed.
+    /// How many requests were executed.
     #[must_use]
     pub fn total_runs(&self) -> usize {
         lock(&self.state).executed.len()
