--- a/components/daemon/src/process/claims.rs
+++ b/components/daemon/src/process/claims.rs
@@ -13,50 +13,50 @@
 
 use super::{
     Process, lock,
-    store::{self, rows},
+    store::{self, by_keys},
 };
 
 /// Prefix of the rows.
 pub const PREFIX: &str = "claim/";
 /// The most claims in one transaction.
-const GROUP: usize = 64;
+const MAX_CLAIMS_PER_TRANSACTION: usize = 64;
 /// The most outcomes that wait for the table; beyond, the oldest are dropped, and their claims then
 /// read as "unknown", which is never false.
-const OUTCOMES: usize = 8_192;
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
-const LONGEST_PAUSE: Duration = Duration::from_secs(5);
+const MAX_PENDING_OUTCOMES: usize = 8_192;
+const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
+const MAX_BACKOFF: Duration = Duration::from_secs(5);
 
 /// A claim to be written over a row of this version.
 #[derive(Debug)]
-struct Job {
+struct PendingClaim {
     key: String,
     row: Row,
-    over: u64,
-    done: oneshot::Sender<(Write, u64)>,
+    expected_version: u64,
+    result: oneshot::Sender<(Write, u64)>,
 }
 
 /// What is to be written of a claim that this daemon made.
 #[derive(Clone, Debug)]
-struct Ending {
+struct PendingOutcome {
     key: String,
     row: Row,
     /// The row's version where it is known; after a lost answer it isn't.
-    over: Option<u64>,
+    version: Option<u64>,
 }
 
 /// The claims of a daemon.
 #[derive(Debug, Default)]
 pub struct Claims {
-    jobs: Mutex<Vec<Job>>,
-    wake: Notify,
+    queue: Mutex<Vec<PendingClaim>>,
+    queued: Notify,
     /// Claims of this daemon whose end the table does not show yet, sorted by key.
-    endings: Mutex<Vec<Ending>>,
-    wake_endings: Notify,
+    pending_outcomes: Mutex<Vec<PendingOutcome>>,
+    outcomes_added: Notify,
 }
 
 /// What was found when a key was looked up.
 #[derive(Debug)]
-pub struct Found {
+pub struct Lookup {
     /// The row, if there is one.
     pub row: Option<Row>,
     /// Its version, 0 when there is none.
@@ -65,12 +65,12 @@
 
 impl Claims {
     /// Looks a key up; what this daemon knows itself goes before what the table shows.
-    pub async fn find(&self, process: &Process, key: &str) -> Result<Found, table::Error> {
-        let read = process.store.read(rows(&[key])).await;
-        let own = lock(&self.endings)
+    pub async fn look_up(&self, process: &Process, key: &str) -> Result<Lookup, table::Error> {
+        let read = process.store.read(by_keys(&[key])).await;
+        let own = lock(&self.pending_outcomes)
             .iter()
-            .find(|ending| ending.key == key)
-            .map(|ending| ending.row.clone());
+            .find(|outcome| outcome.key == key)
+            .map(|outcome| outcome.row.clone());
         if let Some(row) = own {
             // its end is on its way to the table; claimed again it can be only after that
             let row = match row.stage {
@@ -80,164 +80,168 @@
                 },
                 _ => row,
             };
-            return Ok(Found {
+            return Ok(Lookup {
                 row: Some(row),
                 version: 0,
             });
         }
         let rows = read?;
         let found = store::find(&rows, key);
-        Ok(Found {
-            row: store::value(found),
-            version: store::version(found),
+        Ok(Lookup {
+            row: store::parse(found),
+            version: store::version_of(found),
         })
     }
 
     /// Writes a claim; the row's version comes with what is known of the write.
-    pub async fn write(&self, key: String, row: Row, over: u64) -> (Write, u64) {
-        let (done, written) = oneshot::channel();
-        lock(&self.jobs).push(Job {
+    pub async fn write(&self, key: String, row: Row, expected_version: u64) -> (Write, u64) {
+        let (result, written) = oneshot::channel();
+        lock(&self.queue).push(PendingClaim {
             key,
             row,
-            over,
-            done,
+            expected_version,
+            result,
         });
-        self.wake.notify_one();
+        self.queued.notify_one();
         written.await.unwrap_or((Write::Unclear, 0))
     }
 
     /// Notes how a claim of this daemon ended; the table is told as soon as it can be.
-    pub fn end(&self, key: String, row: Row, over: Option<u64>) {
-        let mut endings = lock(&self.endings);
-        if endings.len() == OUTCOMES {
-            endings.remove(0);
+    pub fn record_outcome(&self, key: String, row: Row, version: Option<u64>) {
+        let mut pending = lock(&self.pending_outcomes);
+        if pending.len() == MAX_PENDING_OUTCOMES {
+            pending.remove(0);
         }
-        endings.push(Ending { key, row, over });
-        drop(endings);
-        self.wake_endings.notify_one();
+        pending.push(PendingOutcome { key, row, version });
+        drop(pending);
+        self.outcomes_added.notify_one();
     }
 }
 
 /// Writes claims and their ends as long as the process lives.
-pub async fn keep(process: Arc<Process>) {
+pub async fn run(process: Arc<Process>) {
     tokio::join!(
-        write_jobs(&process),
-        write_endings(&process),
+        write_claims(&process),
+        write_outcomes(&process),
         expire(&process)
     );
 }
 
-async fn write_jobs(process: &Process) {
+async fn write_claims(process: &Process) {
     loop {
-        let jobs: Vec<Job> = {
-            let mut waiting = lock(&process.claims.jobs);
-            let most = waiting.len().min(GROUP);
-            waiting.drain(..most).collect()
+        let claims: Vec<PendingClaim> = {
+            let mut pending = lock(&process.claims.queue);
+            let count = pending.len().min(MAX_CLAIMS_PER_TRANSACTION);
+            pending.drain(..count).collect()
         };
-        if jobs.is_empty() {
-            process.claims.wake.notified().await;
+        if claims.is_empty() {
+            process.claims.queued.notified().await;
         } else {
-            write_group(process, jobs).await;
+            write_claim_batch(process, claims).await;
         }
     }
 }
 
 /// Writes a group; whoever loses its key to another claim leaves the group, and the rest go again.
-async fn write_group(process: &Process, mut jobs: Vec<Job>) {
+async fn write_claim_batch(process: &Process, mut claims: Vec<PendingClaim>) {
     // one request of a group for a key; a second one has lost to the first
-    jobs.sort_by(|a, b| a.key.cmp(&b.key));
-    jobs.dedup_by(|later, first| later.key == first.key);
-    while !jobs.is_empty() {
-        let transaction = jobs.iter().fold(Transaction::default(), |all, job| {
-            all.check(&job.key, job.over)
-                .write(&job.key, store::text(&job.row))
+    claims.sort_by(|a, b| a.key.cmp(&b.key));
+    claims.dedup_by(|later, first| later.key == first.key);
+    while !claims.is_empty() {
+        let transaction = claims.iter().fold(Transaction::default(), |all, claim| {
+            all.check(&claim.key, claim.expected_version)
+                .write(&claim.key, store::to_json(&claim.row))
         });
         match process.store.commit(transaction).await {
             Ok(Outcome::Committed(version)) => {
-                return answer(jobs, |_| (Write::Written, version));
+                return send_results(claims, |_| (Write::Written, version));
             }
-            Ok(Outcome::Conflict(lost)) => {
-                let has_lost = |job: &Job| lost.iter().any(|row| row.key == job.key);
-                let (out, left) = jobs.into_iter().partition(has_lost);
-                answer(out, |_| (Write::Taken, 0));
-                jobs = left;
+            Ok(Outcome::Conflict(conflicts)) => {
+                let lost_race =
+                    |claim: &PendingClaim| conflicts.iter().any(|row| row.key == claim.key);
+                let (lost, remaining) = claims.into_iter().partition(lost_race);
+                send_results(lost, |_| (Write::Taken, 0));
+                claims = remaining;
             }
-            Err(table::Error::Refused) => return answer(jobs, |_| (Write::Refused, 0)),
-            Err(table::Error::Unclear) => return read_back(process, jobs).await,
+            Err(table::Error::Refused) => return send_results(claims, |_| (Write::Refused, 0)),
+            Err(table::Error::Unclear) => return read_results(process, claims).await,
         }
     }
 }
 
-fn answer(jobs: Vec<Job>, outcome: impl Fn(&Job) -> (Write, u64)) {
-    for job in jobs {
-        let outcome = outcome(&job);
+fn send_results(claims: Vec<PendingClaim>, outcome: impl Fn(&PendingClaim) -> (Write, u64)) {
+    for claim in claims {
+        let outcome = outcome(&claim);
         // a caller that hung up needs no answer; its claim is ended by the guard that made it
-        let _ = job.done.send(outcome);
+        let _ = claim.result.send(outcome);
     }
 }
 
 /// After a lost answer: a claim stands if the row shows its token.
-async fn read_back(process: &Process, jobs: Vec<Job>) {
+async fn read_results(process: &Process, claims: Vec<PendingClaim>) {
     let read = Read {
-        keys: jobs.iter().map(|job| job.key.clone()).collect(),
+        keys: claims.iter().map(|claim| claim.key.clone()).collect(),
         prefixes: Vec::new(),
     };
     let rows = process.store.read(read).await.unwrap_or_default();
-    answer(jobs, |job| {
-        let found = store::find(&rows, &job.key);
-        match store::value::<Row>(found) {
-            Some(row) if row.token == job.row.token => (Write::Written, store::version(found)),
+    send_results(claims, |claim| {
+        let found = store::find(&rows, &claim.key);
+        match store::parse::<Row>(found) {
+            Some(row) if row.token == claim.row.token => (Write::Written, store::version_of(found)),
             // absent now, it may come yet; another's row means that ours never will
-            Some(_) if store::version(found) != job.over => (Write::Taken, 0),
+            Some(_) if store::version_of(found) != claim.expected_version => (Write::Taken, 0),
             _ => (Write::Unclear, 0),
         }
     });
 }
 
-async fn write_endings(process: &Process) {
-    let mut pause = FIRST_PAUSE;
+async fn write_outcomes(process: &Process) {
+    let mut backoff = INITIAL_BACKOFF;
     loop {
-        let group: Vec<Ending> = lock(&process.claims.endings)
+        let batch: Vec<PendingOutcome> = lock(&process.claims.pending_outcomes)
             .iter()
-            .take(GROUP)
+            .take(MAX_CLAIMS_PER_TRANSACTION)
             .cloned()
             .collect();
-        if group.is_empty() {
-            process.claims.wake_endings.notified().await;
+        if batch.is_empty() {
+            process.claims.outcomes_added.notified().await;
             continue;
         }
-        if write_ends(process, &group).await {
-            pause = FIRST_PAUSE;
+        if write_outcome_batch(process, &batch).await {
+            backoff = INITIAL_BACKOFF;
         } else {
             let jitter = rand::random_range(0.5..1.5);
-            tokio::time::sleep(pause.mul_f64(jitter)).await;
-            pause = (pause * 2).min(LONGEST_PAUSE);
+            tokio::time::sleep(backoff.mul_f64(jitter)).await;
+            backoff = (backoff * 2).min(MAX_BACKOFF);
         }
     }
 }
 
 /// Writes how claims ended; says whether the table answered.
-async fn write_ends(process: &Process, group: &[Ending]) -> bool {
+async fn write_outcome_batch(process: &Process, batch: &[PendingOutcome]) -> bool {
     let read = Read {
-        keys: group.iter().map(|ending| ending.key.clone()).collect(),
+        keys: batch.iter().map(|outcome| outcome.key.clone()).collect(),
         prefixes: Vec::new(),
     };
     let Ok(rows) = process.store.read(read).await else {
         return false;
     };
     let mut transaction = Transaction::default();
-    for ending in group {
-        let found = store::find(&rows, &ending.key);
-        let now: Option<Row> = store::value(found);
+    for outcome in batch {
+        let found = store::find(&rows, &outcome.key);
+        let current: Option<Row> = store::parse(found);
         // a row that isn't this claim's is another's business. Where there is none, one is written,
         // so that a write still on its way fails its check
-        let ours = now.as_ref().is_none_or(|row| row.token == ending.row.token);
-        let over = store::version(found);
-        let old = now.is_some() && now.as_ref() == Some(&ending.row);
-        if ours && !old && ending.over.is_none_or(|known| known == over) {
+        let ours = current
+            .as_ref()
+            .is_none_or(|row| row.token == outcome.row.token);
+        let current_version = store::version_of(found);
+        let already_written = current.is_some() && current.as_ref() == Some(&outcome.row);
+        if ours && !already_written && outcome.version.is_none_or(|known| known == current_version)
+        {
             transaction = transaction
-                .check(&ending.key, over)
-                .write(&ending.key, store::text(&ending.row));
+                .check(&outcome.key, current_version)
+                .write(&outcome.key, store::to_json(&outcome.row));
         }
     }
     let written = transaction.writes.is_empty()
@@ -246,25 +250,25 @@
             Ok(Outcome::Committed(_))
         );
     if written {
-        lock(&process.claims.endings)
-            .retain(|ending| group.iter().all(|one| one.row.token != ending.row.token));
+        lock(&process.claims.pending_outcomes)
+            .retain(|outcome| batch.iter().all(|one| one.row.token != outcome.row.token));
     }
     written
 }
 
 /// Between two looks for claims that are past their retention.
-const EXPIRY_PAUSE: Duration = Duration::from_secs(600);
+const EXPIRY_INTERVAL: Duration = Duration::from_secs(600);
 
 /// Takes away claims past their service's retention. Wall clocks may differ by seconds; retention is
 /// counted in hours.
 async fn expire(process: &Process) {
     loop {
         let jitter = rand::random_range(0.5..1.5);
-        tokio::time::sleep(EXPIRY_PAUSE.mul_f64(jitter)).await;
+        tokio::time::sleep(EXPIRY_INTERVAL.mul_f64(jitter)).await;
         let Some(current) = process.current.get() else {
             continue;
         };
-        if super::sync::is_poller(process) {
+        if super::settings_sync::is_poller(process) {
             for service in &current.typed.services {
                 expire_service(process, &service.name, service.retention).await;
             }
@@ -274,20 +278,20 @@
 
 async fn expire_service(process: &Process, service: &str, retention: Duration) {
     let prefix = format!("{PREFIX}{service}/");
-    let Ok(rows) = process.store.read(store::under(&prefix)).await else {
+    let Ok(rows) = process.store.read(store::by_prefix(&prefix)).await else {
         return;
     };
     let retention = u64::try_from(retention.as_millis()).unwrap_or(u64::MAX);
     let now = telemetry::logs::wall_ms();
-    let old: Vec<&table::Row> = rows
+    let expired: Vec<&table::Row> = rows
         .iter()
         .filter(|row| {
-            let claim: Option<Row> = store::value(Some(row));
+            let claim: Option<Row> = store::parse(Some(row));
             claim.is_some_and(|claim| claim.at_ms.saturating_add(retention) < now)
         })
         .collect();
-    for group in old.chunks(GROUP) {
-        let transaction = group.iter().fold(Transaction::default(), |all, row| {
+    for batch in expired.chunks(MAX_CLAIMS_PER_TRANSACTION) {
+        let transaction = batch.iter().fold(Transaction::default(), |all, row| {
             all.check(&row.key, row.version).remove(&row.key)
         });
         // one that changed meanwhile keeps its group for the next look
@@ -296,61 +300,63 @@
 }
 
 /// A claim that stands; when it is dropped without an end, its request may have run.
-pub struct Claim {
+pub struct ClaimGuard {
     process: Arc<Process>,
     key: String,
     row: Row,
-    over: Option<u64>,
-    ended: bool,
+    version: Option<u64>,
+    finished: bool,
 }
 
-impl Claim {
+impl ClaimGuard {
     /// Guards a claim that was written, or may have been.
-    pub fn new(process: Arc<Process>, key: String, row: Row, over: Option<u64>) -> Self {
+    pub fn new(process: Arc<Process>, key: String, row: Row, version: Option<u64>) -> Self {
         Self {
             process,
             key,
             row,
-            over,
-            ended: false,
+            version,
+            finished: false,
         }
     }
 
     /// The request ran and this was its answer.
-    pub fn done(self, recorded: Option<Recorded>) {
+    pub fn executed(self, recorded: Option<Recorded>) {
         self.finish(Stage::Done(recorded));
     }
 
     /// The request certainly did not run, and this daemon won't run it.
-    pub fn not_run(self) {
+    pub fn not_executed(self) {
         self.finish(Stage::NotRun);
     }
 
     fn finish(mut self, stage: Stage) {
-        self.end(stage);
+        self.set_outcome(stage);
     }
 
-    fn end(&mut self, stage: Stage) {
-        self.ended = true;
+    fn set_outcome(&mut self, stage: Stage) {
+        self.finished = true;
         let row = Row {
             stage,
             ..self.row.clone()
         };
-        self.process.claims.end(self.key.clone(), row, self.over);
+        self.process
+            .claims
+            .record_outcome(self.key.clone(), row, self.version);
     }
 }
 
-impl Drop for Claim {
+impl Drop for ClaimGuard {
     fn drop(&mut self) {
-        if !self.ended {
-            self.end(Stage::Unknown);
+        if !self.finished {
+            self.set_outcome(Stage::Unknown);
         }
     }
 }
 
 /// What to do with a request by its key.
-pub fn decide(process: &Process, found: &Found, digest: u64) -> claim::Decision {
+pub fn decide(process: &Process, found: &Lookup, digest: u64) -> claim::Decision {
     claim::decide(found.row.as_ref(), digest, |other| {
-        process.members.lives(other)
+        process.members.is_incarnation_reachable(other)
     })
 }
--- a/components/daemon/src/process/gates.rs
+++ b/components/daemon/src/process/gates.rs
@@ -46,8 +46,8 @@
 
 impl Gates {
     /// Takes a hold; none when the endpoint is closed.
-    pub fn hold(&self, id: &Id) -> Option<Hold> {
-        self.with(id, Gate::hold).then(|| Hold {
+    pub fn try_acquire(&self, id: &Id) -> Option<RequestGuard> {
+        self.with_gate(id, Gate::hold).then(|| RequestGuard {
             gates: self.clone(),
             id: id.clone(),
         })
@@ -55,40 +55,40 @@
 
     /// Whether an endpoint is open here.
     pub fn is_open(&self, id: &Id) -> bool {
-        self.with(id, |gate| gate.closed_for().is_none())
+        self.with_gate(id, |gate| gate.closed_for().is_none())
     }
 
     /// Requests in flight to an endpoint.
     pub fn in_flight(&self, id: &Id) -> u32 {
-        self.with(id, |gate| gate.in_flight())
+        self.with_gate(id, |gate| gate.in_flight())
     }
 
     /// Closes an endpoint for an order; requests in flight go on.
     pub fn close(&self, id: &Id, number: u64) {
-        self.with(id, |gate| gate.close(number));
+        self.with_gate(id, |gate| gate.close(number));
     }
 
     /// Closes an endpoint and waits for its last hold. Says whether it is closed with none left.
-    pub async fn drain(&self, id: &Id, number: u64, wait: Duration) -> bool {
+    pub async fn drain(&self, id: &Id, number: u64, timeout: Duration) -> bool {
         self.close(id, number);
-        let empty = async {
+        let drained = async {
             loop {
                 let changed = self.0.changed.notified();
                 tokio::pin!(changed);
                 // registered before the look, so that no release falls between the two
                 changed.as_mut().enable();
-                if self.with(id, |gate| gate.is_closed(number)) {
+                if self.with_gate(id, |gate| gate.is_closed(number)) {
                     return;
                 }
                 changed.await;
             }
         };
-        tokio::time::timeout(wait, empty).await.is_ok()
+        tokio::time::timeout(timeout, drained).await.is_ok()
     }
 
     /// Opens an endpoint after an order's outcome is known.
     pub fn open(&self, id: &Id, number: u64) {
-        self.with(id, |gate| gate.open(number));
+        self.with_gate(id, |gate| gate.open(number));
         self.0.changed.notify_waiters();
     }
 
@@ -96,9 +96,10 @@
     pub fn closed(&self) -> Vec<(Id, u64)> {
         let mut closed: Vec<(Id, u64)> = Vec::new();
         for shard in &self.0.shards {
-            let rows = lock(shard);
+            let gates = lock(shard);
             closed.extend(
-                rows.iter()
+                gates
+                    .iter()
                     .filter_map(|(id, gate)| Some((id.clone(), gate.closed_for()?))),
             );
         }
@@ -106,16 +107,16 @@
         closed
     }
 
-    fn with<T>(&self, id: &Id, f: impl FnOnce(&mut Gate) -> T) -> T {
-        let mut rows = lock(&self.0.shards[id.number as usize % SHARDS]);
-        let at = match rows.binary_search_by(|(other, _)| other.cmp(id)) {
+    fn with_gate<T>(&self, id: &Id, f: impl FnOnce(&mut Gate) -> T) -> T {
+        let mut gates = lock(&self.0.shards[id.number as usize % SHARDS]);
+        let at = match gates.binary_search_by(|(other, _)| other.cmp(id)) {
             Ok(at) => at,
             Err(at) => {
-                rows.insert(at, (id.clone(), Gate::default()));
+                gates.insert(at, (id.clone(), Gate::default()));
                 at
             }
         };
-        f(&mut rows[at].1)
+        f(&mut gates[at].1)
     }
 }
 
@@ -125,14 +126,14 @@
 
 /// One request in flight to an endpoint.
 #[derive(Debug)]
-pub struct Hold {
+pub struct RequestGuard {
     gates: Gates,
     id: Id,
 }
 
-impl Drop for Hold {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
-        self.gates.with(&self.id, Gate::release);
+        self.gates.with_gate(&self.id, Gate::release);
         self.gates.0.changed.notify_waiters();
     }
 }
--- a/components/daemon/src/process/health.rs
+++ b/components/daemon/src/process/health.rs
@@ -9,13 +9,13 @@
 use super::{Process, pool::Entry, pool::Pool};
 
 /// Longest wait for one report.
-const REPORT_WAIT: Duration = Duration::from_millis(500);
+const REPORT_TIMEOUT: Duration = Duration::from_millis(500);
 /// How many reports are asked for at once.
-const REPORTS: usize = 32;
+const MAX_CONCURRENT_REPORTS: usize = 32;
 
 /// Reads the VM list as long as the process lives.
-pub async fn list(process: Arc<Process>) {
-    let pause: Duration = process.settings.control.vm_poll.into();
+pub async fn poll_vms(process: Arc<Process>) {
+    let interval: Duration = process.settings.control.vm_poll.into();
     loop {
         if let Ok(vms) = process.vms.read().await {
             for pool in process.all_pools() {
@@ -23,34 +23,34 @@
                     let leaving = vms.iter().any(|vm| {
                         vm.address == entry.endpoint.address && vm.state == State::Leaving
                     });
-                    pool.with(&entry.id, |entry| entry.leaving = leaving);
+                    pool.with_entry(&entry.id, |entry| entry.leaving = leaving);
                 }
             }
-            let entry = vms.into_iter().filter(|vm| vm.kind == VmKind::Entry);
-            process.members.list(entry.collect());
+            let entry_vms = vms.into_iter().filter(|vm| vm.kind == VmKind::Entry);
+            process.members.update_vms(entry_vms.collect());
         }
         let jitter = rand::random_range(0.8..1.2);
-        tokio::time::sleep(pause.mul_f64(jitter)).await;
+        tokio::time::sleep(interval.mul_f64(jitter)).await;
     }
 }
 
 /// Asks all engines for their reports as long as the process lives.
-pub async fn reports(process: Arc<Process>) {
+pub async fn poll_reports(process: Arc<Process>) {
     use futures::StreamExt;
 
-    let pause: Duration = process.settings.control.report_poll.into();
+    let interval: Duration = process.settings.control.report_poll.into();
     loop {
-        let asked = engines(&process)
+        let polls = engine_endpoints(&process)
             .into_iter()
-            .map(|(pool, entry)| ask(Arc::clone(&process), pool, entry));
-        futures::stream::iter(asked)
-            .for_each_concurrent(REPORTS, |ask| ask)
+            .map(|(pool, entry)| poll_report(Arc::clone(&process), pool, entry));
+        futures::stream::iter(polls)
+            .for_each_concurrent(MAX_CONCURRENT_REPORTS, |poll| poll)
             .await;
-        tokio::time::sleep(pause).await;
+        tokio::time::sleep(interval).await;
     }
 }
 
-fn engines(process: &Process) -> Vec<(Arc<Pool>, Entry)> {
+fn engine_endpoints(process: &Process) -> Vec<(Arc<Pool>, Entry)> {
     let Some(current) = process.current.get() else {
         return Vec::new();
     };
@@ -71,12 +71,12 @@
         .collect()
 }
 
-async fn ask(process: Arc<Process>, pool: Arc<Pool>, entry: Entry) {
+async fn poll_report(process: Arc<Process>, pool: Arc<Pool>, entry: Entry) {
     let address = entry.endpoint.address;
-    match process.engine.report(address, REPORT_WAIT).await {
+    match process.engine.report(address, REPORT_TIMEOUT).await {
         Ok(report) => {
-            let back = pool.with(&entry.id, |entry| entry.reported(report));
-            if back == Some(true) {
+            let recovered = pool.with_entry(&entry.id, |entry| entry.record_report(report));
+            if recovered == Some(true) {
                 process
                     .timeline
                     .note(Kind::EndpointUp, entry.id.to_string(), "");
@@ -84,13 +84,15 @@
             }
         }
         Err(_) => {
-            pool.with(&entry.id, Entry::failed);
+            pool.with_entry(&entry.id, Entry::quarantine);
         }
     }
-    let behind = pool.with(&entry.id, |entry| entry.cache_behind()).flatten();
-    if let Some(after) = behind
-        && let Ok(events) = process.engine.cache(address, after, REPORT_WAIT).await
+    let missing_after = pool
+        .with_entry(&entry.id, |entry| entry.missing_cache_events_after())
+        .flatten();
+    if let Some(after) = missing_after
+        && let Ok(events) = process.engine.cache(address, after, REPORT_TIMEOUT).await
     {
-        pool.with(&entry.id, |entry| entry.cache_events(&events));
+        pool.with_entry(&entry.id, |entry| entry.apply_cache_events(&events));
     }
 }
--- a/components/daemon/src/process/beat.rs
+++ b/components/daemon/src/process/heartbeat.rs
@@ -5,32 +5,36 @@
 use telemetry::timeline::{Kind, Time};
 use wire::{Heartbeat, Usage};
 
-use super::{Phase, Process, lock, sync};
+use super::{Phase, Process, lock, settings_sync};
 
 /// How many members a heartbeat names.
-const KNOWN: usize = 16;
-const WAIT: Duration = Duration::from_secs(1);
+const MAX_ADVERTISED_MEMBERS: usize = 16;
+const REPLY_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Beats as long as the process lives, and at once after a settings change.
-pub async fn keep(process: Arc<Process>) {
-    let pause: Duration = process.settings.control.heartbeat.into();
-    let mut live: Vec<SocketAddr> = Vec::new();
+pub async fn run(process: Arc<Process>) {
+    let interval: Duration = process.settings.control.heartbeat.into();
+    let mut reachable: Vec<SocketAddr> = Vec::new();
     for round in 0.. {
-        let beats = process
+        let heartbeats = process
             .members
-            .targets(process.addresses.peers, round)
+            .heartbeat_targets(process.addresses.peers, round)
             .into_iter()
             .map(|address| send(&process, address));
-        futures::future::join_all(beats).await;
-        let now = process.members.live();
+        futures::future::join_all(heartbeats).await;
+        let now = process.members.reachable();
         for pool in process.all_pools() {
-            pool.peers(&now);
+            pool.update_peer_loads(&now);
         }
-        note_changes(&process, &mut live, now.iter().map(|m| m.address).collect());
+        record_changes(
+            &process,
+            &mut reachable,
+            now.iter().map(|m| m.address).collect(),
+        );
         let jitter = rand::random_range(0.8..1.2);
         tokio::select! {
-            () = tokio::time::sleep(pause.mul_f64(jitter)) => {}
-            () = process.beat_now.notified() => {}
+            () = tokio::time::sleep(interval.mul_f64(jitter)) => {}
+            () = process.heartbeat_due.notified() => {}
         }
     }
 }
@@ -39,8 +43,8 @@
     let Some(mut client) = process.members.client(address) else {
         return;
     };
-    let beat = client.beat(compose(process));
-    if let Ok(Ok(reply)) = tokio::time::timeout(WAIT, beat).await {
+    let heartbeat = client.beat(compose(process));
+    if let Ok(Ok(reply)) = tokio::time::timeout(REPLY_TIMEOUT, heartbeat).await {
         receive(process, &reply.into_inner());
     }
 }
@@ -48,7 +52,11 @@
 /// What this daemon says of itself.
 pub fn compose(process: &Process) -> Heartbeat {
     let time = process.timeline.now();
-    let known = process.members.live().into_iter().take(KNOWN);
+    let known = process
+        .members
+        .reachable()
+        .into_iter()
+        .take(MAX_ADVERTISED_MEMBERS);
     Heartbeat {
         member: Some(process.member()),
         settings_version: process.current.number(),
@@ -79,34 +87,37 @@
 }
 
 /// Takes what a peer said, and fetches its settings when they are newer.
-pub fn receive(process: &Arc<Process>, beat: &Heartbeat) {
+pub fn receive(process: &Arc<Process>, heartbeat: &Heartbeat) {
     process.timeline.observe(Time {
-        physical_ms: beat.clock_ms,
-        logical: beat.clock_logical,
+        physical_ms: heartbeat.clock_ms,
+        logical: heartbeat.clock_logical,
     });
-    let usages = process.members.receive(beat);
+    let usages = process.members.receive_heartbeat(heartbeat);
     if !usages.is_empty() {
         for pool in process.all_pools() {
-            pool.charge(&usages);
+            pool.charge_peer_usage(&usages);
         }
     }
-    let newer = beat.settings_version > process.current.number();
-    let address = beat.member.as_ref().and_then(|m| m.address.parse().ok());
+    let newer = heartbeat.settings_version > process.current.number();
+    let address = heartbeat
+        .member
+        .as_ref()
+        .and_then(|m| m.address.parse().ok());
     if let (true, Some(address)) = (newer, address) {
         let process = Arc::clone(process);
         tokio::spawn(async move {
             // one at a time: every beat tells of the version, and a large tree takes longer than the time between two
-            let Ok(_fetching) = process.fetching.try_lock() else {
+            let Ok(_guard) = process.fetch_lock.try_lock() else {
                 return;
             };
-            if let Some(tree) = sync::fetch(&process, address).await {
-                sync::apply(&process, sync::from_wire(tree));
+            if let Some(tree) = settings_sync::fetch_from_peer(&process, address).await {
+                settings_sync::apply(&process, settings_sync::from_wire(tree));
             }
         });
     }
 }
 
-fn note_changes(process: &Process, before: &mut Vec<SocketAddr>, mut now: Vec<SocketAddr>) {
+fn record_changes(process: &Process, before: &mut Vec<SocketAddr>, mut now: Vec<SocketAddr>) {
     now.sort_unstable();
     for address in &now {
         if before.binary_search(address).is_err() {
--- a/components/daemon/src/process/members.rs
+++ b/components/daemon/src/process/members.rs
@@ -22,11 +22,11 @@
     /// Its data centre.
     pub data_centre: String,
     /// When it was last heard; none when others only told of it.
-    pub heard: Option<Instant>,
+    pub last_heartbeat: Option<Instant>,
     /// When this daemon first knew it.
-    pub known: Instant,
+    pub known_since: Instant,
     /// The settings version it said is in force there.
-    pub version: u64,
+    pub settings_version: u64,
     /// Whether it said that it is stopping.
     pub leaving: bool,
     /// Its dispatches, by endpoint.
@@ -40,7 +40,7 @@
     /// Entry VMs of the last list that was read.
     vms: Vec<Vm>,
     /// Every address that was on the list at some time, sorted.
-    listed: Vec<SocketAddr>,
+    ever_listed: Vec<SocketAddr>,
     /// The highest usage counters heard, by member and group.
     usages: Vec<((Incarnation, String), u64)>,
     channels: Vec<(SocketAddr, Channel)>,
@@ -49,38 +49,43 @@
 /// The members that a daemon knows.
 #[derive(Debug)]
 pub struct Members {
-    me: Incarnation,
+    incarnation: Incarnation,
     seeds: Vec<SocketAddr>,
-    silent_after: Duration,
+    unreachable_after: Duration,
     state: Mutex<State>,
 }
 
 /// How many peers get a heartbeat in one round; with more members the rounds rotate.
 pub const FAN_OUT: usize = 8;
 /// How long an unheard member that no list names is kept.
-const FORGET: Duration = Duration::from_secs(600);
-const CONNECT: Duration = Duration::from_millis(500);
+const FORGET_AFTER: Duration = Duration::from_secs(600);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// A peer that owes an answer is asked for a sign of life so often, and given up when none comes for as long: silence
 /// ends a call, as how long an answer takes is up to its size and the link.
-const PROBE: Duration = Duration::from_secs(1);
+const KEEP_ALIVE: Duration = Duration::from_secs(1);
 
 impl Members {
     /// Knows only the seeds.
-    pub fn new(me: Incarnation, seeds: Vec<SocketAddr>, silent_after: Duration) -> Self {
+    pub fn new(
+        incarnation: Incarnation,
+        seeds: Vec<SocketAddr>,
+        unreachable_after: Duration,
+    ) -> Self {
         Self {
-            me,
+            incarnation,
             seeds,
-            silent_after,
+            unreachable_after,
             state: Mutex::default(),
         }
     }
 
     /// Takes a heartbeat that came, or the answer to one, and gives the usage that is new in it.
-    pub fn receive(&self, beat: &Heartbeat) -> Vec<Usage> {
-        let Some((incarnation, address, data_centre)) = parts(beat.member.as_ref()) else {
+    pub fn receive_heartbeat(&self, heartbeat: &Heartbeat) -> Vec<Usage> {
+        let Some((incarnation, address, data_centre)) = parse_member(heartbeat.member.as_ref())
+        else {
             return Vec::new();
         };
-        if incarnation == self.me {
+        if incarnation == self.incarnation {
             return Vec::new();
         }
         let mut state = self.lock();
@@ -93,33 +98,33 @@
             incarnation,
             address,
             data_centre,
-            heard: Some(now),
-            known: now,
-            version: beat.settings_version,
-            leaving: beat.leaving,
-            loads: beat.loads.clone(),
+            last_heartbeat: Some(now),
+            known_since: now,
+            settings_version: heartbeat.settings_version,
+            leaving: heartbeat.leaving,
+            loads: heartbeat.loads.clone(),
         };
         match find(&state.members, incarnation) {
             Ok(at) => state.members[at] = member,
             Err(at) => state.members.insert(at, member),
         }
-        for known in &beat.known {
-            self.learn_into(&mut state, known);
+        for known in &heartbeat.known {
+            self.add_to(&mut state, known);
         }
-        fresh_usage(&mut state, incarnation, &beat.usages)
+        take_new_usage(&mut state, incarnation, &heartbeat.usages)
     }
 
     /// Takes what another daemon said of a member.
-    pub fn learn(&self, member: &wire::Member) {
-        self.learn_into(&mut self.lock(), member);
+    pub fn add_advertised(&self, member: &wire::Member) {
+        self.add_to(&mut self.lock(), member);
     }
 
-    fn learn_into(&self, state: &mut State, member: &wire::Member) {
-        let Some((incarnation, address, data_centre)) = parts(Some(member)) else {
+    fn add_to(&self, state: &mut State, member: &wire::Member) {
+        let Some((incarnation, address, data_centre)) = parse_member(Some(member)) else {
             return;
         };
-        let taken = state.members.iter().any(|other| other.address == address);
-        if incarnation == self.me || taken {
+        let address_known = state.members.iter().any(|other| other.address == address);
+        if incarnation == self.incarnation || address_known {
             return;
         }
         if let Err(at) = find(&state.members, incarnation) {
@@ -127,9 +132,9 @@
                 incarnation,
                 address,
                 data_centre,
-                heard: None,
-                known: Instant::now(),
-                version: 0,
+                last_heartbeat: None,
+                known_since: Instant::now(),
+                settings_version: 0,
                 leaving: false,
                 loads: Vec::new(),
             };
@@ -138,20 +143,20 @@
     }
 
     /// Takes a VM list and forgets members that nobody names any more.
-    pub fn list(&self, vms: Vec<Vm>) {
+    pub fn update_vms(&self, vms: Vec<Vm>) {
         let mut state = self.lock();
         let listed = |address| vms.iter().any(|vm| vm.address == address);
         state.members.retain(|member| {
-            let last = member.heard.unwrap_or(member.known);
-            listed(member.address) || last.elapsed() < FORGET
+            let last_seen = member.last_heartbeat.unwrap_or(member.known_since);
+            listed(member.address) || last_seen.elapsed() < FORGET_AFTER
         });
         let State {
             members, usages, ..
         } = &mut *state;
         usages.retain(|((incarnation, _), _)| find(members, *incarnation).is_ok());
         for vm in &vms {
-            if let Err(at) = state.listed.binary_search(&vm.address) {
-                state.listed.insert(at, vm.address);
+            if let Err(at) = state.ever_listed.binary_search(&vm.address) {
+                state.ever_listed.insert(at, vm.address);
             }
         }
         state.vms = vms;
@@ -163,24 +168,24 @@
     }
 
     /// The members heard lately.
-    pub fn live(&self) -> Vec<Member> {
+    pub fn reachable(&self) -> Vec<Member> {
         let mut members = self.all();
-        members.retain(|member| self.is_live(member));
+        members.retain(|member| self.is_reachable(member));
         members
     }
 
     /// Whether a member was heard lately.
-    pub fn is_live(&self, member: &Member) -> bool {
+    pub fn is_reachable(&self, member: &Member) -> bool {
         member
-            .heard
-            .is_some_and(|heard| heard.elapsed() < self.silent_after)
+            .last_heartbeat
+            .is_some_and(|last_heartbeat| last_heartbeat.elapsed() < self.unreachable_after)
     }
 
     /// Whether an incarnation was heard lately.
-    pub fn lives(&self, incarnation: Incarnation) -> bool {
-        incarnation == self.me
+    pub fn is_incarnation_reachable(&self, incarnation: Incarnation) -> bool {
+        incarnation == self.incarnation
             || self
-                .live()
+                .reachable()
                 .iter()
                 .any(|member| member.incarnation == incarnation)
     }
@@ -193,12 +198,12 @@
         // a list that names nobody was never read
         !state.vms.is_empty()
             && state.vms.iter().all(|vm| vm.address != address)
-            && (state.listed.binary_search(&address).is_ok()
-                || known.is_some_and(|member| member.known.elapsed() > lag))
+            && (state.ever_listed.binary_search(&address).is_ok()
+                || known.is_some_and(|member| member.known_since.elapsed() > lag))
     }
 
     /// The addresses for a round of heartbeats: all when they are few, else a part that rotates.
-    pub fn targets(&self, own: SocketAddr, round: usize) -> Vec<SocketAddr> {
+    pub fn heartbeat_targets(&self, own: SocketAddr, round: usize) -> Vec<SocketAddr> {
         let mut targets = self.addresses(own);
         if targets.len() > FAN_OUT {
             let start = (round * FAN_OUT) % targets.len();
@@ -235,9 +240,9 @@
             Err(at) => {
                 let endpoint = Endpoint::from_shared(format!("http://{address}")).ok()?;
                 let channel = endpoint
-                    .connect_timeout(CONNECT)
-                    .http2_keep_alive_interval(PROBE)
-                    .keep_alive_timeout(PROBE)
+                    .connect_timeout(CONNECT_TIMEOUT)
+                    .http2_keep_alive_interval(KEEP_ALIVE)
+                    .keep_alive_timeout(KEEP_ALIVE)
                     .connect_lazy();
                 state.channels.insert(at, (address, channel));
                 at
@@ -256,7 +261,7 @@
     members.binary_search_by_key(&incarnation, |member| member.incarnation)
 }
 
-fn parts(member: Option<&wire::Member>) -> Option<(Incarnation, SocketAddr, String)> {
+fn parse_member(member: Option<&wire::Member>) -> Option<(Incarnation, SocketAddr, String)> {
     let member = member?;
     Some((
         Incarnation(member.incarnation),
@@ -266,13 +271,13 @@
 }
 
 /// Counters only go up, so the highest one heard holds, whatever the order of the messages.
-fn fresh_usage(state: &mut State, incarnation: Incarnation, usages: &[Usage]) -> Vec<Usage> {
-    let mut fresh = Vec::new();
+fn take_new_usage(state: &mut State, incarnation: Incarnation, usages: &[Usage]) -> Vec<Usage> {
+    let mut new = Vec::new();
     for usage in usages {
         let key = (incarnation, usage.group.clone());
         match state.usages.binary_search_by(|(other, _)| other.cmp(&key)) {
             Ok(at) if usage.work > state.usages[at].1 => {
-                fresh.push(Usage {
+                new.push(Usage {
                     group: usage.group.clone(),
                     work: usage.work - state.usages[at].1,
                 });
@@ -283,5 +288,5 @@
             Err(at) => state.usages.insert(at, (key, usage.work)),
         }
     }
-    fresh
+    new
 }
--- a/components/daemon/src/process/mod.rs
+++ b/components/daemon/src/process/mod.rs
@@ -6,16 +6,16 @@
 pub mod pool;
 pub mod store;
 
-mod beat;
 mod health;
+mod heartbeat;
 mod operators;
 mod orders;
 mod peers;
 mod registration;
+mod settings_sync;
+mod shutdown;
 mod status;
 mod steward;
-mod stop;
-mod sync;
 
 use std::{
     net::SocketAddr,
@@ -52,11 +52,11 @@
     /// Serving.
     Serving,
     /// Not ready any more, but the balancer still sends requests, and they are served.
-    Lag,
+    NotReady,
     /// New requests are turned away; those under way go on.
     Draining,
     /// Everything is over.
-    Ended,
+    Stopped,
 }
 
 /// Where a daemon listens.
@@ -75,7 +75,7 @@
     /// Its settings.
     pub settings: Settings,
     /// Its identity: random at start, never reused.
-    pub me: Incarnation,
+    pub incarnation: Incarnation,
     /// Where it listens.
     pub addresses: Addresses,
     /// Its events.
@@ -88,7 +88,7 @@
     /// The settings version in force.
     pub current: Current,
     /// Held while a peer's settings are fetched.
-    fetching: tokio::sync::Mutex<()>,
+    fetch_lock: tokio::sync::Mutex<()>,
     /// The daemons it knows.
     pub members: Members,
     /// The gates of all endpoints.
@@ -98,7 +98,7 @@
     /// Claims of idempotency keys.
     pub claims: Claims,
     /// The budget of retries.
-    pub budget: Mutex<Budget>,
+    pub retry_budget: Mutex<Budget>,
     /// The adapter to engines.
     pub engine: Engine,
     /// The adapter to plain services.
@@ -106,9 +106,9 @@
     /// How far a planned stop has come.
     pub phase: watch::Sender<Phase>,
     /// Requests under way; a planned stop waits until there are none.
-    pub under_way: watch::Sender<usize>,
+    pub in_flight: watch::Sender<usize>,
     /// Bytes of bodies held by requests under way.
-    pub held_bytes: Arc<std::sync::atomic::AtomicUsize>,
+    pub buffered_bytes: Arc<std::sync::atomic::AtomicUsize>,
     /// Open connections of callers; a planned stop waits until there are none.
     pub connections: watch::Sender<usize>,
     /// Work given to groups by this daemon, in microseconds, sorted by group.
@@ -119,7 +119,7 @@
     pub registration: watch::Sender<registration::State>,
     stewardships: Stewardships,
     /// Wakes the heartbeat at once, after a settings change.
-    pub(crate) beat_now: Notify,
+    pub(crate) heartbeat_due: Notify,
     started: std::time::Instant,
 }
 
@@ -137,7 +137,7 @@
     }
 
     /// Counts work given to a group.
-    pub fn used(&self, group: &str, work: u64) {
+    pub fn record_usage(&self, group: &str, work: u64) {
         let mut usage = lock(&self.usage);
         match usage.binary_search_by(|(name, _)| name.as_str().cmp(group)) {
             Ok(at) => usage[at].1 += work,
@@ -148,19 +148,19 @@
     /// This daemon as its peers know it.
     pub fn member(&self) -> wire::Member {
         wire::Member {
-            incarnation: self.me.0,
+            incarnation: self.incarnation.0,
             address: self.addresses.peers.to_string(),
             data_centre: self.settings.daemon.data_centre.clone(),
         }
     }
 
     /// Notes that an order's answer was lost.
-    fn lose_order(&self, id: &gates::Id, number: u64) {
+    fn record_lost_order(&self, id: &gates::Id, number: u64) {
         lock(&self.lost_orders).push((id.clone(), number));
     }
 
     /// Whether an order of this daemon may still strike.
-    fn is_lost(&self, id: &gates::Id, number: u64) -> bool {
+    fn is_lost_order(&self, id: &gates::Id, number: u64) -> bool {
         let lost = lock(&self.lost_orders);
         lost.iter().any(|(other, n)| other == id && *n == number)
     }
@@ -190,23 +190,23 @@
 
     /// Begins a planned stop.
     pub fn stop(&self) {
-        stop::begin(&self.process);
+        shutdown::begin(&self.process);
     }
 
     /// Waits for the end of a planned stop and says how many requests it had to cut.
     pub async fn ended(&mut self) -> usize {
         let mut phase = self.process.phase.subscribe();
         // the sender lives in the process, which this handle keeps
-        let _ = phase.wait_for(|phase| *phase == Phase::Ended).await;
-        let cut = *self.process.under_way.borrow();
+        let _ = phase.wait_for(|phase| *phase == Phase::Stopped).await;
+        let cut = *self.process.in_flight.borrow();
         self.tasks.abort_all();
         cut
     }
 
     /// Ends the daemon at once and says how many requests were cut.
     #[must_use]
-    pub fn end_hard(self) -> usize {
-        let cut = *self.process.under_way.borrow();
+    pub fn abort(self) -> usize {
+        let cut = *self.process.in_flight.borrow();
         self.process
             .metrics
             .cut
@@ -225,74 +225,78 @@
     let peers = bind(settings.daemon.peers).await?;
     let status = bind(settings.daemon.status).await?;
     let addresses = Addresses {
-        callers: address(&callers, settings.daemon.callers)?,
-        peers: address(&peers, settings.daemon.peers)?,
-        status: address(&status, settings.daemon.status)?,
+        callers: local_address(&callers, settings.daemon.callers)?,
+        peers: local_address(&peers, settings.daemon.peers)?,
+        status: local_address(&status, settings.daemon.status)?,
     };
     let process = Arc::new(assemble(settings, addresses)?);
     process.timeline.note(
         Kind::Started,
         "process",
-        format!("incarnation {}", process.me),
+        format!("incarnation {}", process.incarnation),
+    );
+    log::info!(
+        "started as {} on {:?}",
+        process.incarnation,
+        process.addresses
     );
-    log::info!("started as {} on {:?}", process.me, process.addresses);
     let mut tasks = JoinSet::new();
     tasks.spawn(peers::serve(Arc::clone(&process), peers));
     tasks.spawn(status::serve(Arc::clone(&process), status));
-    tasks.spawn(registration::keep(Arc::clone(&process)));
-    tasks.spawn(sync::keep(Arc::clone(&process)));
-    tasks.spawn(beat::keep(Arc::clone(&process)));
-    tasks.spawn(health::list(Arc::clone(&process)));
-    tasks.spawn(health::reports(Arc::clone(&process)));
-    tasks.spawn(orders::reopen(Arc::clone(&process)));
-    tasks.spawn(steward::keep(Arc::clone(&process)));
-    tasks.spawn(claims::keep(Arc::clone(&process)));
+    tasks.spawn(registration::run(Arc::clone(&process)));
+    tasks.spawn(settings_sync::run(Arc::clone(&process)));
+    tasks.spawn(heartbeat::run(Arc::clone(&process)));
+    tasks.spawn(health::poll_vms(Arc::clone(&process)));
+    tasks.spawn(health::poll_reports(Arc::clone(&process)));
+    tasks.spawn(orders::reopen_endpoints(Arc::clone(&process)));
+    tasks.spawn(steward::run(Arc::clone(&process)));
+    tasks.spawn(claims::run(Arc::clone(&process)));
     tasks.spawn(connection::accept(Arc::clone(&process), callers));
-    tasks.spawn(stop::carry_out(Arc::clone(&process)));
+    tasks.spawn(shutdown::run(Arc::clone(&process)));
     Ok(Running { process, tasks })
 }
 
 fn assemble(settings: Settings, addresses: Addresses) -> Result<Process, Error> {
     let metrics = Metrics::new().map_err(Error::Metrics)?;
     let timeline = Timeline::default();
-    let me = Incarnation(rand::random());
+    let incarnation = Incarnation(rand::random());
     let control = &settings.control;
     let timeout: Duration = control.table_timeout.into();
     let table = table::Http::new(settings.platform.table, timeout);
     let heartbeat: Duration = control.heartbeat.into();
     let seeds = settings.daemon.seeds.clone();
     Ok(Process {
-        me,
+        incarnation,
         addresses,
         store: Store::new(Box::new(table), timeline.clone(), metrics.clone()),
         vms: Box::new(vms::Http::new(settings.platform.vms, timeout)),
         timeline,
         metrics,
         current: Current::new(),
-        fetching: tokio::sync::Mutex::default(),
-        members: Members::new(me, seeds, heartbeat * SILENT_BEATS),
+        fetch_lock: tokio::sync::Mutex::default(),
+        members: Members::new(incarnation, seeds, heartbeat * MAX_MISSED_HEARTBEATS),
         gates: Gates::default(),
         pools: Mutex::default(),
         claims: Claims::default(),
-        budget: Mutex::new(Budget::default()),
+        retry_budget: Mutex::new(Budget::default()),
         engine: Engine::default(),
         service: Service::default(),
         phase: watch::Sender::new(Phase::Serving),
-        under_way: watch::Sender::new(0),
-        held_bytes: Arc::default(),
+        in_flight: watch::Sender::new(0),
+        buffered_bytes: Arc::default(),
         connections: watch::Sender::new(0),
         usage: Mutex::default(),
         lost_orders: Mutex::default(),
-        registration: watch::Sender::new(registration::State::Trying),
+        registration: watch::Sender::new(registration::State::Registering),
         stewardships: Stewardships::default(),
-        beat_now: Notify::new(),
+        heartbeat_due: Notify::new(),
         started: std::time::Instant::now(),
         settings,
     })
 }
 
 /// A member is silent after this many heartbeats have not come.
-const SILENT_BEATS: u32 = 4;
+const MAX_MISSED_HEARTBEATS: u32 = 4;
 
 async fn bind(address: SocketAddr) -> Result<TcpListener, Error> {
     TcpListener::bind(address)
@@ -300,9 +304,9 @@
         .map_err(|source| Error::Bind { address, source })
 }
 
-fn address(listener: &TcpListener, asked: SocketAddr) -> Result<SocketAddr, Error> {
+fn local_address(listener: &TcpListener, configured: SocketAddr) -> Result<SocketAddr, Error> {
     listener.local_addr().map_err(|source| Error::Bind {
-        address: asked,
+        address: configured,
         source,
     })
 }
--- a/components/daemon/src/process/operators.rs
+++ b/components/daemon/src/process/operators.rs
@@ -15,21 +15,21 @@
 
 use super::{
     Phase, Process, orders,
-    store::{self, rows},
-    sync::{self, HEAD, Head, NODES},
+    settings_sync::{self, HEAD_KEY, Head, NODE_PREFIX},
+    store::{self, by_keys},
 };
 
 /// The operators' service.
 pub struct Operators(pub Arc<Process>);
 
 /// How often a change without a base is tried against others.
-const RACES: u32 = 8;
+const MAX_COMMIT_ATTEMPTS: u32 = 8;
 /// The longest log that is given in one answer.
-const LOG_ROWS: u64 = 200;
-const PEER_WAIT: std::time::Duration = std::time::Duration::from_secs(2);
+const MAX_LOG_CHANGES: u64 = 200;
+const PEER_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(2);
 
 impl Operators {
-    fn admit(&self, token: &str) -> Result<(), Status> {
+    fn authenticate(&self, token: &str) -> Result<(), Status> {
         let digest = &self.0.settings.daemon.operator_token_sha256;
         if resolve::secret_matches(token, digest) {
             Ok(())
@@ -38,7 +38,7 @@
         }
     }
 
-    fn tree(&self) -> Result<Arc<crate::version::Snapshot>, Status> {
+    fn current_settings(&self) -> Result<Arc<crate::version::Snapshot>, Status> {
         self.0
             .current
             .get()
@@ -49,44 +49,47 @@
 #[tonic::async_trait]
 impl Operator for Operators {
     async fn read(&self, request: Request<ReadRequest>) -> Result<Response<wire::Tree>, Status> {
-        self.admit(&request.get_ref().token)?;
-        Ok(Response::new(sync::to_wire(&self.tree()?.tree)))
+        self.authenticate(&request.get_ref().token)?;
+        Ok(Response::new(settings_sync::to_wire(
+            &self.current_settings()?.tree,
+        )))
     }
 
     async fn commit(
         &self,
         request: Request<CommitRequest>,
     ) -> Result<Response<CommitReply>, Status> {
-        self.admit(&request.get_ref().token)?;
+        self.authenticate(&request.get_ref().token)?;
         let request = request.into_inner();
         let edits: Vec<Edit> = request.edits.iter().map(from_wire).collect();
-        if !sync::from_table(&self.0).await {
+        if !settings_sync::update_from_table(&self.0).await {
             return Err(Status::unavailable(
                 "the table service does not answer; nothing was changed, try again later",
             ));
         }
-        for _ in 0..RACES {
-            let current = self.tree()?;
+        for _ in 0..MAX_COMMIT_ATTEMPTS {
+            let current = self.current_settings()?;
             if request.base != 0 && request.base != current.tree.version {
                 return Ok(Response::new(conflict(&self.0, request.base + 1).await));
             }
             match current.tree.apply(&edits) {
-                Err(problems) => return Ok(Response::new(refused(&problems))),
+                Err(problems) => return Ok(Response::new(rejected(&problems))),
                 Ok(_) if request.dry_run => return Ok(Response::new(CommitReply::default())),
                 Ok(next) => {
-                    if let Some(reply) = commit(&self.0, next, &edits, &request.operator).await {
+                    if let Some(reply) = try_commit(&self.0, next, &edits, &request.operator).await
+                    {
                         return Ok(Response::new(reply));
                     }
                 }
             }
-            sync::from_table(&self.0).await;
+            settings_sync::update_from_table(&self.0).await;
         }
         let newest = self.0.current.number();
         Ok(Response::new(conflict(&self.0, newest).await))
     }
 
     async fn log(&self, request: Request<LogRequest>) -> Result<Response<LogReply>, Status> {
-        self.admit(&request.get_ref().token)?;
+        self.authenticate(&request.get_ref().token)?;
         let request = request.into_inner();
         let newest = self.0.current.number();
         let to = if request.to == 0 {
@@ -94,9 +97,12 @@
         } else {
             request.to.min(newest)
         };
-        let from = request.from.max((to + 1).saturating_sub(LOG_ROWS)).max(1);
+        let from = request
+            .from
+            .max((to + 1).saturating_sub(MAX_LOG_CHANGES))
+            .max(1);
         let read = Read {
-            keys: (from..=to).map(sync::log_key).collect(),
+            keys: (from..=to).map(settings_sync::log_key).collect(),
             prefixes: Vec::new(),
         };
         let rows = self
@@ -107,8 +113,8 @@
             .map_err(|error| Status::unavailable(error.to_string()))?;
         let changes = rows
             .iter()
-            .filter_map(|row| store::value::<Change>(Some(row)))
-            .map(|change| conflict_of(&change));
+            .filter_map(|row| store::parse::<Change>(Some(row)))
+            .map(|change| to_conflict(&change));
         Ok(Response::new(LogReply {
             changes: changes.collect(),
         }))
@@ -118,18 +124,18 @@
         &self,
         request: Request<StatusRequest>,
     ) -> Result<Response<StatusReply>, Status> {
-        self.admit(&request.get_ref().token)?;
+        self.authenticate(&request.get_ref().token)?;
         Ok(Response::new(status(&self.0)))
     }
 
     async fn order(&self, request: Request<OrderRequest>) -> Result<Response<OrderReply>, Status> {
-        self.admit(&request.get_ref().token)?;
+        self.authenticate(&request.get_ref().token)?;
         let request = request.into_inner();
         let role: Role = request
             .role
             .parse()
             .map_err(|error| Status::invalid_argument(format!("{}: {error}", request.role)))?;
-        let current = self.tree()?;
+        let current = self.current_settings()?;
         if current
             .typed
             .endpoint(&request.data_centre, request.endpoint)
@@ -145,11 +151,11 @@
         };
         let key = format!(
             "{}{}/{}",
-            orders::REQUESTS,
+            orders::REQUEST_PREFIX,
             request.data_centre,
             request.endpoint
         );
-        let transaction = Transaction::default().write(&key, store::text(&wanted));
+        let transaction = Transaction::default().write(&key, store::to_json(&wanted));
         match self.0.store.commit(transaction).await {
             Ok(_) => Ok(Response::new(OrderReply {
                 accepted: true,
@@ -163,14 +169,14 @@
         &self,
         request: Request<TimelineRequest>,
     ) -> Result<Response<TimelineReply>, Status> {
-        self.admit(&request.get_ref().token)?;
+        self.authenticate(&request.get_ref().token)?;
         let request = request.into_inner();
         Ok(Response::new(timeline(&self.0, request).await))
     }
 }
 
 /// Commits a checked tree; none when another change was first.
-async fn commit(
+async fn try_commit(
     process: &Arc<Process>,
     next: Tree,
     edits: &[Edit],
@@ -183,21 +189,21 @@
         edits: edits.to_vec(),
         token: rand::random(),
     };
-    let Ok(head_rows) = process.store.read(rows(&[HEAD])).await else {
+    let Ok(head_rows) = process.store.read(by_keys(&[HEAD_KEY])).await else {
         return Some(unavailable());
     };
-    let head_row = store::find(&head_rows, HEAD);
-    let head: Head = store::value(head_row).unwrap_or_default();
+    let head_row = store::find(&head_rows, HEAD_KEY);
+    let head: Head = store::parse(head_row).unwrap_or_default();
     if head.version + 1 != version {
         return None;
     }
-    let log_key = sync::log_key(version);
-    let log_text = store::text(&change);
+    let log_key = settings_sync::log_key(version);
+    let log_text = store::to_json(&change);
     let mut transaction = Transaction::default()
-        .check(HEAD, store::version(head_row))
+        .check(HEAD_KEY, store::version_of(head_row))
         .write(
-            HEAD,
-            store::text(&Head {
+            HEAD_KEY,
+            store::to_json(&Head {
                 version,
                 token: change.token,
             }),
@@ -207,15 +213,15 @@
     paths.sort_unstable();
     paths.dedup();
     for path in paths {
-        let key = format!("{NODES}{path}");
+        let key = format!("{NODE_PREFIX}{path}");
         transaction = match next.node(path) {
-            Some(node) => transaction.write(&key, store::text(node)),
+            Some(node) => transaction.write(&key, store::to_json(node)),
             None => transaction.remove(&key),
         };
     }
     let outcome = process
         .store
-        .commit_sure(transaction, &log_key, &log_text)
+        .commit_confirmed(transaction, &log_key, &log_text)
         .await;
     match outcome {
         Ok(Outcome::Committed(_)) => {
@@ -223,8 +229,8 @@
             process
                 .timeline
                 .note(Kind::SettingsAccepted, subject, operator);
-            sync::apply(process, next);
-            process.beat_now.notify_one();
+            settings_sync::apply(process, next);
+            process.heartbeat_due.notify_one();
             Some(CommitReply {
                 version,
                 ..CommitReply::default()
@@ -249,7 +255,7 @@
     }
 }
 
-fn refused(problems: &[Problem]) -> CommitReply {
+fn rejected(problems: &[Problem]) -> CommitReply {
     CommitReply {
         problems: problems.iter().map(ToString::to_string).collect(),
         ..CommitReply::default()
@@ -258,22 +264,26 @@
 
 /// Names the change that was first.
 async fn conflict(process: &Process, version: u64) -> CommitReply {
-    let key = sync::log_key(version);
-    let rows = process.store.read(rows(&[&key])).await.unwrap_or_default();
-    let change: Option<Change> = store::value(store::find(&rows, &key));
+    let key = settings_sync::log_key(version);
+    let rows = process
+        .store
+        .read(by_keys(&[&key]))
+        .await
+        .unwrap_or_default();
+    let change: Option<Change> = store::parse(store::find(&rows, &key));
     CommitReply {
         conflict: Some(change.as_ref().map_or(
             Conflict {
                 version,
                 ..Conflict::default()
             },
-            conflict_of,
+            to_conflict,
         )),
         ..CommitReply::default()
     }
 }
 
-fn conflict_of(change: &Change) -> Conflict {
+fn to_conflict(change: &Change) -> Conflict {
     Conflict {
         version: change.version,
         operator: change.operator.clone(),
@@ -319,8 +329,8 @@
     let members = process.members.all();
     let others = members.iter().map(|member| wire::DaemonStatus {
         member: Some(super::peers::to_wire(member)),
-        settings_version: member.version,
-        answered: process.members.is_live(member),
+        settings_version: member.settings_version,
+        answered: process.members.is_reachable(member),
         leaving: member.leaving,
     });
     let pools = process.all_pools();
@@ -329,30 +339,34 @@
         let entries = pool.snapshot();
         entries
             .into_iter()
-            .map(move |entry| endpoint(process, &service, &entry))
+            .map(move |entry| endpoint_status(process, &service, &entry))
     });
-    let here = &process.settings.daemon.data_centre;
-    let stewards = process.stewardships.reports().into_iter();
+    let data_centre = &process.settings.daemon.data_centre;
+    let stewards = process.stewardships.statuses().into_iter();
     StatusReply {
         daemons: std::iter::once(own).chain(others).collect(),
         endpoints: endpoints.collect(),
         stewards: stewards
-            .map(|told| wire::StewardStatus {
-                service: told.service,
-                data_centre: here.clone(),
-                epoch: told.lease.map_or(0, |lease| lease.epoch),
-                holder: told
+            .map(|report| wire::StewardStatus {
+                service: report.service,
+                data_centre: data_centre.clone(),
+                epoch: report.lease.map_or(0, |lease| lease.epoch),
+                holder: report
                     .lease
                     .and_then(|lease| lease.holder)
                     .map_or(0, |holder| holder.0),
             })
             .collect(),
-        store_up: process.store.is_up(),
+        store_up: process.store.is_available(),
         settings_version: process.current.number(),
     }
 }
 
-fn endpoint(process: &Process, service: &str, entry: &super::pool::Entry) -> wire::EndpointStatus {
+fn endpoint_status(
+    process: &Process,
+    service: &str,
+    entry: &super::pool::Entry,
+) -> wire::EndpointStatus {
     let state = match () {
         () if entry.endpoint.drain => "drained",
         () if entry.leaving => "leaving",
@@ -364,7 +378,7 @@
         {
             "changing"
         }
-        () if entry.takes() => "open",
+        () if entry.accepts_requests() => "open",
         () => "silent",
     };
     let age = entry
@@ -391,7 +405,7 @@
         .map(|event| wire::Event {
             physical_ms: event.time.physical_ms,
             logical: event.time.logical,
-            incarnation: process.me.0,
+            incarnation: process.incarnation.0,
             process: process.settings.daemon.name.clone(),
             kind: event.kind.to_string(),
             subject: event.subject,
@@ -405,14 +419,14 @@
         return reply;
     }
     let addresses = process.members.addresses(process.addresses.peers);
-    let asked = addresses.into_iter().map(|address| {
+    let fetches = addresses.into_iter().map(|address| {
         let request = TimelineRequest {
             local: true,
             ..request.clone()
         };
-        async move { (address, ask(address, request).await) }
+        async move { (address, fetch_timeline(address, request).await) }
     });
-    for (address, answer) in futures::future::join_all(asked).await {
+    for (address, answer) in futures::future::join_all(fetches).await {
         match answer {
             Some(events) => reply.events.extend(events),
             None => reply.silent.push(address.to_string()),
@@ -424,7 +438,10 @@
     reply
 }
 
-async fn ask(address: std::net::SocketAddr, request: TimelineRequest) -> Option<Vec<wire::Event>> {
+async fn fetch_timeline(
+    address: std::net::SocketAddr,
+    request: TimelineRequest,
+) -> Option<Vec<wire::Event>> {
     let call = async {
         let mut client =
             wire::operator_client::OperatorClient::connect(format!("http://{address}"))
@@ -433,5 +450,5 @@
         let reply = client.timeline(request).await.ok()?;
         Some(reply.into_inner().events)
     };
-    tokio::time::timeout(PEER_WAIT, call).await.ok()?
+    tokio::time::timeout(PEER_TIMEOUT, call).await.ok()?
 }
--- a/components/daemon/src/process/orders/closing.rs
+++ b/components/daemon/src/process/orders/closing.rs
@@ -4,103 +4,107 @@
 
 use cloud::table::Transaction;
 
-use super::SLACK;
+use super::REPLY_MARGIN;
 use crate::process::{
     Process,
     gates::Id,
     registration::{self, Registered},
-    store::{self, under},
+    store::{self, by_prefix},
 };
 
 /// Asks every daemon that may dispatch to close; says whether all have, with nothing in flight.
-pub(super) async fn ask_all(process: &Arc<Process>, id: &Id, number: u64) -> bool {
-    let wait: Duration = process.settings.control.close_wait.into();
+pub(super) async fn close_everywhere(process: &Arc<Process>, id: &Id, number: u64) -> bool {
+    let timeout: Duration = process.settings.control.close_wait.into();
     // the closing row is committed; who registers from now on reads it
-    let Ok(rows) = process.store.read(under(registration::PREFIX)).await else {
+    let Ok(rows) = process.store.read(by_prefix(registration::PREFIX)).await else {
         return false;
     };
     let registered: Vec<Registered> = rows
         .iter()
-        .filter_map(|row| store::value(Some(row)))
+        .filter_map(|row| store::parse(Some(row)))
         .collect();
-    for one in &registered {
-        process.members.learn(&registration::to_wire(one));
+    for daemon in &registered {
+        process
+            .members
+            .add_advertised(&registration::to_wire(daemon));
     }
-    let own = process.gates.drain(id, number, wait);
-    let others = ask_others(process, id, number, &registered, wait);
+    let own = process.gates.drain(id, number, timeout);
+    let others = close_at_others(process, id, number, &registered, timeout);
     let (own, others) = tokio::join!(own, others);
     own && others
 }
 
-async fn ask_others(
+async fn close_at_others(
     process: &Process,
     id: &Id,
     number: u64,
     registered: &[Registered],
-    wait: Duration,
+    timeout: Duration,
 ) -> bool {
-    let mut asked: Vec<SocketAddr> = vec![process.addresses.peers];
+    let mut contacted: Vec<SocketAddr> = vec![process.addresses.peers];
     loop {
         // an answer may name daemons that nobody else knew
-        let mut more: Vec<SocketAddr> = process
+        let mut remaining: Vec<SocketAddr> = process
             .members
             .addresses(process.addresses.peers)
             .into_iter()
-            .chain(registered.iter().map(|one| one.address))
-            .filter(|address| !asked.contains(address))
+            .chain(registered.iter().map(|daemon| daemon.address))
+            .filter(|address| !contacted.contains(address))
             .collect();
-        more.sort_unstable();
-        more.dedup();
-        if more.is_empty() {
+        remaining.sort_unstable();
+        remaining.dedup();
+        if remaining.is_empty() {
             return true;
         }
-        let asks = more
+        let calls = remaining
             .iter()
-            .map(|address| ask(process, id, number, *address, registered, wait));
-        if !futures::future::join_all(asks)
+            .map(|address| close_at(process, id, number, *address, registered, timeout));
+        if !futures::future::join_all(calls)
             .await
             .into_iter()
             .all(|closed| closed)
         {
             return false;
         }
-        asked.extend(more);
+        contacted.extend(remaining);
     }
 }
 
-async fn ask(
+async fn close_at(
     process: &Process,
     id: &Id,
     number: u64,
     address: SocketAddr,
     registered: &[Registered],
-    wait: Duration,
+    timeout: Duration,
 ) -> bool {
     let request = wire::CloseRequest {
         endpoint: id.number,
         data_centre: id.data_centre.to_string(),
         number,
-        wait_ms: u64::try_from(wait.as_millis()).unwrap_or(u64::MAX),
+        wait_ms: u64::try_from(timeout.as_millis()).unwrap_or(u64::MAX),
     };
     let reply = match process.members.client(address) {
-        Some(mut client) => tokio::time::timeout(wait + SLACK, client.close(request)).await,
+        Some(mut client) => {
+            tokio::time::timeout(timeout + REPLY_MARGIN, client.close(request)).await
+        }
         None => return false,
     };
-    let before: Vec<&Registered> = registered
+    let known: Vec<&Registered> = registered
         .iter()
-        .filter(|one| one.address == address)
+        .filter(|daemon| daemon.address == address)
         .collect();
     match reply {
         Ok(Ok(reply)) => {
             let reply = reply.into_inner();
             for member in &reply.known {
-                process.members.learn(member);
+                process.members.add_advertised(member);
             }
-            let replaced = before
+            let replaced = known
                 .iter()
-                .filter(|one| one.incarnation.0 != reply.incarnation);
-            for one in replaced {
-                forget(process, one).await;
+                .filter(|daemon| daemon.incarnation.0 != reply.incarnation);
+            for daemon in replaced {
+                remove_registration(process, daemon).await;
             }
             reply.closed
         }
@@ -108,8 +112,8 @@
             .members
             .is_gone(address, process.settings.control.vm_lag.into()) =>
         {
-            for one in before {
-                forget(process, one).await;
+            for daemon in known {
+                remove_registration(process, daemon).await;
             }
             true
         }
@@ -121,12 +125,12 @@
 }
 
 /// Takes away the registration of a daemon that is certainly gone.
-async fn forget(process: &Process, one: &Registered) {
-    let key = registration::key(one.incarnation);
+async fn remove_registration(process: &Process, daemon: &Registered) {
+    let key = registration::key(daemon.incarnation);
     // left behind, it is taken away by the next steward that asks
     let _ = process
         .store
         .commit(Transaction::default().remove(&key))
         .await;
-    log::info!("{} at {} is gone", one.incarnation, one.address);
+    log::info!("{} at {} is gone", daemon.incarnation, daemon.address);
 }
--- a/components/daemon/src/process/orders/mod.rs
+++ b/components/daemon/src/process/orders/mod.rs
@@ -13,27 +13,27 @@
     Process,
     gates::Id,
     registration,
-    steward::{self, Held},
+    steward::{self, HeldLease},
     store,
 };
 
 /// Prefix of the rows of orders.
 pub const PREFIX: &str = "order/";
 /// Prefix of the rows in which operators ask for orders.
-pub const REQUESTS: &str = "request/";
+pub const REQUEST_PREFIX: &str = "request/";
 /// How long a lost order's effect is looked for in the engine's reports.
-const LOOK: Duration = Duration::from_secs(30);
-const LOOK_PAUSE: Duration = Duration::from_millis(200);
+const LOST_ORDER_TIMEOUT: Duration = Duration::from_secs(30);
+const REPORT_POLL_INTERVAL: Duration = Duration::from_millis(200);
 /// Longest wait for the engine's answer to an order.
-const ANSWER: Duration = Duration::from_secs(120);
+const ORDER_TIMEOUT: Duration = Duration::from_secs(120);
 /// Between two looks at the rows of closed endpoints.
-const REOPEN_PAUSE: Duration = Duration::from_secs(1);
+const REOPEN_INTERVAL: Duration = Duration::from_secs(1);
 /// What a peer's answer may take beyond its own wait.
-const SLACK: Duration = Duration::from_secs(2);
+const REPLY_MARGIN: Duration = Duration::from_secs(2);
 
 /// What an endpoint should become, and the operator's row that asks for it.
 #[derive(Clone, Debug)]
-pub struct Wish {
+pub struct ChangeRequest {
     /// The endpoint.
     pub id: Id,
     /// What it should have.
@@ -46,13 +46,13 @@
 #[derive(Clone, Debug)]
 pub enum Task {
     /// Close it everywhere, then send the order.
-    Close(Wish, Row, u64),
+    Close(ChangeRequest, Row, u64),
     /// Nothing was sent: open it again.
     Reopen(Id, Row, u64),
     /// Send the same order again.
-    Resend(Wish, Row, u64),
+    Resend(ChangeRequest, Row, u64),
     /// The operator's wish holds: take its row away.
-    Fulfilled(Wish),
+    Fulfilled(ChangeRequest),
 }
 
 /// The key of an endpoint's order.
@@ -70,61 +70,79 @@
 }
 
 /// Carries a task out as far as it goes.
-pub async fn carry_out(process: &Arc<Process>, held: &Held, task: Task) {
+pub async fn execute(process: &Arc<Process>, held: &HeldLease, task: Task) {
     match task {
-        Task::Fulfilled(wish) => fulfilled(process, held, &wish).await,
+        Task::Fulfilled(request) => remove_request(process, held, &request).await,
         Task::Reopen(id, row, version) => {
             if commit(process, held, &id, &row, version).await.is_some() {
-                announce(process, &id, row.number).await;
+                announce_outcome(process, &id, row.number).await;
             }
         }
-        Task::Resend(wish, row, version) => {
+        Task::Resend(request, row, version) => {
             // whoever closed for it stays closed until its outcome is known
-            if let Some(version) = commit(process, held, &wish.id, &row, version).await {
-                send(process, held, &wish, &row, version).await;
+            if let Some(version) = commit(process, held, &request.id, &row, version).await {
+                send(process, held, &request, &row, version).await;
             }
         }
-        Task::Close(wish, row, version) => close(process, held, wish, row, version).await,
+        Task::Close(request, row, version) => {
+            close_and_send(process, held, request, row, version).await;
+        }
     }
 }
 
-async fn close(process: &Arc<Process>, held: &Held, wish: Wish, row: Row, version: u64) {
-    let Some(version) = commit(process, held, &wish.id, &row, version).await else {
+async fn close_and_send(
+    process: &Arc<Process>,
+    held: &HeldLease,
+    request: ChangeRequest,
+    row: Row,
+    version: u64,
+) {
+    let Some(version) = commit(process, held, &request.id, &row, version).await else {
         return;
     };
-    let closed = closing::ask_all(process, &wish.id, row.number).await;
+    let closed = closing::close_everywhere(process, &request.id, row.number).await;
     if !closed {
         let reopened = Row {
             stage: Stage::Reopened,
             ..row.clone()
         };
         // should this fail too, the successor reopens
-        if commit(process, held, &wish.id, &reopened, version)
+        if commit(process, held, &request.id, &reopened, version)
             .await
             .is_some()
         {
-            announce(process, &wish.id, row.number).await;
+            announce_outcome(process, &request.id, row.number).await;
         }
         return;
     }
     let intent = order::intend(&row);
-    if let Some(version) = commit(process, held, &wish.id, &intent, version).await {
-        send(process, held, &wish, &intent, version).await;
+    if let Some(version) = commit(process, held, &request.id, &intent, version).await {
+        send(process, held, &request, &intent, version).await;
     }
 }
 
 /// Commits a row under the steward's lease; gives its new version, none when it isn't certain that
 /// the row stands.
-async fn commit(process: &Process, held: &Held, id: &Id, row: &Row, version: u64) -> Option<u64> {
+async fn commit(
+    process: &Process,
+    held: &HeldLease,
+    id: &Id,
+    row: &Row,
+    version: u64,
+) -> Option<u64> {
     let key = key_of(id);
-    let text = store::text(row);
+    let text = store::to_json(row);
     let transaction = Transaction::default()
         .check(&held.key, held.version)
         .check(&key, version)
         .write(&key, text.clone());
-    match process.store.commit_sure(transaction, &key, &text).await {
+    match process
+        .store
+        .commit_confirmed(transaction, &key, &text)
+        .await
+    {
         Ok(Outcome::Committed(version)) => {
-            note(process, id, row);
+            record_stage(process, id, row);
             Some(version)
         }
         Ok(Outcome::Conflict(_)) => {
@@ -138,7 +156,7 @@
     }
 }
 
-fn note(process: &Process, id: &Id, row: &Row) {
+fn record_stage(process: &Process, id: &Id, row: &Row) {
     let kind = match row.stage {
         Stage::Closing => Kind::OrderClosing,
         Stage::Intent => Kind::OrderIntent,
@@ -155,84 +173,90 @@
     process.metrics.orders.with_label_values(&[&outcome]).inc();
 }
 
-async fn send(process: &Arc<Process>, held: &Held, wish: &Wish, row: &Row, version: u64) {
-    let Some((address, boot)) = target(process, &wish.id) else {
+async fn send(
+    process: &Arc<Process>,
+    held: &HeldLease,
+    request: &ChangeRequest,
+    row: &Row,
+    version: u64,
+) {
+    let Some((address, boot)) = address_and_boot(process, &request.id) else {
         return;
     };
     let order = Order {
         number: row.number,
         wanted: row.wanted.clone(),
     };
-    if !steward::acts(process, held) {
+    if !steward::is_lease_valid(process, held) {
         // woken after the lease lapsed: the order never leaves, and that is worth saying
-        withdraw(process, &wish.id, row.number).await;
+        withdraw_sender(process, &request.id, row.number).await;
         return;
     }
-    let ended = match process.engine.order(address, &order, ANSWER).await {
+    let ended = match process.engine.order(address, &order, ORDER_TIMEOUT).await {
         Ok(()) => Ended::Reached,
         Err(Failure::NotSent | Failure::Refused(_)) => Ended::NotReached,
-        Err(Failure::Lost) => look(process, address, row, boot).await,
+        Err(Failure::Lost) => find_outcome(process, address, row, boot).await,
     };
     if ended == Ended::Lost {
-        process.lose_order(&wish.id, row.number);
+        process.record_lost_order(&request.id, row.number);
     }
     let next = order::finish(row, ended);
-    let mut pause = LOOK_PAUSE;
+    let mut backoff = REPORT_POLL_INTERVAL;
     // the outcome is known for certain, so it is worth telling when the table is back
-    let mut known = false;
-    for _ in 0..OUTCOME_TRIES {
-        known = commit(process, held, &wish.id, &next, version)
+    let mut committed = false;
+    for _ in 0..MAX_OUTCOME_COMMITS {
+        committed = commit(process, held, &request.id, &next, version)
             .await
             .is_some();
-        if known {
+        if committed {
             break;
         }
-        tokio::time::sleep(pause).await;
-        pause *= 2;
+        tokio::time::sleep(backoff).await;
+        backoff *= 2;
     }
-    if !known && ended != Ended::Lost {
-        withdraw(process, &wish.id, row.number).await;
+    if !committed && ended != Ended::Lost {
+        withdraw_sender(process, &request.id, row.number).await;
     }
     if !next.closes(ended == Ended::Reached) {
-        announce(process, &wish.id, row.number).await;
+        announce_outcome(process, &request.id, row.number).await;
     }
     // a former steward's order is finished first; a later wish stays for the next one
-    if ended == Ended::Reached && row.wanted == wish.wanted {
-        fulfilled(process, held, wish).await;
+    if ended == Ended::Reached && row.wanted == request.wanted {
+        remove_request(process, held, request).await;
     }
 }
 
-const OUTCOME_TRIES: u32 = 5;
+const MAX_OUTCOME_COMMITS: u32 = 5;
 
 /// Gives a former sender's own word that its call has ended: a successor need not wait for it any
 /// more. It takes nothing but its own name out of the row, so it needs no lease.
-async fn withdraw(process: &Process, id: &Id, number: u64) {
-    if process.is_lost(id, number) {
+async fn withdraw_sender(process: &Process, id: &Id, number: u64) {
+    if process.is_lost_order(id, number) {
         // an earlier copy of this order may still strike
         return;
     }
     let key = key_of(id);
-    let Ok(rows) = process.store.read(store::rows(&[&key])).await else {
+    let Ok(rows) = process.store.read(store::by_keys(&[&key])).await else {
         return;
     };
     let found = store::find(&rows, &key);
-    let Some(mut row) = store::value::<Row>(found) else {
+    let Some(mut row) = store::parse::<Row>(found) else {
         return;
     };
-    let named = row.earlier.binary_search(&process.me);
-    if let (true, Ok(at)) = (row.number == number, named) {
+    let position = row.earlier.binary_search(&process.incarnation);
+    if let (true, Ok(at)) = (row.number == number, position) {
         row.earlier.remove(at);
         let transaction = Transaction::default()
-            .check(&key, store::version(found))
-            .write(&key, store::text(&row));
+            .check(&key, store::version_of(found))
+            .write(&key, store::to_json(&row));
         // unsaid, it is found gone when this process ends
         let _ = process.store.commit(transaction).await;
     }
 }
 
-fn target(process: &Process, id: &Id) -> Option<(SocketAddr, Option<u64>)> {
+fn address_and_boot(process: &Process, id: &Id) -> Option<(SocketAddr, Option<u64>)> {
     process.all_pools().iter().find_map(|pool| {
-        pool.with(id, |entry| {
+        pool.with_entry(id, |entry| {
             let boot = entry.report.as_ref().map(|(report, _)| report.boot);
             (entry.endpoint.address, boot)
         })
@@ -242,26 +266,31 @@
 /// Looks for the effect of an order whose answer was lost. It was sent once; when the engine's
 /// report shows its number, that one copy has arrived. When the engine has started anew, the copy
 /// is lost with the connection.
-async fn look(process: &Process, address: SocketAddr, row: &Row, boot: Option<u64>) -> Ended {
-    let until = tokio::time::Instant::now() + LOOK;
-    while tokio::time::Instant::now() < until {
-        if let Ok(report) = process.engine.report(address, LOOK_PAUSE).await {
-            let taken = report.number >= row.number && !report.changing;
+async fn find_outcome(
+    process: &Process,
+    address: SocketAddr,
+    row: &Row,
+    boot: Option<u64>,
+) -> Ended {
+    let deadline = tokio::time::Instant::now() + LOST_ORDER_TIMEOUT;
+    while tokio::time::Instant::now() < deadline {
+        if let Ok(report) = process.engine.report(address, REPORT_POLL_INTERVAL).await {
+            let received = report.number >= row.number && !report.changing;
             match () {
                 () if boot.is_some_and(|boot| boot != report.boot) => return Ended::NotReached,
-                () if taken && report.holds == row.wanted => return Ended::Reached,
-                () if taken => return Ended::NotReached,
+                () if received && report.holds == row.wanted => return Ended::Reached,
+                () if received => return Ended::NotReached,
                 () => {}
             }
         }
-        tokio::time::sleep(LOOK_PAUSE).await;
+        tokio::time::sleep(REPORT_POLL_INTERVAL).await;
     }
     Ended::Lost
 }
 
 /// Takes the operator's row away when its wish holds.
-async fn fulfilled(process: &Process, held: &Held, wish: &Wish) {
-    let Some((key, version)) = &wish.row else {
+async fn remove_request(process: &Process, held: &HeldLease, request: &ChangeRequest) {
+    let Some((key, version)) = &request.row else {
         return;
     };
     let transaction = Transaction::default()
@@ -273,34 +302,34 @@
 }
 
 /// Tells all daemons that an order's outcome is known. Whoever misses it reads the row.
-async fn announce(process: &Arc<Process>, id: &Id, number: u64) {
+async fn announce_outcome(process: &Arc<Process>, id: &Id, number: u64) {
     process.gates.open(id, number);
     for pool in process.all_pools() {
         pool.wake();
     }
-    let tells = process
+    let notifications = process
         .members
         .addresses(process.addresses.peers)
         .into_iter()
-        .map(|address| notify(process, id, number, address));
-    futures::future::join_all(tells).await;
+        .map(|address| notify_open(process, id, number, address));
+    futures::future::join_all(notifications).await;
 }
 
-async fn notify(process: &Process, id: &Id, number: u64, address: SocketAddr) {
+async fn notify_open(process: &Process, id: &Id, number: u64, address: SocketAddr) {
     let open = wire::OpenRequest {
         endpoint: id.number,
         data_centre: id.data_centre.to_string(),
         number,
     };
     if let Some(mut client) = process.members.client(address) {
-        let _ = tokio::time::timeout(SLACK, client.open(open)).await;
+        let _ = tokio::time::timeout(REPLY_MARGIN, client.open(open)).await;
     }
 }
 
 /// Opens endpoints whose order's outcome shows in its row, as long as the process lives.
-pub async fn reopen(process: Arc<Process>) {
+pub async fn reopen_endpoints(process: Arc<Process>) {
     loop {
-        tokio::time::sleep(REOPEN_PAUSE).await;
+        tokio::time::sleep(REOPEN_INTERVAL).await;
         let closed = process.gates.closed();
         if closed.is_empty() {
             continue;
@@ -314,10 +343,10 @@
         };
         for (id, number) in closed {
             let found = store::find(&rows, &key_of(&id));
-            let Some(row) = store::value::<Row>(found) else {
+            let Some(row) = store::parse::<Row>(found) else {
                 continue;
             };
-            let reached = registration::reached(&process, &id, &row);
+            let reached = registration::is_fulfilled(&process, &id, &row);
             match () {
                 () if row.number < number => {}
                 () if row.closes(reached) => process.gates.close(&id, row.number),
--- a/components/daemon/src/process/peers.rs
+++ b/components/daemon/src/process/peers.rs
@@ -11,7 +11,7 @@
     peer_server::{Peer, PeerServer},
 };
 
-use super::{Process, beat, gates::Id, operators::Operators, sync};
+use super::{Process, gates::Id, heartbeat, operators::Operators, settings_sync};
 use telemetry::timeline::Kind;
 
 struct Peers(Arc<Process>);
@@ -33,8 +33,8 @@
 #[tonic::async_trait]
 impl Peer for Peers {
     async fn beat(&self, request: Request<Heartbeat>) -> Result<Response<Heartbeat>, Status> {
-        beat::receive(&self.0, request.get_ref());
-        Ok(Response::new(beat::compose(&self.0)))
+        heartbeat::receive(&self.0, request.get_ref());
+        Ok(Response::new(heartbeat::compose(&self.0)))
     }
 
     async fn fetch(&self, _: Request<FetchRequest>) -> Result<Response<Tree>, Status> {
@@ -44,7 +44,7 @@
             .0
             .current
             .get()
-            .map(|current| sync::to_wire(&current.tree))
+            .map(|current| settings_sync::to_wire(&current.tree))
             .unwrap_or_default();
         tree.closed = closed
             .into_iter()
@@ -59,9 +59,9 @@
 
     async fn close(&self, request: Request<CloseRequest>) -> Result<Response<CloseReply>, Status> {
         let close = request.into_inner();
-        let id = id(&close.data_centre, close.endpoint);
-        let wait = Duration::from_millis(close.wait_ms);
-        let closed = self.0.gates.drain(&id, close.number, wait).await;
+        let id = endpoint_id(&close.data_centre, close.endpoint);
+        let timeout = Duration::from_millis(close.wait_ms);
+        let closed = self.0.gates.drain(&id, close.number, timeout).await;
         let detail = format!(
             "order {}, {}",
             close.number,
@@ -70,7 +70,7 @@
         self.0.timeline.note(Kind::Closed, id.to_string(), detail);
         let members = self.0.members.all();
         Ok(Response::new(CloseReply {
-            incarnation: self.0.me.0,
+            incarnation: self.0.incarnation.0,
             closed,
             known: members.iter().map(to_wire).collect(),
         }))
@@ -78,7 +78,7 @@
 
     async fn open(&self, request: Request<OpenRequest>) -> Result<Response<OpenReply>, Status> {
         let open = request.into_inner();
-        let id = id(&open.data_centre, open.endpoint);
+        let id = endpoint_id(&open.data_centre, open.endpoint);
         self.0.gates.open(&id, open.number);
         let detail = format!("order {}", open.number);
         self.0.timeline.note(Kind::Opened, id.to_string(), detail);
@@ -89,7 +89,7 @@
     }
 }
 
-fn id(data_centre: &str, number: u32) -> Id {
+fn endpoint_id(data_centre: &str, number: u32) -> Id {
     Id {
         data_centre: data_centre.into(),
         number,
--- a/components/daemon/src/process/pool/entry.rs
+++ b/components/daemon/src/process/pool/entry.rs
@@ -16,17 +16,17 @@
 use protocol::order;
 use settings::tree::resolve;
 
-use super::Need;
+use super::Requirements;
 use crate::process::{gates::Id, members::Member};
 
 /// How long an endpoint gets nothing after it was not reached.
-const QUARANTINE: Duration = Duration::from_secs(1);
+const QUARANTINE_DURATION: Duration = Duration::from_secs(1);
 /// An engine whose report is older than this is not counted on.
-const STALE: Duration = Duration::from_secs(3);
+const MAX_REPORT_AGE: Duration = Duration::from_secs(3);
 /// One-way delay to another data centre's endpoints, until it is measured.
-const FAR: Micros = 2_000;
+const REMOTE_ONE_WAY_DELAY_US: Micros = 2_000;
 /// The most cache blocks that are remembered of an engine.
-const BLOCKS: usize = 65_536;
+const MAX_CACHED_BLOCKS: usize = 65_536;
 
 /// An endpoint of a pool.
 #[derive(Clone, Debug)]
@@ -40,31 +40,31 @@
     /// Whether the VM list says that it leaves.
     pub leaving: bool,
     /// Its speed, as learnt.
-    pub rates: BatchLatency,
+    pub latency: BatchLatency,
     /// Prompt tokens that this daemon sent and that are not read yet.
-    pub reading: TokensByClass,
+    pub prefill_tokens: TokensByClass,
     /// This daemon's requests that write there.
-    pub writing: u64,
+    pub decode_requests: u64,
     /// Prompt tokens ever sent by this daemon.
-    pub sent: u64,
+    pub sent_prompt_tokens: u64,
     /// Tokens ever written to this daemon's callers from there.
-    pub written: u64,
+    pub decoded_tokens: u64,
     local: bool,
     /// Whether it reports its load; a plain service doesn't.
-    reports: bool,
-    since: Instant,
-    quarantined: Option<Instant>,
-    peers_reading: TokensByClass,
-    peers_writing: u64,
+    has_reports: bool,
+    added: Instant,
+    quarantined_until: Option<Instant>,
+    peer_prefill_tokens: TokensByClass,
+    peer_decode_requests: u64,
     /// Blocks that its prefix cache likely holds, sorted.
-    blocks: Vec<u64>,
+    cached_blocks: Vec<u64>,
     /// The last cache event that was taken.
-    sequence: u64,
+    cache_sequence: u64,
 }
 
 impl Entry {
     /// An endpoint that nothing is known of yet.
-    pub fn new(endpoint: &resolve::Endpoint, data_centre: &str, reports: bool) -> Self {
+    pub fn new(endpoint: &resolve::Endpoint, data_centre: &str, has_reports: bool) -> Self {
         Self {
             id: Id {
                 data_centre: Arc::from(endpoint.data_centre.as_str()),
@@ -72,20 +72,20 @@
             },
             local: endpoint.data_centre == data_centre,
             endpoint: endpoint.clone(),
-            reports,
+            has_reports,
             report: None,
             leaving: false,
-            rates: BatchLatency::default(),
-            reading: TokensByClass::default(),
-            writing: 0,
-            sent: 0,
-            written: 0,
-            since: Instant::now(),
-            quarantined: None,
-            peers_reading: TokensByClass::default(),
-            peers_writing: 0,
-            blocks: Vec::new(),
-            sequence: 0,
+            latency: BatchLatency::default(),
+            prefill_tokens: TokensByClass::default(),
+            decode_requests: 0,
+            sent_prompt_tokens: 0,
+            decoded_tokens: 0,
+            added: Instant::now(),
+            quarantined_until: None,
+            peer_prefill_tokens: TokensByClass::default(),
+            peer_decode_requests: 0,
+            cached_blocks: Vec::new(),
+            cache_sequence: 0,
         }
     }
 
@@ -97,31 +97,33 @@
     }
 
     /// Whether it takes new work at all.
-    pub fn takes(&self) -> bool {
+    pub fn accepts_requests(&self) -> bool {
         !self.endpoint.drain
             && !self.leaving
-            && self.quarantined.is_none_or(|until| until < Instant::now())
-            && self.answers()
+            && self
+                .quarantined_until
+                .is_none_or(|until| until < Instant::now())
+            && self.is_available()
     }
 
     /// Whether it takes a request.
-    pub fn serves(&self, need: &Need) -> bool {
-        let (model, adapter, version) = &need.weights;
+    pub fn can_serve(&self, requirements: &Requirements) -> bool {
+        let (model, adapter, version) = &requirements.model;
         let holds = self.report.as_ref().map(|(report, _)| &report.holds);
         // an engine that names no model holds whatever it is asked for
-        let loaded = holds.is_none_or(|holds| {
+        let holds_model = holds.is_none_or(|holds| {
             holds.model.is_empty()
                 || (holds.model == *model && holds.adapter == *adapter && holds.version == *version)
         });
-        self.takes() && loaded
+        self.accepts_requests() && holds_model
     }
 
-    fn answers(&self) -> bool {
+    fn is_available(&self) -> bool {
         match &self.report {
-            _ if !self.reports => true,
-            Some((report, at)) => !report.changing && at.elapsed() < STALE,
+            _ if !self.has_reports => true,
+            Some((report, at)) => !report.changing && at.elapsed() < MAX_REPORT_AGE,
             // not asked yet; a failed try will tell
-            None => self.since.elapsed() < STALE,
+            None => self.added.elapsed() < MAX_REPORT_AGE,
         }
     }
 
@@ -134,22 +136,22 @@
     }
 
     /// It as routing sees it for a request.
-    pub fn seen(&self, need: &Need) -> route::Engine {
-        let held = need
+    pub fn to_engine_for(&self, requirements: &Requirements) -> route::Engine {
+        let cached = requirements
             .blocks
             .iter()
-            .take_while(|block| self.blocks.binary_search(block).is_ok())
+            .take_while(|block| self.cached_blocks.binary_search(block).is_ok())
             .count();
-        let tokens = held * endpoint::engine::prefix::BLOCK_TOKENS;
+        let tokens = cached * endpoint::engine::prefix::BLOCK_TOKENS;
         route::Engine {
             cached_tokens: u64::try_from(tokens).unwrap_or(0),
-            ..self.bare(need.priority)
+            ..self.to_engine(requirements.priority)
         }
     }
 
     /// It as routing sees it for any request of a priority.
-    pub fn bare(&self, priority: u8) -> route::Engine {
-        let told = self.report.as_ref().map(|(report, at)| {
+    pub fn to_engine(&self, priority: u8) -> route::Engine {
+        let reported = self.report.as_ref().map(|(report, at)| {
             (
                 report.waiting_prompt_tokens,
                 report.writing,
@@ -157,52 +159,56 @@
             )
         });
         let sources = Sources {
-            own: (self.reading, self.writing),
-            peers: (self.peers_reading, self.peers_writing),
-            reported: told,
+            own: (self.prefill_tokens, self.decode_requests),
+            peers: (self.peer_prefill_tokens, self.peer_decode_requests),
+            reported,
         };
-        let out = load::estimate(&sources, &self.rates, load::priority_class(priority));
+        let outstanding = load::estimate(&sources, &self.latency, load::priority_class(priority));
         route::Engine {
             role: match self.role() {
                 order::Role::Prefill => route::Role::Prefill,
                 order::Role::Decode => route::Role::Decode,
                 order::Role::Mixed => route::Role::Mixed,
             },
-            prefill_tokens_ahead: out.prefill_tokens_ahead,
-            prefill_tokens: out.prefill_tokens,
-            decode_requests: out.decode_requests,
+            prefill_tokens_ahead: outstanding.prefill_tokens_ahead,
+            prefill_tokens: outstanding.prefill_tokens,
+            decode_requests: outstanding.decode_requests,
             cached_tokens: 0,
-            one_way_delay: if self.local { 0 } else { FAR },
-            latency: self.rates,
+            one_way_delay: if self.local {
+                0
+            } else {
+                REMOTE_ONE_WAY_DELAY_US
+            },
+            latency: self.latency,
         }
     }
 
     /// Takes a report. Says whether the endpoint was away before.
-    pub fn reported(&mut self, report: Report) -> bool {
-        let away = !self.answers();
-        let booted = self
+    pub fn record_report(&mut self, report: Report) -> bool {
+        let was_unavailable = !self.is_available();
+        let cache_lost = self
             .report
             .as_ref()
             .is_some_and(|(old, _)| old.boot != report.boot || old.holds != report.holds);
-        if booted {
+        if cache_lost {
             // its cache is empty
-            self.blocks.clear();
-            self.sequence = 0;
+            self.cached_blocks.clear();
+            self.cache_sequence = 0;
         }
         self.report = Some((report, Instant::now()));
-        away
+        was_unavailable
     }
 
     /// Takes cache events; they are hints, and gaps only cost quality.
-    pub fn cache_events(&mut self, events: &[CacheEvent]) {
+    pub fn apply_cache_events(&mut self, events: &[CacheEvent]) {
         for event in events {
-            self.sequence = self.sequence.max(event.sequence);
-            match (self.blocks.binary_search(&event.block), event.held) {
-                (Err(at), true) if self.blocks.len() < BLOCKS => {
-                    self.blocks.insert(at, event.block);
+            self.cache_sequence = self.cache_sequence.max(event.sequence);
+            match (self.cached_blocks.binary_search(&event.block), event.held) {
+                (Err(at), true) if self.cached_blocks.len() < MAX_CACHED_BLOCKS => {
+                    self.cached_blocks.insert(at, event.block);
                 }
                 (Ok(at), false) => {
-                    self.blocks.remove(at);
+                    self.cached_blocks.remove(at);
                 }
                 _ => {}
             }
@@ -210,39 +216,42 @@
     }
 
     /// Notes that a prompt was read there, so that its blocks are likely held.
-    pub fn read(&mut self, blocks: &[u64]) {
+    pub fn record_prefill(&mut self, blocks: &[u64]) {
         for block in blocks {
-            if let Err(at) = self.blocks.binary_search(block)
-                && self.blocks.len() < BLOCKS
+            if let Err(at) = self.cached_blocks.binary_search(block)
+                && self.cached_blocks.len() < MAX_CACHED_BLOCKS
             {
-                self.blocks.insert(at, *block);
+                self.cached_blocks.insert(at, *block);
             }
         }
     }
 
     /// The last cache event taken, and whether the report tells of later ones.
-    pub fn cache_behind(&self) -> Option<u64> {
+    pub fn missing_cache_events_after(&self) -> Option<u64> {
         let (report, _) = self.report.as_ref()?;
-        (report.cache_sequence > self.sequence).then_some(self.sequence)
+        (report.cache_sequence > self.cache_sequence).then_some(self.cache_sequence)
     }
 
     /// Keeps it from new work for a moment, after it was not reached or refused.
-    pub fn failed(&mut self) {
-        self.quarantined = Some(Instant::now() + QUARANTINE);
+    pub fn quarantine(&mut self) {
+        self.quarantined_until = Some(Instant::now() + QUARANTINE_DURATION);
     }
 
     /// Takes what live peers have dispatched to it.
-    pub fn peers(&mut self, live: &[Member]) {
-        let loads = live.iter().flat_map(|member| &member.loads).filter(|load| {
-            load.endpoint == self.id.number && *load.data_centre == *self.id.data_centre
-        });
-        self.peers_reading = TokensByClass::default();
-        self.peers_writing = 0;
+    pub fn update_peer_loads(&mut self, reachable: &[Member]) {
+        let loads = reachable
+            .iter()
+            .flat_map(|member| &member.loads)
+            .filter(|load| {
+                load.endpoint == self.id.number && *load.data_centre == *self.id.data_centre
+            });
+        self.peer_prefill_tokens = TokensByClass::default();
+        self.peer_decode_requests = 0;
         for load in loads {
-            for (sum, reading) in self.peers_reading.iter_mut().zip(&load.reading) {
-                *sum += reading;
+            for (sum, tokens) in self.peer_prefill_tokens.iter_mut().zip(&load.reading) {
+                *sum += tokens;
             }
-            self.peers_writing += u64::from(load.in_flight);
+            self.peer_decode_requests += u64::from(load.in_flight);
         }
     }
 
@@ -251,10 +260,10 @@
         wire::Load {
             endpoint: self.id.number,
             data_centre: self.id.data_centre.to_string(),
-            sent_prompt_tokens: self.sent,
-            reading: self.reading.to_vec(),
-            in_flight: u32::try_from(self.writing).unwrap_or(u32::MAX),
-            written_tokens: self.written,
+            sent_prompt_tokens: self.sent_prompt_tokens,
+            reading: self.prefill_tokens.to_vec(),
+            in_flight: u32::try_from(self.decode_requests).unwrap_or(u32::MAX),
+            written_tokens: self.decoded_tokens,
         }
     }
 }
--- a/components/daemon/src/process/pool/grant.rs
+++ b/components/daemon/src/process/pool/grant.rs
@@ -3,48 +3,54 @@
 use std::{net::SocketAddr, sync::Arc};
 
 use super::{Entry, Pool};
-use crate::process::gates::{Hold, Id};
+use crate::process::gates::{Id, RequestGuard};
 
 /// One engine given to a request.
 #[derive(Debug)]
-pub struct Place {
+pub struct GrantedEngine {
     /// Its name.
     pub id: Id,
     /// Where it listens.
     pub address: SocketAddr,
-    reading: u64,
-    band: usize,
-    writes: bool,
-    _hold: Hold,
+    prefill_tokens: u64,
+    class: usize,
+    decodes: bool,
+    _guard: RequestGuard,
 }
 
-impl Place {
-    pub(super) fn new(entry: &Entry, hold: Hold, reading: u64, band: usize, writes: bool) -> Self {
+impl GrantedEngine {
+    pub(super) fn new(
+        entry: &Entry,
+        guard: RequestGuard,
+        prefill_tokens: u64,
+        class: usize,
+        decodes: bool,
+    ) -> Self {
         Self {
             id: entry.id.clone(),
             address: entry.endpoint.address,
-            reading,
-            band,
-            writes,
-            _hold: hold,
+            prefill_tokens,
+            class,
+            decodes,
+            _guard: guard,
         }
     }
 
-    pub(super) fn count(&self, entries: &mut [Entry]) {
+    pub(super) fn add_load(&self, entries: &mut [Entry]) {
         if let Ok(at) = entries.binary_search_by(|entry| entry.id.cmp(&self.id)) {
             let entry = &mut entries[at];
-            entry.reading[self.band] += self.reading;
-            entry.sent += self.reading;
-            entry.writing += u64::from(self.writes);
+            entry.prefill_tokens[self.class] += self.prefill_tokens;
+            entry.sent_prompt_tokens += self.prefill_tokens;
+            entry.decode_requests += u64::from(self.decodes);
         }
     }
 
-    fn read(&mut self, pool: &Pool) {
-        let reading = std::mem::take(&mut self.reading);
-        if reading > 0 {
-            pool.with(&self.id, |entry| {
-                let left = &mut entry.reading[self.band];
-                *left = left.saturating_sub(reading);
+    fn finish_prefill(&mut self, pool: &Pool) {
+        let prefill_tokens = std::mem::take(&mut self.prefill_tokens);
+        if prefill_tokens > 0 {
+            pool.with_entry(&self.id, |entry| {
+                let left = &mut entry.prefill_tokens[self.class];
+                *left = left.saturating_sub(prefill_tokens);
             });
         }
     }
@@ -55,58 +61,58 @@
 pub struct Grant {
     pool: Arc<Pool>,
     /// In the order in which they serve.
-    places: Vec<Place>,
+    engines: Vec<GrantedEngine>,
 }
 
 impl Grant {
-    pub(super) fn new(pool: Arc<Pool>, places: Vec<Place>) -> Self {
-        Self { pool, places }
+    pub(super) fn new(pool: Arc<Pool>, engines: Vec<GrantedEngine>) -> Self {
+        Self { pool, engines }
     }
 
     /// The engine that gets the request first.
     pub fn first(&self) -> Option<(Id, SocketAddr)> {
-        self.places.first().map(Place::name)
+        self.engines.first().map(GrantedEngine::id_and_address)
     }
 
     /// The engine that writes after another one has read; none when one does both.
     pub fn second(&self) -> Option<(Id, SocketAddr)> {
-        self.places.get(1).map(Place::name)
+        self.engines.get(1).map(GrantedEngine::id_and_address)
     }
 
     /// Notes that the prompt was read: the engine has room for the next one.
-    pub fn read(&mut self) {
-        if let Some(place) = self.places.first_mut() {
-            place.read(&self.pool);
+    pub fn finish_prefill(&mut self) {
+        if let Some(engine) = self.engines.first_mut() {
+            engine.finish_prefill(&self.pool);
             self.pool.wake();
         }
     }
 
     /// Gives the engine back that has read, after the one that writes has taken over.
-    pub fn hand_over(&mut self) {
-        if self.places.len() > 1 {
-            self.read();
-            self.places.remove(0);
+    pub fn release_prefill_engine(&mut self) {
+        if self.engines.len() > 1 {
+            self.finish_prefill();
+            self.engines.remove(0);
         }
     }
 }
 
-impl Place {
-    fn name(&self) -> (Id, SocketAddr) {
+impl GrantedEngine {
+    fn id_and_address(&self) -> (Id, SocketAddr) {
         (self.id.clone(), self.address)
     }
 }
 
 impl Drop for Grant {
     fn drop(&mut self) {
-        for place in &mut self.places {
-            place.read(&self.pool);
-            if place.writes {
-                self.pool.with(&place.id, |entry| {
-                    entry.writing = entry.writing.saturating_sub(1);
+        for engine in &mut self.engines {
+            engine.finish_prefill(&self.pool);
+            if engine.decodes {
+                self.pool.with_entry(&engine.id, |entry| {
+                    entry.decode_requests = entry.decode_requests.saturating_sub(1);
                 });
             }
         }
-        self.places.clear();
+        self.engines.clear();
         self.pool.wake();
     }
 }
--- a/components/daemon/src/process/pool/mod.rs
+++ b/components/daemon/src/process/pool/mod.rs
@@ -5,7 +5,7 @@
 
 mod entry;
 mod grant;
-mod line;
+mod queue;
 
 use std::{
     sync::{Arc, Mutex, MutexGuard, PoisonError, Weak},
@@ -23,35 +23,35 @@
 use tokio::sync::{Notify, oneshot};
 
 pub use entry::Entry;
-pub use grant::{Grant, Place};
-use line::{Line, Ticket};
+pub use grant::{Grant, GrantedEngine};
+use queue::{Queue, Ticket};
 
 use super::{gates::Gates, members::Member};
 
 /// Weight of a new answer's length in a group's average.
-const OUTPUT_WEIGHT: f64 = 0.1;
+const MEAN_OUTPUT_WEIGHT: f64 = 0.1;
 /// Longest time between two looks at the queue.
-const LOOK: Duration = Duration::from_millis(500);
+const QUEUE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// How many groups are tried in turn when the first one's request doesn't fit.
-const HEADS: usize = 8;
+const MAX_GROUPS_TRIED: usize = 8;
 /// How many write together when the work of an answer is estimated.
-const USUAL_BATCH: u64 = 16;
+const TYPICAL_BATCH_REQUESTS: u64 = 16;
 /// When nothing is known, callers are told to come back after this long.
-const COME_BACK: Duration = Duration::from_secs(2);
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(2);
 
 /// What a request needs of an engine.
 #[derive(Clone, Debug)]
-pub struct Need {
+pub struct Requirements {
     /// Index of its group in the version that admitted it, and the group's name.
     pub group: (usize, String),
     /// Model, adapter and version.
-    pub weights: (String, String, String),
+    pub model: (String, String, String),
     /// Hashes of its prompt's blocks.
     pub blocks: Vec<u64>,
     /// Tokens of its prompt.
-    pub prompt: u64,
+    pub prompt_tokens: u64,
     /// Most tokens that it may write.
-    pub most_output: u64,
+    pub max_output_tokens: u64,
     /// 9 goes first.
     pub priority: u8,
     /// When it must be done.
@@ -64,21 +64,21 @@
 
 /// Why a request got no engine. It did not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unplaced {
+pub enum PlacementError {
     /// It can't meet its deadline.
-    Late {
+    WouldMissDeadline {
         /// When trying again may help.
-        after: Duration,
+        retry_after: Duration,
     },
     /// The queue is full.
-    Full {
+    QueueFull {
         /// When trying again may help.
-        after: Duration,
+        retry_after: Duration,
     },
     /// No engine takes requests.
     NoEndpoint {
         /// When trying again may help.
-        after: Duration,
+        retry_after: Duration,
     },
 }
 
@@ -90,26 +90,26 @@
     gates: Gates,
     started: Instant,
     data_centre: String,
-    most_waiting: usize,
+    max_queued: usize,
     weights: Weights,
-    line: Mutex<Line>,
+    queue: Mutex<Queue>,
     entries: Mutex<Vec<Entry>>,
-    freed: Arc<Notify>,
+    changed: Arc<Notify>,
 }
 
 impl Pool {
     /// A pool without endpoints.
-    pub fn new(service: &str, gates: Gates, data_centre: &str, most_waiting: usize) -> Self {
+    pub fn new(service: &str, gates: Gates, data_centre: &str, max_queued: usize) -> Self {
         Self {
             service: service.to_owned(),
             gates,
             started: Instant::now(),
             data_centre: data_centre.to_owned(),
-            most_waiting,
+            max_queued,
             weights: Weights::default(),
-            line: Mutex::new(Line::new()),
+            queue: Mutex::new(Queue::new()),
             entries: Mutex::default(),
-            freed: Arc::new(Notify::new()),
+            changed: Arc::new(Notify::new()),
         }
     }
 
@@ -121,20 +121,20 @@
                 .filter(|endpoint| endpoint.service == self.service)
                 .is_some_and(|endpoint| entry.update(endpoint))
         });
-        let reports = version
+        let has_reports = version
             .service(&self.service)
             .is_some_and(|service| service.kind == resolve::Kind::Engines);
         for endpoint in &version.endpoints {
             if endpoint.service == self.service {
-                self.adopt(endpoint, reports);
+                self.add_endpoint(endpoint, has_reports);
             }
         }
-        self.line().regroup(version);
-        self.freed.notify_one();
+        self.queue().regroup(version);
+        self.changed.notify_one();
     }
 
-    fn adopt(&self, endpoint: &resolve::Endpoint, reports: bool) {
-        let entry = Entry::new(endpoint, &self.data_centre, reports);
+    fn add_endpoint(&self, endpoint: &resolve::Endpoint, has_reports: bool) {
+        let entry = Entry::new(endpoint, &self.data_centre, has_reports);
         let mut entries = self.entries();
         if let Err(at) = entries.binary_search_by(|other| other.id.cmp(&entry.id)) {
             entries.insert(at, entry);
@@ -142,104 +142,111 @@
     }
 
     /// Gives a request its engines, at once or after it has waited its turn.
-    pub async fn place(self: &Arc<Self>, need: Need) -> Result<Grant, Unplaced> {
+    pub async fn place(
+        self: &Arc<Self>,
+        requirements: Requirements,
+    ) -> Result<Grant, PlacementError> {
         // even alone on an engine it would come too late
-        let output = self.line().expected_output(&need);
-        let alone = Duration::from_micros(self.alone(need.prompt, output));
-        if Instant::now() + alone > need.deadline {
-            return Err(Unplaced::Late {
-                after: self.come_back(),
+        let output = self.queue().expected_output(&requirements);
+        let unloaded_time =
+            Duration::from_micros(self.estimate_unloaded_time(requirements.prompt_tokens, output));
+        if Instant::now() + unloaded_time > requirements.deadline {
+            return Err(PlacementError::WouldMissDeadline {
+                retry_after: self.retry_after(),
             });
         }
-        if let Some(grant) = self.try_now(&need) {
+        if let Some(grant) = self.try_place_now(&requirements) {
             return Ok(grant);
         }
-        let (ticket, grant) = self.enqueue(need)?;
+        let (ticket, grant) = self.enqueue(requirements)?;
         let start_by = ticket.start_by;
         let waited = tokio::time::timeout_at(start_by.into(), grant).await;
         drop(ticket);
         match waited {
             Ok(Ok(grant)) => Ok(grant),
-            _ => Err(Unplaced::Late {
-                after: self.come_back(),
+            _ => Err(PlacementError::WouldMissDeadline {
+                retry_after: self.retry_after(),
             }),
         }
     }
 
     /// Places a request without waiting, unless others wait that go before it.
-    fn try_now(self: &Arc<Self>, need: &Need) -> Option<Grant> {
-        let urgent = need.priority >= URGENT_PRIORITY;
-        let line = self.line();
-        if !urgent && !line.queue.is_empty() {
+    fn try_place_now(self: &Arc<Self>, requirements: &Requirements) -> Option<Grant> {
+        let urgent = requirements.priority >= URGENT_PRIORITY;
+        let queue = self.queue();
+        if !urgent && !queue.fair.is_empty() {
             return None;
         }
-        let output = line.expected_output(need);
-        let grant = self.try_place(need, output)?;
-        drop(line);
+        let output = queue.expected_output(requirements);
+        let grant = self.try_place(requirements, output)?;
+        drop(queue);
         Some(grant)
     }
 
     fn enqueue(
         self: &Arc<Self>,
-        need: Need,
-    ) -> Result<(Ticket, oneshot::Receiver<Grant>), Unplaced> {
-        let engines = self.serving();
-        let mut line = self.line();
-        if line.waiters.len() >= self.most_waiting {
-            return Err(Unplaced::Full {
-                after: self.come_back(),
+        requirements: Requirements,
+    ) -> Result<(Ticket, oneshot::Receiver<Grant>), PlacementError> {
+        let engines = self.available_endpoints();
+        let mut queue = self.queue();
+        if queue.waiters.len() >= self.max_queued {
+            return Err(PlacementError::QueueFull {
+                retry_after: self.retry_after(),
             });
         }
-        let output = line.expected_output(&need);
-        let work = work(need.prompt, output);
-        let wait = Duration::from_micros(line.queue.estimate_wait(need.group.0, engines));
-        let service = Duration::from_micros(self.alone(need.prompt, output));
+        let output = queue.expected_output(&requirements);
+        let work = estimate_work(requirements.prompt_tokens, output);
+        let wait = Duration::from_micros(queue.fair.estimate_wait(requirements.group.0, engines));
+        let service =
+            Duration::from_micros(self.estimate_unloaded_time(requirements.prompt_tokens, output));
         let now = Instant::now();
-        if now + wait + service > need.deadline || now + wait > need.start_by {
+        if now + wait + service > requirements.deadline || now + wait > requirements.start_by {
             return Err(if engines == 0 {
-                Unplaced::NoEndpoint { after: COME_BACK }
+                PlacementError::NoEndpoint {
+                    retry_after: DEFAULT_RETRY_AFTER,
+                }
             } else {
-                Unplaced::Late {
-                    after: wait.max(self.come_back()),
+                PlacementError::WouldMissDeadline {
+                    retry_after: wait.max(self.retry_after()),
                 }
             });
         }
         let (sender, receiver) = oneshot::channel();
-        let ticket = line.push(self, need, work, sender);
-        drop(line);
-        self.freed.notify_one();
+        let ticket = queue.push(self, requirements, work, sender);
+        drop(queue);
+        self.changed.notify_one();
         Ok((ticket, receiver))
     }
 
     /// Hands out engines to those that wait, until the engines are full or nobody waits.
     /// Ends when the pool is gone.
-    pub async fn pump(pool: Weak<Self>) {
-        while let Some(freed) = pool.upgrade().map(|pool| Arc::clone(&pool.freed)) {
+    pub async fn run_queue(pool: Weak<Self>) {
+        while let Some(changed) = pool.upgrade().map(|pool| Arc::clone(&pool.changed)) {
             // the look from time to time ends the task of a pool that is gone
-            let _ = tokio::time::timeout(LOOK, freed.notified()).await;
+            let _ = tokio::time::timeout(QUEUE_CHECK_INTERVAL, changed.notified()).await;
             if let Some(pool) = pool.upgrade() {
-                pool.hand_out();
+                pool.grant_waiting();
             }
         }
     }
 
-    fn hand_out(self: &Arc<Self>) {
-        let mut line = self.line();
-        while self.hand_out_one(&mut line) {}
+    fn grant_waiting(self: &Arc<Self>) {
+        let mut queue = self.queue();
+        while self.grant_next(&mut queue) {}
     }
 
     /// Gives the first request that fits its engine; says whether there was one.
-    fn hand_out_one(self: &Arc<Self>, line: &mut Line) -> bool {
-        for (group, waiting) in line.queue.peek(HEADS) {
-            let Some(at) = line.find(waiting.id) else {
+    fn grant_next(self: &Arc<Self>, queue: &mut Queue) -> bool {
+        for (group, queued) in queue.fair.peek(MAX_GROUPS_TRIED) {
+            let Some(at) = queue.find(queued.id) else {
                 continue;
             };
-            let output = line.expected_output(&line.waiters[at].need);
-            let Some(grant) = self.try_place(&line.waiters[at].need, output) else {
+            let output = queue.expected_output(&queue.waiters[at].requirements);
+            let Some(grant) = self.try_place(&queue.waiters[at].requirements, output) else {
                 continue;
             };
-            line.queue.pop(group);
-            let waiter = line.waiters.remove(at);
+            queue.fair.pop(group);
+            let waiter = queue.waiters.remove(at);
             // one that hung up gives its grant back by dropping it
             let _ = waiter.grant.send(grant);
             return true;
@@ -247,133 +254,155 @@
         false
     }
 
-    fn try_place(self: &Arc<Self>, need: &Need, output: u64) -> Option<Grant> {
+    fn try_place(self: &Arc<Self>, requirements: &Requirements, output: u64) -> Option<Grant> {
         let mut entries = self.entries();
-        let (at, view) = self.view(&entries, need);
-        let ask = Request {
-            prompt_tokens: need.prompt,
+        let (indices, candidates) = self.candidates(&entries, requirements);
+        let request = Request {
+            prompt_tokens: requirements.prompt_tokens,
             expected_output_tokens: output,
-            urgent: need.priority >= URGENT_PRIORITY,
-            interactive: load::priority_class(need.priority) > 0,
+            urgent: requirements.priority >= URGENT_PRIORITY,
+            interactive: load::priority_class(requirements.priority) > 0,
         };
-        let choice = route::choose(&view, &ask, &self.weights, rand::random())?;
-        let places = self.hold(&mut entries, &at, &choice, need)?;
-        Some(Grant::new(Arc::clone(self), places))
+        let choice = route::choose(&candidates, &request, &self.weights, rand::random())?;
+        let engines = self.reserve(&mut entries, &indices, &choice, requirements)?;
+        Some(Grant::new(Arc::clone(self), engines))
     }
 
     /// The engines that may take a request, with their indices among the entries. One that has
     /// failed the request gets it again only where there is no other.
-    fn view(&self, entries: &[Entry], need: &Need) -> (Vec<usize>, Vec<route::Engine>) {
-        let fit = |entry: &Entry| entry.serves(need) && self.gates.is_open(&entry.id);
-        let fresh = |entry: &Entry| fit(entry) && !need.avoid.contains(&entry.id);
-        let any_fresh = entries.iter().any(fresh);
+    fn candidates(
+        &self,
+        entries: &[Entry],
+        requirements: &Requirements,
+    ) -> (Vec<usize>, Vec<route::Engine>) {
+        let eligible =
+            |entry: &Entry| entry.can_serve(requirements) && self.gates.is_open(&entry.id);
+        let preferred = |entry: &Entry| eligible(entry) && !requirements.avoid.contains(&entry.id);
+        let any_preferred = entries.iter().any(preferred);
         entries
             .iter()
             .enumerate()
-            .filter(|(_, entry)| if any_fresh { fresh(entry) } else { fit(entry) })
-            .map(|(at, entry)| (at, entry.seen(need)))
+            .filter(|(_, entry)| {
+                if any_preferred {
+                    preferred(entry)
+                } else {
+                    eligible(entry)
+                }
+            })
+            .map(|(at, entry)| (at, entry.to_engine_for(requirements)))
             .unzip()
     }
 
-    fn hold(
+    fn reserve(
         &self,
         entries: &mut [Entry],
-        at: &[usize],
+        indices: &[usize],
         choice: &Choice,
-        need: &Need,
-    ) -> Option<Vec<Place>> {
+        requirements: &Requirements,
+    ) -> Option<Vec<GrantedEngine>> {
         let order: &[usize] = match &choice.placement {
             Placement::Single { engine } => &[*engine],
             Placement::Split { prefill, decode } => &[*prefill, *decode],
         };
-        let mut places = Vec::with_capacity(order.len());
+        let mut engines = Vec::with_capacity(order.len());
         for (nth, engine) in order.iter().enumerate() {
-            let entry = &mut entries[at[*engine]];
-            let hold = self.gates.hold(&entry.id)?;
-            let reading = if nth == 0 { need.prompt } else { 0 };
-            let writes = nth + 1 == order.len();
-            places.push(Place::new(
+            let entry = &mut entries[indices[*engine]];
+            let guard = self.gates.try_acquire(&entry.id)?;
+            let prefill_tokens = if nth == 0 {
+                requirements.prompt_tokens
+            } else {
+                0
+            };
+            let decodes = nth + 1 == order.len();
+            engines.push(GrantedEngine::new(
                 entry,
-                hold,
-                reading,
-                load::priority_class(need.priority),
-                writes,
+                guard,
+                prefill_tokens,
+                load::priority_class(requirements.priority),
+                decodes,
             ));
         }
         // counted only after all holds were had
-        for place in &mut places {
-            place.count(entries);
+        for engine in &mut engines {
+            engine.add_load(entries);
         }
-        Some(places)
+        Some(engines)
     }
 
     /// Engines that take requests now.
-    pub fn serving(&self) -> u64 {
+    pub fn available_endpoints(&self) -> u64 {
         let entries = self.entries();
-        let serving = entries
+        let available = entries
             .iter()
-            .filter(|entry| entry.takes() && self.gates.is_open(&entry.id));
-        u64::try_from(serving.count()).unwrap_or(0)
+            .filter(|entry| entry.accepts_requests() && self.gates.is_open(&entry.id));
+        u64::try_from(available.count()).unwrap_or(0)
     }
 
     /// When a caller that was turned away should try again.
-    pub fn come_back(&self) -> Duration {
+    pub fn retry_after(&self) -> Duration {
         let entries = self.entries();
-        let view: Vec<route::Engine> = entries
+        let candidates: Vec<route::Engine> = entries
             .iter()
-            .filter(|entry| entry.takes())
-            .map(|entry| entry.bare(0))
+            .filter(|entry| entry.accepts_requests())
+            .map(|entry| entry.to_engine(0))
             .collect();
         drop(entries);
-        route::estimate_shortest_wait(&view, &self.weights).map_or(COME_BACK, |us| {
-            Duration::from_micros(to_u64(us)).max(Duration::from_secs(1))
-        })
+        route::estimate_shortest_wait(&candidates, &self.weights)
+            .map_or(DEFAULT_RETRY_AFTER, |us| {
+                Duration::from_micros(to_u64(us)).max(Duration::from_secs(1))
+            })
     }
 
-    fn alone(&self, prompt: u64, output: u64) -> Micros {
-        let rates = self
+    fn estimate_unloaded_time(&self, prompt: u64, output: u64) -> Micros {
+        let latency = self
             .entries()
             .iter()
-            .find(|entry| entry.takes())
-            .map_or_else(BatchLatency::default, |entry| entry.rates);
-        to_u64(to_f64(prompt) * rates.prefill_token_us + to_f64(output) * rates.inter_token_us(1))
+            .find(|entry| entry.accepts_requests())
+            .map_or_else(BatchLatency::default, |entry| entry.latency);
+        to_u64(
+            to_f64(prompt) * latency.prefill_token_us + to_f64(output) * latency.inter_token_us(1),
+        )
     }
 
     /// Notes the end of a whole answer.
-    pub fn finished(&self, group: &str, output: u64) {
-        let mut line = self.line();
-        if let Ok(at) = line
+    pub fn record_output(&self, group: &str, output: u64) {
+        let mut queue = self.queue();
+        if let Ok(at) = queue
             .groups
             .binary_search_by(|name| name.as_str().cmp(group))
         {
-            let mean = &mut line.outputs[at];
-            *mean += OUTPUT_WEIGHT * (to_f64(output) - *mean);
+            let mean = &mut queue.mean_outputs[at];
+            *mean += MEAN_OUTPUT_WEIGHT * (to_f64(output) - *mean);
         }
     }
 
     /// Charges groups for what peers gave them.
-    pub fn charge(&self, usages: &[wire::Usage]) {
-        let mut line = self.line();
+    pub fn charge_peer_usage(&self, usages: &[wire::Usage]) {
+        let mut queue = self.queue();
         for usage in usages {
-            if let Ok(at) = line
+            if let Ok(at) = queue
                 .groups
                 .binary_search_by(|name| name.as_str().cmp(&usage.group))
             {
-                line.queue.charge(at, usage.work);
+                queue.fair.charge(at, usage.work);
             }
         }
     }
 
     /// Takes what live peers have dispatched.
-    pub fn peers(&self, live: &[Member]) {
+    pub fn update_peer_loads(&self, reachable: &[Member]) {
         for entry in self.entries().iter_mut() {
-            entry.peers(live);
+            entry.update_peer_loads(reachable);
         }
-        self.freed.notify_one();
+        self.changed.notify_one();
     }
 
     /// Works on one entry, if the endpoint is of this pool.
-    pub fn with<T>(&self, id: &super::gates::Id, f: impl FnOnce(&mut Entry) -> T) -> Option<T> {
+    pub fn with_entry<T>(
+        &self,
+        id: &super::gates::Id,
+        f: impl FnOnce(&mut Entry) -> T,
+    ) -> Option<T> {
         let mut entries = self.entries();
         let at = entries.binary_search_by(|entry| entry.id.cmp(id)).ok()?;
         Some(f(&mut entries[at]))
@@ -386,11 +415,11 @@
 
     /// Wakes the queue after something has changed.
     pub fn wake(&self) {
-        self.freed.notify_one();
+        self.changed.notify_one();
     }
 
-    fn line(&self) -> MutexGuard<'_, Line> {
-        self.line.lock().unwrap_or_else(PoisonError::into_inner)
+    fn queue(&self) -> MutexGuard<'_, Queue> {
+        self.queue.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn entries(&self) -> MutexGuard<'_, Vec<Entry>> {
@@ -404,8 +433,8 @@
 }
 
 /// The work of a request in microseconds of an engine.
-pub fn work(prompt: u64, output: u64) -> Micros {
-    let rates = BatchLatency::default();
-    let each = rates.inter_token_us(USUAL_BATCH) / to_f64(USUAL_BATCH);
-    to_u64(to_f64(prompt) * rates.prefill_token_us + to_f64(output) * each)
+pub fn estimate_work(prompt: u64, output: u64) -> Micros {
+    let latency = BatchLatency::default();
+    let each = latency.inter_token_us(TYPICAL_BATCH_REQUESTS) / to_f64(TYPICAL_BATCH_REQUESTS);
+    to_u64(to_f64(prompt) * latency.prefill_token_us + to_f64(output) * each)
 }
--- a/components/daemon/src/process/pool/line.rs
+++ b/components/daemon/src/process/pool/queue.rs
@@ -4,46 +4,46 @@
 
 use policy::{
     Micros,
-    fair::{self, Queue, QueuedRequest},
+    fair::{self, Queue as FairQueue, QueuedRequest},
     to_u64,
 };
 use settings::tree::resolve;
 use tokio::sync::oneshot;
 
-use super::{Grant, Need, Pool};
+use super::{Grant, Pool, Requirements};
 
 /// Output that is expected of a group that has not been served yet, in tokens.
-const FIRST_GUESS: f64 = 128.0;
+const INITIAL_OUTPUT_TOKENS: f64 = 128.0;
 
 #[derive(Debug)]
 pub(super) struct Waiter {
     pub(super) id: u64,
     pub(super) group: usize,
-    pub(super) need: Need,
+    pub(super) requirements: Requirements,
     pub(super) grant: oneshot::Sender<Grant>,
 }
 
 #[derive(Debug)]
-pub(super) struct Line {
-    pub(super) queue: Queue,
+pub(super) struct Queue {
+    pub(super) fair: FairQueue,
     /// Names of the groups that the queue's indices stand for.
     pub(super) groups: Vec<String>,
     /// Average length of the groups' answers, in tokens.
-    pub(super) outputs: Vec<f64>,
+    pub(super) mean_outputs: Vec<f64>,
     /// Sorted by number.
     pub(super) waiters: Vec<Waiter>,
-    next: u64,
+    last_id: u64,
 }
 
-impl Line {
+impl Queue {
     /// Nobody waits, and no group is known yet.
     pub(super) fn new() -> Self {
         Self {
-            queue: Queue::new(&[]),
+            fair: FairQueue::new(&[]),
             groups: Vec::new(),
-            outputs: Vec::new(),
+            mean_outputs: Vec::new(),
             waiters: Vec::new(),
-            next: 0,
+            last_id: 0,
         }
     }
 
@@ -53,33 +53,34 @@
             .ok()
     }
 
-    pub(super) fn expected_output(&self, need: &Need) -> u64 {
-        let mean = self.outputs.get(need.group.0).copied();
-        to_u64(mean.unwrap_or(FIRST_GUESS)).clamp(1, need.most_output.max(1))
+    pub(super) fn expected_output(&self, requirements: &Requirements) -> u64 {
+        let mean = self.mean_outputs.get(requirements.group.0).copied();
+        to_u64(mean.unwrap_or(INITIAL_OUTPUT_TOKENS))
+            .clamp(1, requirements.max_output_tokens.max(1))
     }
 
     pub(super) fn push(
         &mut self,
         pool: &Arc<Pool>,
-        need: Need,
+        requirements: Requirements,
         work: Micros,
         grant: oneshot::Sender<Grant>,
     ) -> Ticket {
-        self.next += 1;
-        let id = self.next;
-        let group = need.group.0;
-        let start_by = need.start_by;
-        let waiting = QueuedRequest {
+        self.last_id += 1;
+        let id = self.last_id;
+        let group = requirements.group.0;
+        let start_by = requirements.start_by;
+        let queued = QueuedRequest {
             id,
-            priority: need.priority,
+            priority: requirements.priority,
             work,
             deadline: pool.micros(start_by),
         };
-        self.queue.push(group, waiting);
+        self.fair.push(group, queued);
         self.waiters.push(Waiter {
             id,
             group,
-            need,
+            requirements,
             grant,
         });
         Ticket {
@@ -100,32 +101,33 @@
                 share: group.share,
             })
             .collect();
-        let outputs = names
+        let mean_outputs = names
             .iter()
             .map(|name| match self.groups.binary_search(name) {
-                Ok(at) => self.outputs[at],
-                Err(_) => FIRST_GUESS,
+                Ok(at) => self.mean_outputs[at],
+                Err(_) => INITIAL_OUTPUT_TOKENS,
             })
             .collect();
-        let mut old = std::mem::replace(&mut self.queue, Queue::new(&groups));
-        self.outputs = outputs;
+        let mut old = std::mem::replace(&mut self.fair, FairQueue::new(&groups));
+        self.mean_outputs = mean_outputs;
         self.groups = names;
         // a group that is gone takes its waiting requests along: their grant's sender drops
         let known = &self.groups;
-        self.waiters
-            .retain_mut(|waiter| match known.binary_search(&waiter.need.group.1) {
+        self.waiters.retain_mut(
+            |waiter| match known.binary_search(&waiter.requirements.group.1) {
                 Ok(at) => {
-                    waiter.need.group.0 = at;
+                    waiter.requirements.group.0 = at;
                     true
                 }
                 Err(_) => false,
-            });
-        while let Some((old_group, waiting)) = old.peek(1).first().copied() {
+            },
+        );
+        while let Some((old_group, queued)) = old.peek(1).first().copied() {
             old.pop(old_group);
-            if let Some(at) = self.find(waiting.id) {
-                let group = self.waiters[at].need.group.0;
+            if let Some(at) = self.find(queued.id) {
+                let group = self.waiters[at].requirements.group.0;
                 self.waiters[at].group = group;
-                self.queue.push(group, waiting);
+                self.fair.push(group, queued);
             }
         }
     }
@@ -141,10 +143,10 @@
 
 impl Drop for Ticket {
     fn drop(&mut self) {
-        let mut line = self.pool.line();
-        if let Some(at) = line.find(self.id) {
-            let waiter = line.waiters.remove(at);
-            line.queue.remove(waiter.group, self.id);
+        let mut queue = self.pool.queue();
+        if let Some(at) = queue.find(self.id) {
+            let waiter = queue.waiters.remove(at);
+            queue.fair.remove(waiter.group, self.id);
         }
     }
 }
--- a/components/daemon/src/process/registration.rs
+++ b/components/daemon/src/process/registration.rs
@@ -13,7 +13,7 @@
 use super::{
     Process,
     gates::Id,
-    store::{self, under},
+    store::{self, by_prefix},
 };
 
 /// Prefix of the rows.
@@ -34,7 +34,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
     /// The first try is under way; nothing is dispatched yet.
-    Trying,
+    Registering,
     /// The table did not answer. The daemon serves on what its peers tell it.
     Unregistered,
     /// Registered, and what is being closed was read after that.
@@ -42,69 +42,72 @@
 }
 
 /// Registers as soon as the table answers.
-pub async fn keep(process: Arc<Process>) {
-    let mut pause = FIRST_PAUSE;
+pub async fn run(process: Arc<Process>) {
+    let mut backoff = INITIAL_BACKOFF;
     while !register(&process).await {
         process.registration.send_replace(State::Unregistered);
         // spread, so that all daemons don't knock at once when the table is back
         let jitter = rand::random_range(0.5..1.5);
-        tokio::time::sleep(pause.mul_f64(jitter)).await;
-        pause = (pause * 2).min(LONGEST_PAUSE);
+        tokio::time::sleep(backoff.mul_f64(jitter)).await;
+        backoff = (backoff * 2).min(MAX_BACKOFF);
     }
     process.registration.send_replace(State::Registered);
 }
 
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
-const LONGEST_PAUSE: Duration = Duration::from_secs(3);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
+const MAX_BACKOFF: Duration = Duration::from_secs(3);
 
 async fn register(process: &Process) -> bool {
-    let Ok(rows) = process.store.read(under(PREFIX)).await else {
+    let Ok(rows) = process.store.read(by_prefix(PREFIX)).await else {
         return false;
     };
     for row in &rows {
-        if let Some(one) = store::value::<Registered>(Some(row)) {
-            process.members.learn(&to_wire(&one));
+        if let Some(registered) = store::parse::<Registered>(Some(row)) {
+            process.members.add_advertised(&to_wire(&registered));
         }
     }
-    let me = Registered {
-        incarnation: process.me,
+    let own = Registered {
+        incarnation: process.incarnation,
         address: process.addresses.peers,
         data_centre: process.settings.daemon.data_centre.clone(),
     };
-    let key = key(process.me);
-    let text = store::text(&me);
+    let key = key(process.incarnation);
+    let text = store::to_json(&own);
     let mut transaction = Transaction::default().write(&key, text.clone());
-    for old in others(&rows, &me) {
+    for old in replaced_registrations(&rows, &own) {
         transaction = transaction.remove(&old);
     }
-    let done = process.store.commit_sure(transaction, &key, &text).await;
-    if done.is_err() {
+    let committed = process
+        .store
+        .commit_confirmed(transaction, &key, &text)
+        .await;
+    if committed.is_err() {
         return false;
     }
-    close_what_is_closing(process).await
+    close_gates(process).await
 }
 
 /// Incarnations before this one at the same address: only one process can listen there.
-fn others(rows: &[Row], me: &Registered) -> Vec<String> {
+fn replaced_registrations(rows: &[Row], own: &Registered) -> Vec<String> {
     rows.iter()
-        .filter_map(|row| store::value::<Registered>(Some(row)))
-        .filter(|other| other.address == me.address && other.incarnation != me.incarnation)
+        .filter_map(|row| store::parse::<Registered>(Some(row)))
+        .filter(|other| other.address == own.address && other.incarnation != own.incarnation)
         .map(|other| key(other.incarnation))
         .collect()
 }
 
-async fn close_what_is_closing(process: &Process) -> bool {
-    let Ok(rows) = process.store.read(under(super::orders::PREFIX)).await else {
+async fn close_gates(process: &Process) -> bool {
+    let Ok(rows) = process.store.read(by_prefix(super::orders::PREFIX)).await else {
         return false;
     };
     for row in &rows {
         let (Some(id), Some(order)) = (
             super::orders::id_of(&row.key),
-            store::value::<order::Row>(Some(row)),
+            store::parse::<order::Row>(Some(row)),
         ) else {
             continue;
         };
-        if order.closes(reached(process, &id, &order)) {
+        if order.closes(is_fulfilled(process, &id, &order)) {
             process.gates.close(&id, order.number);
         }
     }
@@ -112,9 +115,9 @@
 }
 
 /// Whether the endpoint's own report says that it has what the order wants.
-pub fn reached(process: &Process, id: &Id, order: &order::Row) -> bool {
+pub fn is_fulfilled(process: &Process, id: &Id, order: &order::Row) -> bool {
     process.all_pools().iter().any(|pool| {
-        pool.with(id, |entry| {
+        pool.with_entry(id, |entry| {
             entry.report.as_ref().is_some_and(|(report, _)| {
                 report.number >= order.number && !report.changing && report.holds == order.wanted
             })
@@ -124,17 +127,17 @@
 }
 
 /// A registered daemon as a member.
-pub fn to_wire(one: &Registered) -> wire::Member {
+pub fn to_wire(registered: &Registered) -> wire::Member {
     wire::Member {
-        incarnation: one.incarnation.0,
-        address: one.address.to_string(),
-        data_centre: one.data_centre.clone(),
+        incarnation: registered.incarnation.0,
+        address: registered.address.to_string(),
+        data_centre: registered.data_centre.clone(),
     }
 }
 
 /// Takes the registration away, at the end of a planned stop.
-pub async fn leave(process: &Process) {
-    let transaction = Transaction::default().remove(&key(process.me));
+pub async fn deregister(process: &Process) {
+    let transaction = Transaction::default().remove(&key(process.incarnation));
     // left behind by an outage, it is taken away by whoever finds it gone
     let _ = process.store.commit(transaction).await;
 }
--- a/components/daemon/src/process/sync.rs
+++ b/components/daemon/src/process/settings_sync.rs
@@ -16,24 +16,24 @@
     gates::Id,
     pool::Pool,
     registration,
-    store::{self, rows},
+    store::{self, by_keys},
 };
 
 /// Key of the head row.
-pub const HEAD: &str = "settings/head";
+pub const HEAD_KEY: &str = "settings/head";
 /// Prefix of the nodes' rows.
-pub const NODES: &str = "settings/node/";
+pub const NODE_PREFIX: &str = "settings/node/";
 /// Prefix of the changes' rows.
-pub const LOG: &str = "settings/log/";
+pub const LOG_PREFIX: &str = "settings/log/";
 /// Up to this many changes are fetched one by one; more are fetched as a whole tree.
-const MOST_CHANGES: u64 = 64;
+const MAX_REPLAYED_CHANGES: u64 = 64;
 /// Of a data centre's daemons, this many poll the head at the full pace; the others hear of it from
 /// them and poll slowly.
-const POLLERS: usize = 2;
-const SLOW_FACTOR: u32 = 5;
+const POLLERS_PER_DATA_CENTRE: usize = 2;
+const NON_POLLER_INTERVAL_FACTOR: u32 = 5;
 /// The longest time for a whole tree from a peer: the largest that was measured, 5.6 MB at 45,000 groups, comes in that
 /// at 2 Mbit/s. A peer that falls silent is given up sooner, see `super::members`.
-const FETCH: Duration = Duration::from_secs(25);
+const FETCH_TIMEOUT: Duration = Duration::from_secs(25);
 
 /// The head row.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -45,27 +45,27 @@
 }
 
 /// Polls the head as long as the process lives.
-pub async fn keep(process: Arc<Process>) {
-    let pause: Duration = process.settings.control.settings_poll.into();
-    let mut slow_until = Instant::now();
+pub async fn run(process: Arc<Process>) {
+    let interval: Duration = process.settings.control.settings_poll.into();
+    let mut next_slow_poll = Instant::now();
     let mut registration = process.registration.subscribe();
     // a daemon dispatches only after it has registered, or else on what its peers tell it
     let _ = registration
-        .wait_for(|state| *state != registration::State::Trying)
+        .wait_for(|state| *state != registration::State::Registering)
         .await;
     loop {
         let first = process.current.get().is_none();
         let registered = *process.registration.borrow() == registration::State::Registered;
         match () {
-            () if first && !registered => from_peers(&process).await,
-            () if !first && !is_poller(&process) && Instant::now() < slow_until => {}
+            () if first && !registered => update_from_peers(&process).await,
+            () if !first && !is_poller(&process) && Instant::now() < next_slow_poll => {}
             () => {
-                slow_until = Instant::now() + pause * SLOW_FACTOR;
-                from_table(&process).await;
+                next_slow_poll = Instant::now() + interval * NON_POLLER_INTERVAL_FACTOR;
+                update_from_table(&process).await;
             }
         }
         let jitter = rand::random_range(0.8..1.2);
-        tokio::time::sleep(pause.mul_f64(jitter)).await;
+        tokio::time::sleep(interval.mul_f64(jitter)).await;
     }
 }
 
@@ -73,32 +73,32 @@
 pub fn is_poller(process: &Process) -> bool {
     let before = process
         .members
-        .live()
+        .reachable()
         .iter()
         .filter(|member| member.data_centre == process.settings.daemon.data_centre)
-        .filter(|member| member.incarnation < process.me)
+        .filter(|member| member.incarnation < process.incarnation)
         .count();
-    before < POLLERS
+    before < POLLERS_PER_DATA_CENTRE
 }
 
 /// Brings the newest version from the table; says whether the table answered.
-pub async fn from_table(process: &Arc<Process>) -> bool {
-    let Ok(head) = process.store.read(rows(&[HEAD])).await else {
+pub async fn update_from_table(process: &Arc<Process>) -> bool {
+    let Ok(head) = process.store.read(by_keys(&[HEAD_KEY])).await else {
         return false;
     };
-    let head: Head = store::value(store::find(&head, HEAD)).unwrap_or_default();
+    let head: Head = store::parse(store::find(&head, HEAD_KEY)).unwrap_or_default();
     match process.current.get() {
         Some(current) if head.version <= current.tree.version => true,
-        Some(current) if head.version - current.tree.version <= MOST_CHANGES => {
+        Some(current) if head.version - current.tree.version <= MAX_REPLAYED_CHANGES => {
             match replay(process, &current.tree, head.version).await {
                 Some(tree) => {
                     apply(process, tree);
                     true
                 }
-                None => whole(process).await,
+                None => read_whole_tree(process).await,
             }
         }
-        _ => whole(process).await,
+        _ => read_whole_tree(process).await,
     }
 }
 
@@ -112,41 +112,43 @@
     let rows = process.store.read(read).await.ok()?;
     let mut tree = tree.clone();
     for key in keys {
-        let change: Change = store::value(store::find(&rows, &key))?;
+        let change: Change = store::parse(store::find(&rows, &key))?;
         tree = tree.apply(&change.edits).ok()?;
     }
     Some(tree)
 }
 
-async fn whole(process: &Arc<Process>) -> bool {
+async fn read_whole_tree(process: &Arc<Process>) -> bool {
     let read = Read {
-        keys: vec![HEAD.to_owned()],
-        prefixes: vec![NODES.to_owned()],
+        keys: vec![HEAD_KEY.to_owned()],
+        prefixes: vec![NODE_PREFIX.to_owned()],
     };
     let Ok(rows) = process.store.read(read).await else {
         return false;
     };
-    let head: Head = store::value(store::find(&rows, HEAD)).unwrap_or_default();
-    let nodes: Vec<Node> = rows.iter().filter_map(node).collect();
+    let head: Head = store::parse(store::find(&rows, HEAD_KEY)).unwrap_or_default();
+    let nodes: Vec<Node> = rows.iter().filter_map(parse_node).collect();
     apply(process, Tree::new(head.version, nodes));
     true
 }
 
-fn node(row: &Row) -> Option<Node> {
-    row.key.strip_prefix(NODES)?;
-    store::value(Some(row))
+fn parse_node(row: &Row) -> Option<Node> {
+    row.key.strip_prefix(NODE_PREFIX)?;
+    store::parse(Some(row))
 }
 
 /// The key of a change's row.
 pub fn log_key(version: u64) -> String {
-    format!("{LOG}{version:012}")
+    format!("{LOG_PREFIX}{version:012}")
 }
 
 /// While the table is down a new daemon takes the highest version of its peers.
-async fn from_peers(process: &Arc<Process>) {
+async fn update_from_peers(process: &Arc<Process>) {
     let addresses = process.members.addresses(process.addresses.peers);
-    let asked = addresses.into_iter().map(|address| fetch(process, address));
-    let trees = futures::future::join_all(asked).await;
+    let fetches = addresses
+        .into_iter()
+        .map(|address| fetch_from_peer(process, address));
+    let trees = futures::future::join_all(fetches).await;
     let trees: Vec<wire::Tree> = trees.into_iter().flatten().collect();
     for closed in trees.iter().flat_map(|tree| &tree.closed) {
         let id = Id {
@@ -161,10 +163,10 @@
 }
 
 /// Fetches the settings of a peer; none when it has none or doesn't answer.
-pub async fn fetch(process: &Process, address: SocketAddr) -> Option<wire::Tree> {
+pub async fn fetch_from_peer(process: &Process, address: SocketAddr) -> Option<wire::Tree> {
     let mut client = process.members.client(address)?;
     let call = client.fetch(wire::FetchRequest {});
-    let tree = match tokio::time::timeout(FETCH, call).await {
+    let tree = match tokio::time::timeout(FETCH_TIMEOUT, call).await {
         Ok(Ok(reply)) => reply.into_inner(),
         Ok(Err(status)) => {
             log::warn!(peer:% = address, status:%; "a peer's settings were not read");
@@ -191,7 +193,7 @@
         for service in &snapshot.typed.services {
             if let Err(at) = pools.binary_search_by(|pool| pool.service.as_str().cmp(&service.name))
             {
-                pools.insert(at, open_pool(process, &service.name));
+                pools.insert(at, start_pool(process, &service.name));
             }
         }
     }
@@ -208,7 +210,7 @@
     log::info!("settings version {version} is in force");
 }
 
-fn open_pool(process: &Process, service: &str) -> Arc<Pool> {
+fn start_pool(process: &Process, service: &str) -> Arc<Pool> {
     let pool = Arc::new(Pool::new(
         service,
         process.gates.clone(),
@@ -216,7 +218,7 @@
         process.settings.limits.queue_requests,
     ));
     // ends by itself when the pool is gone
-    tokio::spawn(Pool::pump(Arc::downgrade(&pool)));
+    tokio::spawn(Pool::run_queue(Arc::downgrade(&pool)));
     pool
 }
 
--- a/components/daemon/src/process/stop.rs
+++ b/components/daemon/src/process/shutdown.rs
@@ -11,14 +11,14 @@
     process.phase.send_if_modified(|phase| {
         let begins = *phase == Phase::Serving;
         if begins {
-            *phase = Phase::Lag;
+            *phase = Phase::NotReady;
         }
         begins
     });
 }
 
 /// Waits for a planned stop to begin and carries it out.
-pub async fn carry_out(process: Arc<Process>) {
+pub async fn run(process: Arc<Process>) {
     let mut phase = process.phase.subscribe();
     // the sender lives as long as the process
     let _ = phase.wait_for(|phase| *phase != Phase::Serving).await;
@@ -30,19 +30,19 @@
     tokio::time::sleep(process.settings.control.stop_lag.into()).await;
     process.phase.send_replace(Phase::Draining);
     let grace: Duration = process.settings.control.stop_grace.into();
-    let mut under_way = process.under_way.subscribe();
+    let mut in_flight = process.in_flight.subscribe();
     let mut connections = process.connections.subscribe();
-    let empty = async {
+    let drained = async {
         // a connection ends only after its last answer is written out
-        let _ = under_way.wait_for(|count| *count == 0).await;
+        let _ = in_flight.wait_for(|count| *count == 0).await;
         let _ = connections.wait_for(|count| *count == 0).await;
     };
-    if tokio::time::timeout(grace, empty).await.is_err() {
-        let cut = *process.under_way.borrow();
+    if tokio::time::timeout(grace, drained).await.is_err() {
+        let cut = *process.in_flight.borrow();
         process.metrics.cut.inc_by(u64::try_from(cut).unwrap_or(0));
         log::warn!("planned stop: grace is over, {cut} requests are cut");
     }
-    registration::leave(&process).await;
-    process.phase.send_replace(Phase::Ended);
+    registration::deregister(&process).await;
+    process.phase.send_replace(Phase::Stopped);
     log::info!("planned stop ends");
 }
--- a/components/daemon/src/process/status.rs
+++ b/components/daemon/src/process/status.rs
@@ -35,9 +35,9 @@
     match request.uri().path() {
         "/metrics" => reply(StatusCode::OK, process.metrics.text()),
         "/healthz" => reply(StatusCode::OK, b"alive\n".to_vec()),
-        "/readyz" => match not_ready(process) {
+        "/readyz" => match not_ready_reason(process) {
             None => reply(StatusCode::OK, b"ready\n".to_vec()),
-            Some(why) => reply(StatusCode::SERVICE_UNAVAILABLE, why.into()),
+            Some(reason) => reply(StatusCode::SERVICE_UNAVAILABLE, reason.into()),
         },
         _ => reply(
             StatusCode::NOT_FOUND,
@@ -46,7 +46,7 @@
     }
 }
 
-fn not_ready(process: &Process) -> Option<&'static str> {
+fn not_ready_reason(process: &Process) -> Option<&'static str> {
     match () {
         () if *process.phase.borrow() != Phase::Serving => Some("stopping\n"),
         () if process.current.get().is_none() => Some("no settings yet\n"),
--- a/components/daemon/src/process/steward/mod.rs
+++ b/components/daemon/src/process/steward/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! Any registered daemon may hold one. See `docs/DESIGN.md#stewardship`.
 
-mod roles;
+mod planner;
 
 use std::{
     sync::{Arc, Mutex},
@@ -21,12 +21,12 @@
     Phase, Process, lock, orders, registration,
     store::{self, find},
 };
-use roles::Planner;
+use planner::Planner;
 
 /// The lease under which a steward commits: a transaction that checks its row can't be committed by
 /// a former steward.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Held {
+pub struct HeldLease {
     /// Key of the lease row.
     pub key: String,
     /// Version of the lease row, which changes only with its holder.
@@ -40,24 +40,24 @@
 }
 
 /// What a daemon knows of one stewardship.
-struct Seat {
+struct Stewardship {
     service: String,
     watch: Option<Watch>,
-    held: Option<Held>,
+    held: Option<HeldLease>,
     /// Until when this daemon may act without another renewal.
-    until: Instant,
+    valid_until: Instant,
     planner: Planner,
     /// Whether an order is being carried out.
-    busy: Arc<tokio::sync::Semaphore>,
-    seen: Option<Lease>,
+    order_permit: Arc<tokio::sync::Semaphore>,
+    last_lease: Option<Lease>,
 }
 
 /// The stewardships of this daemon's data centre.
 #[derive(Default)]
-pub struct Stewardships(Mutex<Vec<Seat>>);
+pub struct Stewardships(Mutex<Vec<Stewardship>>);
 
 /// What is told of a stewardship.
-pub struct Report {
+pub struct Status {
     /// The service.
     pub service: String,
     /// The lease as last read.
@@ -66,51 +66,51 @@
 
 impl Stewardships {
     /// What is known of each stewardship.
-    pub fn reports(&self) -> Vec<Report> {
+    pub fn statuses(&self) -> Vec<Status> {
         lock(&self.0)
             .iter()
-            .map(|seat| Report {
-                service: seat.service.clone(),
-                lease: seat.seen,
+            .map(|stewardship| Status {
+                service: stewardship.service.clone(),
+                lease: stewardship.last_lease,
             })
             .collect()
     }
 }
 
 /// How often in a term a holder renews.
-const RENEWALS: u32 = 4;
+const RENEWALS_PER_TERM: u32 = 4;
 
 /// Takes, renews and uses stewardships as long as the process lives.
-pub async fn keep(process: Arc<Process>) {
+pub async fn run(process: Arc<Process>) {
     let term: Duration = process.settings.control.lease_term.into();
     loop {
         let jitter = rand::random_range(0.8..1.2);
-        tokio::time::sleep((term / RENEWALS).mul_f64(jitter)).await;
-        let may = *process.registration.borrow() == registration::State::Registered
+        tokio::time::sleep((term / RENEWALS_PER_TERM).mul_f64(jitter)).await;
+        let eligible = *process.registration.borrow() == registration::State::Registered
             && *process.phase.borrow() == Phase::Serving;
-        if may {
-            for service in services(&process) {
-                visit(&process, &service).await;
+        if eligible {
+            for service in engine_services(&process) {
+                renew_or_take_over(&process, &service).await;
             }
         }
     }
 }
 
 /// Services with engines in this daemon's data centre.
-fn services(process: &Process) -> Vec<String> {
+fn engine_services(process: &Process) -> Vec<String> {
     let Some(current) = process.current.get() else {
         return Vec::new();
     };
-    let here = &process.settings.daemon.data_centre;
-    let engines = |name: &str| {
+    let data_centre = &process.settings.daemon.data_centre;
+    let has_engines = |name: &str| {
         let mut endpoints = current.typed.endpoints.iter();
-        endpoints.any(|e| e.service == name && e.data_centre == *here)
+        endpoints.any(|e| e.service == name && e.data_centre == *data_centre)
     };
     current
         .typed
         .services
         .iter()
-        .filter(|service| service.kind == ServiceKind::Engines && engines(&service.name))
+        .filter(|service| service.kind == ServiceKind::Engines && has_engines(&service.name))
         .map(|service| service.name.clone())
         .collect()
 }
@@ -123,51 +123,51 @@
     format!("renewal/{service}/{data_centre}")
 }
 
-async fn visit(process: &Arc<Process>, service: &str) {
-    let here = process.settings.daemon.data_centre.clone();
-    let lease_key = lease_key(service, &here);
-    let renewal_key = renewal_key(service, &here);
+async fn renew_or_take_over(process: &Arc<Process>, service: &str) {
+    let data_centre = process.settings.daemon.data_centre.clone();
+    let lease_key = lease_key(service, &data_centre);
+    let renewal_key = renewal_key(service, &data_centre);
     let read = Read {
         keys: vec![lease_key.clone(), renewal_key.clone()],
         prefixes: vec![
-            format!("{}{here}/", orders::PREFIX),
-            format!("{}{here}/", orders::REQUESTS),
+            format!("{}{data_centre}/", orders::PREFIX),
+            format!("{}{data_centre}/", orders::REQUEST_PREFIX),
             registration::PREFIX.to_owned(),
         ],
     };
     // counted from before the request was sent
-    let asked = Instant::now();
+    let sent_at = Instant::now();
     let Ok(rows) = process.store.read(read).await else {
         return;
     };
     let lease_row = find(&rows, &lease_key);
     let renewal_row = find(&rows, &renewal_key);
-    let lease: Option<Lease> = store::value(lease_row);
-    let renewal: Renewal = store::value(renewal_row).unwrap_or_default();
-    let (held, lapsed) = look(process, service, lease, renewal);
-    let versions = (store::version(lease_row), store::version(renewal_row));
+    let lease: Option<Lease> = store::parse(lease_row);
+    let renewal: Renewal = store::parse(renewal_row).unwrap_or_default();
+    let (held, lapsed) = observe(process, service, lease, renewal);
+    let row_versions = (store::version_of(lease_row), store::version_of(renewal_row));
     match (held, lease) {
-        (Some(held), Some(lease)) if held.version == versions.0 => {
+        (Some(held), Some(lease)) if held.version == row_versions.0 => {
             let next = Renewal {
                 epoch: lease.epoch,
                 count: renewal.count + 1,
             };
             let renew = Transaction::default()
-                .check(&lease_key, versions.0)
-                .write(&renewal_key, store::text(&next));
+                .check(&lease_key, row_versions.0)
+                .write(&renewal_key, store::to_json(&next));
             if let Ok(Outcome::Committed(_)) = process.store.commit(renew).await {
-                renewed(process, service, asked);
-                work(process, service, &held, &rows);
+                extend(process, service, sent_at);
+                start_next_task(process, service, &held, &rows);
             }
         }
-        (Some(_), _) => lose(process, service),
+        (Some(_), _) => record_loss(process, service),
         (None, _) if lapsed => {
-            take(
+            take_over(
                 process,
                 service,
                 (&lease_key, &renewal_key),
                 lease,
-                versions,
+                row_versions,
             )
             .await;
         }
@@ -176,99 +176,107 @@
 }
 
 /// Notes what was read and says what is held and whether the holder may be replaced.
-fn look(
+fn observe(
     process: &Process,
     service: &str,
     lease: Option<Lease>,
     renewal: Renewal,
-) -> (Option<Held>, bool) {
+) -> (Option<HeldLease>, bool) {
     let term: Duration = process.settings.control.lease_term.into();
     let now_ms = millis(process.started.elapsed());
-    let mut seats = lock(&process.stewardships.0);
-    let seat = match seats.binary_search_by(|seat| seat.service.as_str().cmp(service)) {
-        Ok(at) => &mut seats[at],
+    let mut stewardships = lock(&process.stewardships.0);
+    let stewardship = match stewardships
+        .binary_search_by(|stewardship| stewardship.service.as_str().cmp(service))
+    {
+        Ok(at) => &mut stewardships[at],
         Err(at) => {
-            seats.insert(at, Seat::new(service));
-            &mut seats[at]
+            stewardships.insert(at, Stewardship::new(service));
+            &mut stewardships[at]
         }
     };
-    seat.seen = lease;
-    let watch = seat
+    stewardship.last_lease = lease;
+    let watch = stewardship
         .watch
         .get_or_insert_with(|| Watch::new(renewal, now_ms));
     watch.see(renewal, now_ms);
     let lapsed = watch.lapsed(lease.as_ref(), now_ms, millis(term));
-    (seat.held.clone(), lapsed)
+    (stewardship.held.clone(), lapsed)
 }
 
-impl Seat {
+impl Stewardship {
     fn new(service: &str) -> Self {
         Self {
             service: service.to_owned(),
             watch: None,
             held: None,
-            until: Instant::now(),
+            valid_until: Instant::now(),
             planner: Planner::default(),
-            busy: Arc::new(tokio::sync::Semaphore::new(1)),
-            seen: None,
+            order_permit: Arc::new(tokio::sync::Semaphore::new(1)),
+            last_lease: None,
         }
     }
 }
 
-fn with<T>(process: &Process, service: &str, f: impl FnOnce(&mut Seat) -> T) -> Option<T> {
-    let mut seats = lock(&process.stewardships.0);
-    let at = seats
-        .binary_search_by(|seat| seat.service.as_str().cmp(service))
+fn with_stewardship<T>(
+    process: &Process,
+    service: &str,
+    f: impl FnOnce(&mut Stewardship) -> T,
+) -> Option<T> {
+    let mut stewardships = lock(&process.stewardships.0);
+    let at = stewardships
+        .binary_search_by(|stewardship| stewardship.service.as_str().cmp(service))
         .ok()?;
-    Some(f(&mut seats[at]))
+    Some(f(&mut stewardships[at]))
 }
 
-fn renewed(process: &Process, service: &str, asked: Instant) {
+fn extend(process: &Process, service: &str, sent_at: Instant) {
     let term = millis(process.settings.control.lease_term.into());
-    let until = asked + Duration::from_millis(lease::until(0, term));
-    with(process, service, |seat| seat.until = until);
+    let until = sent_at + Duration::from_millis(lease::until(0, term));
+    with_stewardship(process, service, |stewardship| {
+        stewardship.valid_until = until;
+    });
 }
 
-async fn take(
+async fn take_over(
     process: &Arc<Process>,
     service: &str,
     (lease_key, renewal_key): (&str, &str),
     lease: Option<Lease>,
     (lease_version, renewal_version): (u64, u64),
 ) {
-    let next = lease::take(lease.as_ref(), process.me);
-    let text = store::text(&next);
+    let next = lease::take(lease.as_ref(), process.incarnation);
+    let text = store::to_json(&next);
     let renewal = Renewal {
         epoch: next.epoch,
         count: 0,
     };
-    let asked = Instant::now();
+    let sent_at = Instant::now();
     // a renewal that came meanwhile wins over the take-over
     let transaction = Transaction::default()
         .check(lease_key, lease_version)
         .check(renewal_key, renewal_version)
         .write(lease_key, text.clone())
-        .write(renewal_key, store::text(&renewal));
+        .write(renewal_key, store::to_json(&renewal));
     let outcome = process
         .store
-        .commit_sure(transaction, lease_key, &text)
+        .commit_confirmed(transaction, lease_key, &text)
         .await;
     let Ok(Outcome::Committed(version)) = outcome else {
         return;
     };
-    let held = Held {
+    let held = HeldLease {
         key: lease_key.to_owned(),
         version,
         epoch: next.epoch,
         service: service.to_owned(),
         data_centre: process.settings.daemon.data_centre.clone(),
     };
-    with(process, service, |seat| {
-        seat.held = Some(held);
-        seat.watch = None;
-        seat.planner = Planner::default();
+    with_stewardship(process, service, |stewardship| {
+        stewardship.held = Some(held);
+        stewardship.watch = None;
+        stewardship.planner = Planner::default();
     });
-    renewed(process, service, asked);
+    extend(process, service, sent_at);
     let detail = format!("epoch {}", next.epoch);
     process
         .timeline
@@ -278,17 +286,17 @@
 
 /// Whether the lease still runs by this daemon's own clock. Safety doesn't rest on it: the epoch
 /// in the table does that.
-pub fn acts(process: &Process, held: &Held) -> bool {
-    with(process, &held.service, |seat| {
-        seat.held.as_ref() == Some(held) && Instant::now() < seat.until
+pub fn is_lease_valid(process: &Process, held: &HeldLease) -> bool {
+    with_stewardship(process, &held.service, |stewardship| {
+        stewardship.held.as_ref() == Some(held) && Instant::now() < stewardship.valid_until
     })
     .unwrap_or(false)
 }
 
-fn lose(process: &Process, service: &str) {
-    with(process, service, |seat| {
-        seat.held = None;
-        seat.watch = None;
+fn record_loss(process: &Process, service: &str) {
+    with_stewardship(process, service, |stewardship| {
+        stewardship.held = None;
+        stewardship.watch = None;
     });
     process
         .timeline
@@ -297,14 +305,15 @@
 }
 
 /// Starts what has to be done with the engines, unless an order is being carried out.
-fn work(process: &Arc<Process>, service: &str, held: &Held, rows: &[Row]) {
-    let Some(Ok(permit)) = with(process, service, |seat| {
-        Arc::clone(&seat.busy).try_acquire_owned()
+fn start_next_task(process: &Arc<Process>, service: &str, held: &HeldLease, rows: &[Row]) {
+    let Some(Ok(permit)) = with_stewardship(process, service, |stewardship| {
+        Arc::clone(&stewardship.order_permit).try_acquire_owned()
     }) else {
         return;
     };
-    let planned = with(process, service, |seat| {
-        (Instant::now() < seat.until).then(|| seat.planner.plan(process, held, rows))
+    let planned = with_stewardship(process, service, |stewardship| {
+        (Instant::now() < stewardship.valid_until)
+            .then(|| stewardship.planner.plan(process, held, rows))
     });
     let Some(Some(task)) = planned.flatten() else {
         return;
@@ -312,25 +321,25 @@
     let process = Arc::clone(process);
     let held = held.clone();
     tokio::spawn(async move {
-        orders::carry_out(&process, &held, task).await;
+        orders::execute(&process, &held, task).await;
         drop(permit);
     });
 }
 
 /// Gives all stewardships up, so that others need not wait for the term to end.
 pub async fn release_all(process: &Process) {
-    let held: Vec<Held> = lock(&process.stewardships.0)
+    let held: Vec<HeldLease> = lock(&process.stewardships.0)
         .iter_mut()
-        .filter_map(|seat| seat.held.take())
+        .filter_map(|stewardship| stewardship.held.take())
         .collect();
     for held in held {
         let lease = Lease {
             epoch: held.epoch,
-            holder: Some(process.me),
+            holder: Some(process.incarnation),
         };
         let transaction = Transaction::default()
             .check(&held.key, held.version)
-            .write(&held.key, store::text(&lease::release(&lease)));
+            .write(&held.key, store::to_json(&lease::release(&lease)));
         // without an answer the lease lapses by itself
         let _ = process.store.commit(transaction).await;
         log::info!("gave up the stewardship of {}", held.service);
--- a/components/daemon/src/process/steward/roles.rs
+++ b/components/daemon/src/process/steward/planner.rs
@@ -13,21 +13,21 @@
     order::{self, Role, Step, Wanted},
 };
 
-use super::Held;
+use super::HeldLease;
 use crate::process::{
     Process,
     gates::Id,
-    orders::{self, Task, Wish},
+    orders::{self, ChangeRequest, Task},
     pool::Entry,
     registration::{self, Registered},
     store,
 };
 
 /// How long an engine is away for a change, its drain included, until it is learnt.
-const AWAY: Duration = Duration::from_secs(10);
+const ASSUMED_CHANGE_DURATION: Duration = Duration::from_secs(10);
 /// How many write together when demand is counted.
-const USUAL_BATCH: u64 = 16;
-const HOUR: u64 = 3_600_000_000;
+const TYPICAL_BATCH_REQUESTS: u64 = 16;
+const HOUR_US: u64 = 3_600_000_000;
 
 /// What a steward remembers between two decisions. It starts anew with each stewardship: a new
 /// steward first watches, since it has no history to forecast from.
@@ -36,8 +36,8 @@
     demand: Demand,
     started: Instant,
     totals: Option<(u64, u64)>,
-    decided: Instant,
-    changed: Option<Instant>,
+    last_decision: Instant,
+    last_change: Option<Instant>,
 }
 
 impl Default for Planner {
@@ -47,33 +47,35 @@
             demand: Demand::default(),
             started: now,
             totals: None,
-            decided: now,
-            changed: None,
+            last_decision: now,
+            last_change: None,
         }
     }
 }
 
 impl Planner {
     /// The next order, if there is something to do.
-    pub fn plan(&mut self, process: &Process, held: &Held, rows: &[Row]) -> Option<Task> {
-        self.observe(process, held);
-        let wishes = wishes(rows, held);
-        let repair = repair(process, held, rows);
-        wishes
+    pub fn plan(&mut self, process: &Process, held: &HeldLease, rows: &[Row]) -> Option<Task> {
+        self.observe_demand(process, held);
+        let requested_changes = requested_changes(rows, held);
+        let resume_abandoned = resume_abandoned(process, held, rows);
+        requested_changes
             .into_iter()
-            .find_map(|wish| step(process, held, rows, wish))
-            .or(repair)
-            .or_else(|| self.mix(process, held, rows))
+            .find_map(|request| next_task(process, held, rows, request))
+            .or(resume_abandoned)
+            .or_else(|| self.plan_role_change(process, held, rows))
     }
 
-    fn observe(&mut self, process: &Process, held: &Held) {
+    fn observe_demand(&mut self, process: &Process, held: &HeldLease) {
         let Some(pool) = process.pool(&held.service) else {
             return;
         };
         let entries = pool.snapshot();
         let own = entries.iter().map(Entry::load);
-        let live = process.members.live();
-        let peers = live.iter().flat_map(|member| member.loads.iter().cloned());
+        let reachable = process.members.reachable();
+        let peers = reachable
+            .iter()
+            .flat_map(|member| member.loads.iter().cloned());
         let here = |load: &wire::Load| {
             *load.data_centre == held.data_centre
                 && entries.iter().any(|entry| entry.id.number == load.endpoint)
@@ -81,37 +83,44 @@
         let totals = own.chain(peers).filter(here).fold((0, 0), |sum, load| {
             (sum.0 + load.sent_prompt_tokens, sum.1 + load.written_tokens)
         });
-        let rates = entries
+        let latency = entries
             .first()
-            .map_or_else(BatchLatency::default, |entry| entry.rates);
-        let each = rates.inter_token_us(USUAL_BATCH) / to_f64(USUAL_BATCH);
-        if let Some(old) = self.totals.replace(totals) {
+            .map_or_else(BatchLatency::default, |entry| entry.latency);
+        let decode_token_us =
+            latency.inter_token_us(TYPICAL_BATCH_REQUESTS) / to_f64(TYPICAL_BATCH_REQUESTS);
+        if let Some(previous) = self.totals.replace(totals) {
             // a peer that came or went makes the sums jump; a fall is no demand
-            let read = to_f64(totals.0.saturating_sub(old.0)) * rates.prefill_token_us;
-            let write = to_f64(totals.1.saturating_sub(old.1)) * each;
+            let prefill = to_f64(totals.0.saturating_sub(previous.0)) * latency.prefill_token_us;
+            let decode = to_f64(totals.1.saturating_sub(previous.1)) * decode_token_us;
             let now = micros(self.started.elapsed());
-            self.demand.observe(now, to_u64(read), to_u64(write));
+            self.demand.observe(now, to_u64(prefill), to_u64(decode));
         }
     }
 
     /// A change of role that pays, if there is one.
-    fn mix(&mut self, process: &Process, held: &Held, rows: &[Row]) -> Option<Task> {
+    fn plan_role_change(
+        &mut self,
+        process: &Process,
+        held: &HeldLease,
+        rows: &[Row],
+    ) -> Option<Task> {
         let fleet = process.current.get()?.typed.fleet;
         let period: Duration = process.settings.control.role_period.into();
-        if !fleet.adaptive || self.decided.elapsed() < period {
+        if !fleet.adaptive || self.last_decision.elapsed() < period {
             return None;
         }
-        self.decided = Instant::now();
+        self.last_decision = Instant::now();
         let pool = process.pool(&held.service)?;
         let mut entries = pool.snapshot();
-        entries.retain(|entry| *entry.id.data_centre == *held.data_centre && entry.takes());
+        entries
+            .retain(|entry| *entry.id.data_centre == *held.data_centre && entry.accepts_requests());
         let now = micros(self.started.elapsed());
         let change = role::choose_change(
-            split(&entries),
+            role_counts(&entries),
             self.demand.forecast(),
             &bounds(&fleet),
             now,
-            self.changed
+            self.last_change
                 .map(|at| micros(at.saturating_duration_since(self.started))),
         )?;
         let (from, to) = match change {
@@ -121,9 +130,11 @@
         let entry = entries
             .iter()
             .filter(|entry| entry.role() == from)
-            .min_by_key(|entry| entry.bare(0).decode_requests + entry.bare(0).prefill_tokens)?;
+            .min_by_key(|entry| {
+                entry.to_engine(0).decode_requests + entry.to_engine(0).prefill_tokens
+            })?;
         let holds = entry.report.as_ref().map(|(report, _)| &report.holds)?;
-        let wish = Wish {
+        let request = ChangeRequest {
             id: entry.id.clone(),
             wanted: Wanted {
                 role: to,
@@ -131,25 +142,25 @@
             },
             row: None,
         };
-        let task = step(process, held, rows, wish)?;
-        self.changed = Some(Instant::now());
+        let task = next_task(process, held, rows, request)?;
+        self.last_change = Some(Instant::now());
         Some(task)
     }
 }
 
 /// Orders that a former steward left half done.
-fn repair(process: &Process, held: &Held, rows: &[Row]) -> Option<Task> {
+fn resume_abandoned(process: &Process, held: &HeldLease, rows: &[Row]) -> Option<Task> {
     rows.iter().find_map(|row| {
         let id = orders::id_of(&row.key)?;
-        let old: order::Row = store::value(Some(row))?;
-        let open = matches!(old.stage, order::Stage::Closing | order::Stage::Intent);
-        let wish = Wish {
+        let previous: order::Row = store::parse(Some(row))?;
+        let unfinished = matches!(previous.stage, order::Stage::Closing | order::Stage::Intent);
+        let request = ChangeRequest {
             id,
-            wanted: old.wanted.clone(),
+            wanted: previous.wanted.clone(),
             row: None,
         };
-        (open && serves(process, held, &wish.id))
-            .then(|| step(process, held, rows, wish))
+        (unfinished && is_in_pool(process, held, &request.id))
+            .then(|| next_task(process, held, rows, request))
             .flatten()
     })
 }
@@ -158,85 +169,90 @@
     Bounds {
         min_engines_per_role: fleet.reserve,
         horizon: micros(fleet.horizon),
-        change_duration: micros(AWAY),
-        min_change_interval: HOUR
+        change_duration: micros(ASSUMED_CHANGE_DURATION),
+        min_change_interval: HOUR_US
             .checked_div(u64::from(fleet.changes_per_hour))
             .unwrap_or(u64::MAX),
     }
 }
 
-fn split(entries: &[Entry]) -> RoleCounts {
-    let of = |role: Role| {
+fn role_counts(entries: &[Entry]) -> RoleCounts {
+    let count = |role: Role| {
         let matching = entries.iter().filter(|entry| entry.role() == role);
         u32::try_from(matching.count()).unwrap_or(u32::MAX)
     };
     RoleCounts {
-        prefill: of(Role::Prefill),
-        decode: of(Role::Decode),
-        mixed: of(Role::Mixed),
+        prefill: count(Role::Prefill),
+        decode: count(Role::Decode),
+        mixed: count(Role::Mixed),
     }
 }
 
-fn wishes(rows: &[Row], held: &Held) -> Vec<Wish> {
+fn requested_changes(rows: &[Row], held: &HeldLease) -> Vec<ChangeRequest> {
     rows.iter()
         .filter_map(|row| {
-            let rest = row.key.strip_prefix(orders::REQUESTS)?;
+            let rest = row.key.strip_prefix(orders::REQUEST_PREFIX)?;
             let (data_centre, number) = rest.split_once('/')?;
             let id = Id {
                 data_centre: data_centre.into(),
                 number: number.parse().ok()?,
             };
             (*id.data_centre == *held.data_centre).then_some(())?;
-            Some(Wish {
+            Some(ChangeRequest {
                 id,
-                wanted: store::value(Some(row))?,
+                wanted: store::parse(Some(row))?,
                 row: Some((row.key.clone(), row.version)),
             })
         })
         .collect()
 }
 
-fn serves(process: &Process, held: &Held, id: &Id) -> bool {
+fn is_in_pool(process: &Process, held: &HeldLease, id: &Id) -> bool {
     let pool = process.pool(&held.service);
-    pool.is_some_and(|pool| pool.with(id, |_| ()).is_some())
+    pool.is_some_and(|pool| pool.with_entry(id, |_| ()).is_some())
 }
 
 /// The task that brings an endpoint nearer to a wish.
-fn step(process: &Process, held: &Held, rows: &[Row], wish: Wish) -> Option<Task> {
+fn next_task(
+    process: &Process,
+    held: &HeldLease,
+    rows: &[Row],
+    request: ChangeRequest,
+) -> Option<Task> {
     let pool = process.pool(&held.service)?;
-    let fences = pool.with(&wish.id, |entry| entry.endpoint.fences)?;
-    let key = orders::key_of(&wish.id);
+    let fences = pool.with_entry(&request.id, |entry| entry.endpoint.fences)?;
+    let key = orders::key_of(&request.id);
     let found = store::find(rows, &key);
-    let old: Option<order::Row> = store::value(found);
+    let previous: Option<order::Row> = store::parse(found);
     let registered: Vec<Incarnation> = rows
         .iter()
         .filter(|row| row.key.starts_with(registration::PREFIX))
-        .filter_map(|row| store::value::<Registered>(Some(row)))
+        .filter_map(|row| store::parse::<Registered>(Some(row)))
         .map(|registered| registered.incarnation)
         .collect();
     // a registration is taken away only by its own daemon or when it is certainly gone
     let gone = |other: Incarnation| !registered.contains(&other);
-    let number = old.as_ref().map_or(0, |old| old.number);
-    let clean = !process.is_lost(&wish.id, number);
+    let number = previous.as_ref().map_or(0, |previous| previous.number);
+    let settled = !process.is_lost_order(&request.id, number);
     let next = order::next(
-        old.as_ref(),
-        &wish.wanted,
-        process.me,
+        previous.as_ref(),
+        &request.wanted,
+        process.incarnation,
         held.epoch,
         fences,
-        clean,
+        settled,
         gone,
     );
     match next {
-        Step::Nothing if wish.row.is_some() => Some(Task::Fulfilled(wish)),
+        Step::Nothing if request.row.is_some() => Some(Task::Fulfilled(request)),
         Step::Nothing => None,
         Step::Wait(sender) => {
-            log::info!("{}: waiting until {sender} is certainly gone", wish.id);
+            log::info!("{}: waiting until {sender} is certainly gone", request.id);
             None
         }
-        Step::Close(row) => Some(Task::Close(wish, row, store::version(found))),
-        Step::Reopen(row) => Some(Task::Reopen(wish.id, row, store::version(found))),
-        Step::Resend(row) => Some(Task::Resend(wish, row, store::version(found))),
+        Step::Close(row) => Some(Task::Close(request, row, store::version_of(found))),
+        Step::Reopen(row) => Some(Task::Reopen(request.id, row, store::version_of(found))),
+        Step::Resend(row) => Some(Task::Resend(request, row, store::version_of(found))),
     }
 }
 
--- a/components/daemon/src/process/store.rs
+++ b/components/daemon/src/process/store.rs
@@ -12,7 +12,7 @@
 /// The table as the parts of a daemon use it.
 pub struct Store {
     table: Box<dyn Table>,
-    up: AtomicBool,
+    available: AtomicBool,
     timeline: Timeline,
     metrics: Metrics,
 }
@@ -22,34 +22,34 @@
     pub fn new(table: Box<dyn Table>, timeline: Timeline, metrics: Metrics) -> Self {
         Self {
             table,
-            up: AtomicBool::new(true),
+            available: AtomicBool::new(true),
             timeline,
             metrics,
         }
     }
 
     /// Whether the last call was answered.
-    pub fn is_up(&self) -> bool {
-        self.up.load(Ordering::Relaxed)
+    pub fn is_available(&self) -> bool {
+        self.available.load(Ordering::Relaxed)
     }
 
     /// Reads rows, sorted by key.
     pub async fn read(&self, read: Read) -> Result<Vec<Row>, table::Error> {
         let result = self.table.read(read).await;
-        self.note(result.is_ok());
+        self.record_call(result.is_ok());
         result
     }
 
     /// Commits a transaction.
     pub async fn commit(&self, transaction: Transaction) -> Result<Outcome, table::Error> {
         let result = self.table.commit(transaction).await;
-        self.note(result.is_ok());
+        self.record_call(result.is_ok());
         result
     }
 
     /// Commits a transaction; after a lost answer reads back whether `key` now has `value`. The
     /// value must be one that no other write could have made.
-    pub async fn commit_sure(
+    pub async fn commit_confirmed(
         &self,
         transaction: Transaction,
         key: &str,
@@ -57,7 +57,7 @@
     ) -> Result<Outcome, table::Error> {
         match self.commit(transaction).await {
             Err(table::Error::Unclear) => {
-                let rows = self.read(rows(&[key])).await;
+                let rows = self.read(by_keys(&[key])).await;
                 match rows.as_deref() {
                     Ok([row]) if row.value == value => Ok(Outcome::Committed(row.version)),
                     // absent or older now does not mean that it won't come yet
@@ -68,11 +68,15 @@
         }
     }
 
-    fn note(&self, up: bool) {
-        let outcome = if up { "answered" } else { "failed" };
+    fn record_call(&self, available: bool) {
+        let outcome = if available { "answered" } else { "failed" };
         self.metrics.table.with_label_values(&[outcome]).inc();
-        if self.up.swap(up, Ordering::Relaxed) != up {
-            let kind = if up { Kind::StoreUp } else { Kind::StoreDown };
+        if self.available.swap(available, Ordering::Relaxed) != available {
+            let kind = if available {
+                Kind::StoreUp
+            } else {
+                Kind::StoreDown
+            };
             log::warn!("table service: {outcome}");
             self.timeline.note(kind, "store", "");
         }
@@ -80,7 +84,7 @@
 }
 
 /// A read of single rows.
-pub fn rows(keys: &[&str]) -> Read {
+pub fn by_keys(keys: &[&str]) -> Read {
     Read {
         keys: keys.iter().map(|key| (*key).to_owned()).collect(),
         prefixes: Vec::new(),
@@ -88,7 +92,7 @@
 }
 
 /// A read of all rows under a prefix.
-pub fn under(prefix: &str) -> Read {
+pub fn by_prefix(prefix: &str) -> Read {
     Read {
         keys: Vec::new(),
         prefixes: vec![prefix.to_owned()],
@@ -101,17 +105,17 @@
 }
 
 /// The version of a row, 0 when it is absent.
-pub fn version(row: Option<&Row>) -> u64 {
+pub fn version_of(row: Option<&Row>) -> u64 {
     row.map_or(0, |row| row.version)
 }
 
 /// The typed value of a row; none when it is absent or can't be read.
-pub fn value<T: DeserializeOwned>(row: Option<&Row>) -> Option<T> {
+pub fn parse<T: DeserializeOwned>(row: Option<&Row>) -> Option<T> {
     serde_json::from_str(&row?.value).ok()
 }
 
 /// The text of a typed value.
-pub fn text<T: Serialize>(value: &T) -> String {
+pub fn to_json<T: Serialize>(value: &T) -> String {
     // rows are plain structs, which always have a JSON form
     serde_json::to_string(value).unwrap_or_default()
 }
--- a/components/daemon/src/request/body.rs
+++ b/components/daemon/src/request/body.rs
@@ -59,7 +59,7 @@
         Ok(Err(error)) if error.is::<LengthLimitError>() => return Err(Reason::TooLarge.into()),
         _ => return Err(Reason::SlowBody.into()),
     };
-    let held = Held::take(&process.held_bytes, bytes.len(), limits.queue_bytes);
+    let held = Held::take(&process.buffered_bytes, bytes.len(), limits.queue_bytes);
     context.held = Some(held.ok_or(Reason::Full(COME_BACK))?);
     context.open.received();
     Ok(bytes)
--- a/components/daemon/src/request/chat.rs
+++ b/components/daemon/src/request/chat.rs
@@ -14,7 +14,7 @@
     refusal::{Reason, Refusal},
     reply::{self, Shape},
 };
-use crate::process::pool::Need;
+use crate::process::pool::Requirements;
 
 /// Which of the two paths.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -146,16 +146,16 @@
         .service(&model.service)
         .map_or(Repeat::Never, |service| service.repeat);
     let weights = format!("{}/{}/{}", model.name, model.adapter, model.version);
-    let need = Need {
+    let need = Requirements {
         group: caller.group,
         blocks: prefix::blocks(&weights, &prompt),
-        weights: (
+        model: (
             model.name.clone(),
             model.adapter.clone(),
             model.version.clone(),
         ),
-        prompt: prefix::tokens(&prompt),
-        most_output: most,
+        prompt_tokens: prefix::tokens(&prompt),
+        max_output_tokens: most,
         priority: caller.priority,
         deadline: caller.deadline,
         start_by: caller.start_by,
--- a/components/daemon/src/request/generate/mod.rs
+++ b/components/daemon/src/request/generate/mod.rs
@@ -28,7 +28,7 @@
 };
 use crate::process::{
     gates::Id,
-    pool::{Grant, Need, Pool},
+    pool::{Grant, Pool, Requirements},
 };
 
 /// An answer that can't be finished.
@@ -64,7 +64,7 @@
     /// The endpoints.
     pub pool: Arc<Pool>,
     /// What it needs of an engine.
-    pub need: Need,
+    pub need: Requirements,
     /// Its prompt.
     pub prompt: String,
     /// Whether it may run twice.
@@ -174,14 +174,14 @@
     ) -> Result<(), Broken> {
         let attempt: u64 = rand::random();
         let need = &self.job.need;
-        let (model, adapter, version) = need.weights.clone();
+        let (model, adapter, version) = need.model.clone();
         let generate = Generate {
             attempt,
             model,
             adapter,
             version,
             prompt: self.job.prompt.clone(),
-            max_tokens: need.most_output,
+            max_tokens: need.max_output_tokens,
             priority: need.priority,
             resume_from: self.assembler.offset(),
             resume_text: self.text.clone(),
@@ -225,7 +225,7 @@
     /// Takes a frame; none when it brings nothing for the caller.
     async fn take(&mut self, frame: Frame) -> Result<Option<Piece>, Broken> {
         let exported = frame.done.is_some_and(|done| done.reason == End::Exported);
-        let enough = self.assembler.offset() + frame.tokens >= self.job.need.most_output;
+        let enough = self.assembler.offset() + frame.tokens >= self.job.need.max_output_tokens;
         let last = frame.done.is_some() && (!exported || enough);
         let verdict = self
             .assembler
@@ -282,14 +282,14 @@
         let kv = Kv {
             address: live.at.1,
             attempt: live.cancel.attempt,
-            tokens: self.job.need.prompt,
+            tokens: self.job.need.prompt_tokens,
         };
         let Some(second) = live.grant.second() else {
             return Ok(());
         };
         self.send(live.grant, second, Some(kv), false).await?;
         if let Some(live) = self.live.as_mut() {
-            live.grant.hand_over();
+            live.grant.release_prefill_engine();
         }
         Ok(())
     }
--- a/components/daemon/src/request/generate/outcome.rs
+++ b/components/daemon/src/request/generate/outcome.rs
@@ -24,18 +24,18 @@
         let since = micros(now - live.sent);
         live.last = now;
         if first {
-            live.grant.read();
-            let prompt = self.job.need.prompt;
+            live.grant.finish_prefill();
+            let prompt = self.job.need.prompt_tokens;
             let blocks = &self.job.need.blocks;
-            self.job.pool.with(&live.at.0, |entry| {
+            self.job.pool.with_entry(&live.at.0, |entry| {
                 // with others in between the time is not this prompt's alone
-                if entry.reading.iter().all(|tokens| *tokens == 0) {
+                if entry.prefill_tokens.iter().all(|tokens| *tokens == 0) {
                     let cached = frame.done.map_or(0, |done| done.cached_tokens);
                     entry
-                        .rates
+                        .latency
                         .observe_first_token(prompt - cached.min(prompt), since);
                 }
-                entry.read(blocks);
+                entry.record_prefill(blocks);
             });
             if frame.offset == 0 {
                 let metrics = &self.job.context.process.metrics;
@@ -45,11 +45,11 @@
                     .observe(self.began.elapsed().as_secs_f64());
             }
         } else if frame.offset.is_multiple_of(SAMPLE) {
-            self.job.pool.with(&live.at.0, |entry| {
-                entry.written += SAMPLE;
-                let seen = entry.bare(0);
+            self.job.pool.with_entry(&live.at.0, |entry| {
+                entry.decoded_tokens += SAMPLE;
+                let seen = entry.to_engine(0);
                 if seen.prefill_tokens == 0 {
-                    entry.rates.observe_step(seen.decode_requests, gap);
+                    entry.latency.observe_step(seen.decode_requests, gap);
                 }
             });
         }
@@ -66,10 +66,13 @@
         let service = &self.job.pool.service;
         let group = &self.job.need.group.1;
         context.note(Kind::Finished, format!("{written} tokens"));
-        self.job.pool.finished(group, written);
+        self.job.pool.record_output(group, written);
         let process = &context.process;
-        process.used(group, pool::work(self.job.need.prompt, written));
-        lock(&process.budget).record_success();
+        process.record_usage(
+            group,
+            pool::estimate_work(self.job.need.prompt_tokens, written),
+        );
+        lock(&process.retry_budget).record_success();
         let metrics = &process.metrics;
         let labels = [service.as_str(), group.as_str()];
         metrics
@@ -101,7 +104,7 @@
             self.may_have_run = true;
             FailureClass::MaybeExecuted
         };
-        self.job.pool.with(failed, pool::Entry::failed);
+        self.job.pool.with_entry(failed, pool::Entry::quarantine);
         self.job.need.avoid.push(failed.clone());
         // what has begun has until its deadline to go on
         self.job.need.start_by = self.job.need.deadline;
@@ -124,7 +127,7 @@
             self.attempts,
             micros(left),
             0,
-            &mut lock(&process.budget),
+            &mut lock(&process.retry_budget),
         );
         if !more {
             let reason = if self.may_have_run {
--- a/components/daemon/src/request/keyed.rs
+++ b/components/daemon/src/request/keyed.rs
@@ -20,7 +20,7 @@
     refusal::{Reason, Refusal},
     whole,
 };
-use crate::process::claims::{self, Claim};
+use crate::process::claims::{self, ClaimGuard};
 
 /// The largest answer that is kept with a claim, in bytes; of a larger one only the status is.
 const KEPT_BYTES: usize = 8 << 10;
@@ -35,7 +35,7 @@
     let process = Arc::clone(&call.context.process);
     let found = process
         .claims
-        .find(&process, &row_key)
+        .look_up(&process, &row_key)
         .await
         .map_err(|_| Reason::KeyUnread)?;
     match claims::decide(&process, &found, digest) {
@@ -47,7 +47,7 @@
     }
     let row = Row {
         digest,
-        claimant: process.me,
+        claimant: process.incarnation,
         token: rand::random(),
         at_ms: telemetry::logs::wall_ms(),
         stage: Stage::Claimed,
@@ -72,14 +72,14 @@
         Write::Unclear => {
             // it is not sent, and the table is told so when it is back; until then nobody knows
             // whether another's claim of this key was first
-            Claim::new(Arc::clone(&process), key, row, None).not_run();
+            ClaimGuard::new(Arc::clone(&process), key, row, None).not_executed();
             return Err(Reason::KeyUnread.into());
         }
         Write::Written => {}
     }
-    let claim = Claim::new(Arc::clone(&process), key, row, known);
+    let claim = ClaimGuard::new(Arc::clone(&process), key, row, known);
     if !claim::may_dispatch(write) {
-        claim.not_run();
+        claim.not_executed();
         return Err(Reason::KeyUnread.into());
     }
     call.context.note(Kind::Claimed, "written");
@@ -87,7 +87,7 @@
         Ok(answered) => finish(&call, claim, answered).await,
         Err(refusal) => {
             match refusal.reason.run() {
-                super::refusal::Run::NotRun => claim.not_run(),
+                super::refusal::Run::NotRun => claim.not_executed(),
                 super::refusal::Run::Unknown => drop(claim),
             }
             Err(refusal)
@@ -96,7 +96,11 @@
 }
 
 /// Takes the whole answer, records it and passes it on.
-async fn finish(call: &Call, claim: Claim, answered: Answered) -> Result<Response<Body>, Refusal> {
+async fn finish(
+    call: &Call,
+    claim: ClaimGuard,
+    answered: Answered,
+) -> Result<Response<Body>, Refusal> {
     let Answered { response, hold } = answered;
     let (head, incoming) = response.into_parts();
     let collected = tokio::time::timeout_at(call.caller.deadline.into(), incoming.collect()).await;
@@ -106,7 +110,7 @@
         return Err(Reason::AnswerLost.into());
     };
     let bytes = collected.to_bytes();
-    claim.done(record(head.status, &head.headers, &bytes));
+    claim.executed(record(head.status, &head.headers, &bytes));
     call.count("answered");
     let mut response = Response::new(whole(bytes));
     *response.status_mut() = head.status;
--- a/components/daemon/src/request/mod.rs
+++ b/components/daemon/src/request/mod.rs
@@ -82,7 +82,7 @@
     if let Ok(id) = HeaderValue::from_str(&id) {
         response.headers_mut().insert("x-request-id", id);
     }
-    if *process.phase.borrow() >= Phase::Lag {
+    if *process.phase.borrow() >= Phase::NotReady {
         // the balancer and the caller should look for another daemon
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert("connection", close);
@@ -106,7 +106,7 @@
         id: id.to_owned(),
         held: None,
         open,
-        _under_way: Counted::new(&process.under_way),
+        _under_way: Counted::new(&process.in_flight),
     };
     let path = request.uri().path().to_owned();
     let caller = Caller::identify(&context.version.typed, request.headers())?;
