--- a/components/daemon/src/request/plain.rs
+++ b/components/daemon/src/request/plain.rs
@@ -19,7 +19,7 @@
     refusal::{Reason, Refusal},
 };
 use crate::process::{
-    gates::{Hold, Id},
+    gates::{Id, RequestGuard},
     lock,
     pool::Entry,
 };
@@ -56,7 +56,7 @@
     /// Head and body.
     pub response: Response<Incoming>,
     /// Held until the body has come.
-    pub hold: Hold,
+    pub hold: RequestGuard,
 }
 
 /// Serves one request.
@@ -136,19 +136,19 @@
     }
 
     /// The open endpoint with the fewest requests in flight from here; local ones first.
-    fn choose(&self, avoid: &[Id]) -> Option<(Entry, Hold)> {
+    fn choose(&self, avoid: &[Id]) -> Option<(Entry, RequestGuard)> {
         let process = &self.context.process;
         let pool = process.pool(&self.service)?;
         let mut entries = pool.snapshot();
-        entries.retain(|entry| entry.takes() && !avoid.contains(&entry.id));
+        entries.retain(|entry| entry.accepts_requests() && !avoid.contains(&entry.id));
         entries.sort_by_key(|entry| {
             (
-                entry.bare(0).one_way_delay,
+                entry.to_engine(0).one_way_delay,
                 process.gates.in_flight(&entry.id),
             )
         });
         entries.into_iter().find_map(|entry| {
-            let hold = process.gates.hold(&entry.id)?;
+            let hold = process.gates.try_acquire(&entry.id)?;
             Some((entry, hold))
         })
     }
@@ -172,7 +172,7 @@
     fn may_go_on(&self, id: &Id, failure: Failure, attempt: u32) -> Result<(), Refusal> {
         let process = &self.context.process;
         if let Some(pool) = process.pool(&self.service) {
-            pool.with(id, Entry::failed);
+            pool.with_entry(id, Entry::quarantine);
         }
         let class = if failure.not_run() {
             FailureClass::NotExecuted
@@ -185,7 +185,7 @@
             .saturating_duration_since(Instant::now());
         let left = u64::try_from(left.as_micros()).unwrap_or(u64::MAX);
         let repeatable = self.repeat == Repeat::Allowed;
-        let budget = &mut lock(&process.budget);
+        let budget = &mut lock(&process.retry_budget);
         if retry::allow_retry(class, repeatable, attempt, left, 0, budget) {
             self.context.note(Kind::Retried, format!("{id}: {failure}"));
             return Ok(());
@@ -224,7 +224,7 @@
     /// Counts the request by its outcome.
     pub fn count(&self, outcome: &str) {
         let process = &self.context.process;
-        lock(&process.budget).record_success();
+        lock(&process.retry_budget).record_success();
         self.context.note(Kind::Finished, outcome);
         process
             .metrics
--- a/components/daemon/src/request/refusal.rs
+++ b/components/daemon/src/request/refusal.rs
@@ -13,7 +13,7 @@
 use serde::Serialize;
 
 use super::{Body, whole};
-use crate::process::pool::Unplaced;
+use crate::process::pool::PlacementError;
 
 /// The header that carries the word.
 pub const RUN: &str = "x-wrenramp-run";
@@ -187,12 +187,12 @@
     }
 }
 
-impl From<Unplaced> for Reason {
-    fn from(unplaced: Unplaced) -> Self {
+impl From<PlacementError> for Reason {
+    fn from(unplaced: PlacementError) -> Self {
         match unplaced {
-            Unplaced::Late { after } => Self::Late(after),
-            Unplaced::Full { after } => Self::Full(after),
-            Unplaced::NoEndpoint { after } => Self::NoEndpoint(after),
+            PlacementError::WouldMissDeadline { retry_after } => Self::Late(retry_after),
+            PlacementError::QueueFull { retry_after } => Self::Full(retry_after),
+            PlacementError::NoEndpoint { retry_after } => Self::NoEndpoint(retry_after),
         }
     }
 }
--- a/src/bin/wrenrampd.rs
+++ b/src/bin/wrenrampd.rs
@@ -95,7 +95,7 @@
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
     }
-    Ok(running.end_hard())
+    Ok(running.abort())
 }
 
 fn gateway_process(file: &Path, options: &Options) -> Ended {
