--- a/components/call/src/headers/mod.rs
+++ b/components/call/src/headers/mod.rs
@@ -1,11 +1,11 @@
-//! Which headers a forwarder hands on.
+//! Selection of the headers that a proxy forwards.
 
 use hyper::{
     HeaderMap,
     header::{self, HeaderName},
 };
 
-/// Headers that concern one connection only (RFC 9110, section 7.6.1).
+/// Hop-by-hop headers (RFC 9110, section 7.6.1).
 static HOP_BY_HOP: [HeaderName; 9] = [
     header::CONNECTION,
     HeaderName::from_static("keep-alive"),
@@ -18,10 +18,10 @@
     header::UPGRADE,
 ];
 
-/// The headers of the message, without those of the connection.
+/// Returns the end-to-end headers: all but the hop-by-hop headers and those that `Connection` lists.
 #[must_use]
 pub fn end_to_end(headers: &HeaderMap) -> HeaderMap {
-    let named: Vec<String> = headers
+    let connection_options: Vec<String> = headers
         .get_all(header::CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
@@ -30,7 +30,9 @@
         .collect();
     headers
         .iter()
-        .filter(|(name, _)| !HOP_BY_HOP.contains(name) && !named.iter().any(|n| n == name.as_str()))
+        .filter(|(name, _)| {
+            !HOP_BY_HOP.contains(name) && !connection_options.iter().any(|n| n == name.as_str())
+        })
         .map(|(name, value)| (name.clone(), value.clone()))
         .collect()
 }
--- a/components/daemon/src/process/claims.rs
+++ b/components/daemon/src/process/claims.rs
@@ -163,8 +163,8 @@
                 send_results(lost, |_| (Write::Taken, 0));
                 claims = remaining;
             }
-            Err(table::Error::Refused) => return send_results(claims, |_| (Write::Refused, 0)),
-            Err(table::Error::Unclear) => return read_results(process, claims).await,
+            Err(table::Error::NotApplied) => return send_results(claims, |_| (Write::Refused, 0)),
+            Err(table::Error::OutcomeUnknown) => return read_results(process, claims).await,
         }
     }
 }
--- a/components/daemon/src/process/health.rs
+++ b/components/daemon/src/process/health.rs
@@ -3,7 +3,7 @@
 use std::{sync::Arc, time::Duration};
 
 use cloud::vms::{Kind as VmKind, State};
-use settings::tree::resolve::Kind as ServiceKind;
+use settings::tree::resolve::ServiceKind;
 use telemetry::timeline::Kind;
 
 use super::{Process, pool::Entry, pool::Pool};
@@ -79,7 +79,7 @@
             if recovered == Some(true) {
                 process
                     .timeline
-                    .note(Kind::EndpointUp, entry.id.to_string(), "");
+                    .record(Kind::EndpointUp, entry.id.to_string(), "");
                 pool.wake();
             }
         }
@@ -91,7 +91,10 @@
         .with_entry(&entry.id, |entry| entry.missing_cache_events_after())
         .flatten();
     if let Some(after) = missing_after
-        && let Ok(events) = process.engine.cache(address, after, REPORT_TIMEOUT).await
+        && let Ok(events) = process
+            .engine
+            .cache_events(address, after, REPORT_TIMEOUT)
+            .await
     {
         pool.with_entry(&entry.id, |entry| entry.apply_cache_events(&events));
     }
--- a/components/daemon/src/process/heartbeat.rs
+++ b/components/daemon/src/process/heartbeat.rs
@@ -122,13 +122,13 @@
     for address in &now {
         if before.binary_search(address).is_err() {
             let subject = format!("peer/{address}");
-            process.timeline.note(Kind::PeerUp, subject, "");
+            process.timeline.record(Kind::PeerUp, subject, "");
         }
     }
     for address in before.iter() {
         if now.binary_search(address).is_err() {
             let subject = format!("peer/{address}");
-            process.timeline.note(Kind::PeerDown, subject, "");
+            process.timeline.record(Kind::PeerDown, subject, "");
         }
     }
     *before = now;
--- a/components/daemon/src/process/mod.rs
+++ b/components/daemon/src/process/mod.rs
@@ -27,7 +27,7 @@
 use endpoint::{engine::Engine, service::Service};
 use policy::retry::Budget;
 use protocol::Incarnation;
-use settings::process::Settings;
+use settings::daemon::Settings;
 use telemetry::{
     metrics::Metrics,
     timeline::{Kind, Timeline},
@@ -209,7 +209,7 @@
         let cut = *self.process.in_flight.borrow();
         self.process
             .metrics
-            .cut
+            .aborted_streams
             .inc_by(u64::try_from(cut).unwrap_or(0));
         cut
     }
@@ -230,7 +230,7 @@
         status: local_address(&status, settings.daemon.status)?,
     };
     let process = Arc::new(assemble(settings, addresses)?);
-    process.timeline.note(
+    process.timeline.record(
         Kind::Started,
         "process",
         format!("incarnation {}", process.incarnation),
--- a/components/daemon/src/process/operators.rs
+++ b/components/daemon/src/process/operators.rs
@@ -228,7 +228,7 @@
             let subject = format!("settings/{version}");
             process
                 .timeline
-                .note(Kind::SettingsAccepted, subject, operator);
+                .record(Kind::SettingsAccepted, subject, operator);
             settings_sync::apply(process, next);
             process.heartbeat_due.notify_one();
             Some(CommitReply {
@@ -237,8 +237,8 @@
             })
         }
         Ok(Outcome::Conflict(_)) => None,
-        Err(cloud::table::Error::Refused) => Some(unavailable()),
-        Err(cloud::table::Error::Unclear) => Some(CommitReply {
+        Err(cloud::table::Error::NotApplied) => Some(unavailable()),
+        Err(cloud::table::Error::OutcomeUnknown) => Some(CommitReply {
             unknown: true,
             problems: vec![format!(
                 "the table service did not answer; look at version {version} in the history"
--- a/components/daemon/src/process/steward/mod.rs
+++ b/components/daemon/src/process/steward/mod.rs
@@ -14,7 +14,7 @@
     lease::{self, Lease, Renewal, Watch},
     millis,
 };
-use settings::tree::resolve::Kind as ServiceKind;
+use settings::tree::resolve::ServiceKind;
 use telemetry::timeline::Kind;
 
 use super::{
@@ -280,7 +280,7 @@
     let detail = format!("epoch {}", next.epoch);
     process
         .timeline
-        .note(Kind::StewardTaken, format!("service/{service}"), detail);
+        .record(Kind::StewardTaken, format!("service/{service}"), detail);
     log::info!("steward of {service} in epoch {}", next.epoch);
 }
 
@@ -300,7 +300,7 @@
     });
     process
         .timeline
-        .note(Kind::StewardLost, format!("service/{service}"), "");
+        .record(Kind::StewardLost, format!("service/{service}"), "");
     log::warn!("no longer steward of {service}");
 }
 
--- a/components/daemon/src/process/steward/planner.rs
+++ b/components/daemon/src/process/steward/planner.rs
@@ -167,11 +167,11 @@
 
 fn bounds(fleet: &settings::tree::resolve::Fleet) -> Bounds {
     Bounds {
-        min_engines_per_role: fleet.reserve,
+        min_engines_per_role: fleet.min_engines_per_role,
         horizon: micros(fleet.horizon),
         change_duration: micros(ASSUMED_CHANGE_DURATION),
         min_change_interval: HOUR_US
-            .checked_div(u64::from(fleet.changes_per_hour))
+            .checked_div(u64::from(fleet.max_role_changes_per_hour))
             .unwrap_or(u64::MAX),
     }
 }
--- a/components/daemon/src/process/store.rs
+++ b/components/daemon/src/process/store.rs
@@ -56,12 +56,12 @@
         value: &str,
     ) -> Result<Outcome, table::Error> {
         match self.commit(transaction).await {
-            Err(table::Error::Unclear) => {
+            Err(table::Error::OutcomeUnknown) => {
                 let rows = self.read(by_keys(&[key])).await;
                 match rows.as_deref() {
                     Ok([row]) if row.value == value => Ok(Outcome::Committed(row.version)),
                     // absent or older now does not mean that it won't come yet
-                    _ => Err(table::Error::Unclear),
+                    _ => Err(table::Error::OutcomeUnknown),
                 }
             }
             other => other,
@@ -70,7 +70,7 @@
 
     fn record_call(&self, available: bool) {
         let outcome = if available { "answered" } else { "failed" };
-        self.metrics.table.with_label_values(&[outcome]).inc();
+        self.metrics.table_calls.with_label_values(&[outcome]).inc();
         if self.available.swap(available, Ordering::Relaxed) != available {
             let kind = if available {
                 Kind::StoreUp
@@ -78,7 +78,7 @@
                 Kind::StoreDown
             };
             log::warn!("table service: {outcome}");
-            self.timeline.note(kind, "store", "");
+            self.timeline.record(kind, "store", "");
         }
     }
 }
--- a/components/daemon/src/request/chat.rs
+++ b/components/daemon/src/request/chat.rs
@@ -3,7 +3,7 @@
 use endpoint::engine::prefix;
 use hyper::{Request, Response, body::Incoming};
 use serde::Deserialize;
-use settings::tree::resolve::{self, Repeat};
+use settings::tree::resolve::{self, RetryPolicy};
 use telemetry::timeline::Kind;
 
 use super::{
@@ -96,7 +96,7 @@
 }
 
 fn model<'a>(
-    version: &'a resolve::Version,
+    version: &'a resolve::ResolvedTree,
     caller: &Caller,
     name: &str,
 ) -> Result<&'a resolve::Model, Refusal> {
@@ -144,17 +144,17 @@
         .version
         .typed
         .service(&model.service)
-        .map_or(Repeat::Never, |service| service.repeat);
+        .map_or(RetryPolicy::Never, |service| service.retry_policy);
     let weights = format!("{}/{}/{}", model.name, model.adapter, model.version);
     let need = Requirements {
         group: caller.group,
-        blocks: prefix::blocks(&weights, &prompt),
+        blocks: prefix::block_hashes(&weights, &prompt),
         model: (
             model.name.clone(),
             model.adapter.clone(),
             model.version.clone(),
         ),
-        prompt_tokens: prefix::tokens(&prompt),
+        prompt_tokens: prefix::estimate_tokens(&prompt),
         max_output_tokens: most,
         priority: caller.priority,
         deadline: caller.deadline,
--- a/components/daemon/src/request/generate/outcome.rs
+++ b/components/daemon/src/request/generate/outcome.rs
@@ -4,7 +4,7 @@
 
 use endpoint::{Failure, engine::Frame};
 use policy::retry::{self, FailureClass};
-use settings::tree::resolve::Repeat;
+use settings::tree::resolve::RetryPolicy;
 use telemetry::timeline::Kind;
 
 use super::{Broken, Reason, Stream, micros};
@@ -40,7 +40,7 @@
             if frame.offset == 0 {
                 let metrics = &self.job.context.process.metrics;
                 metrics
-                    .first
+                    .time_to_first_token
                     .with_label_values(&self.labels())
                     .observe(self.began.elapsed().as_secs_f64());
             }
@@ -81,7 +81,7 @@
             .inc();
         metrics.goodput.with_label_values(&labels).inc_by(written);
         metrics
-            .whole
+            .request_duration
             .with_label_values(&labels)
             .observe(self.began.elapsed().as_secs_f64());
     }
@@ -98,7 +98,7 @@
     }
 
     pub(super) fn again(&mut self, failed: &Id, failure: Failure) -> Result<(), Broken> {
-        let class = if failure.not_run() {
+        let class = if failure.not_executed() {
             FailureClass::NotExecuted
         } else {
             self.may_have_run = true;
@@ -115,7 +115,7 @@
             .saturating_duration_since(Instant::now());
         let process = &self.job.context.process;
         // an attempt that may have run is the only one of a request that may not be repeated
-        let repeatable = self.job.repeat == Repeat::Allowed;
+        let repeatable = self.job.repeat == RetryPolicy::Allowed;
         let class = if self.may_have_run && !repeatable {
             FailureClass::MaybeExecuted
         } else {
@@ -143,7 +143,7 @@
             Kind::Retried
         };
         self.job.context.note(kind, format!("{failed}: {failure}"));
-        let reason = if failure.not_run() {
+        let reason = if failure.not_executed() {
             "not-run"
         } else {
             "unknown"
--- a/components/telemetry/src/metrics/mod.rs
+++ b/components/telemetry/src/metrics/mod.rs
@@ -7,10 +7,10 @@
     TextEncoder,
 };
 
-/// A gauge of a metric that is read as it is.
+/// A gauge, for crates that set one without depending on the metrics library.
 pub use prometheus::IntGauge as Gauge;
 
-/// Bounds of the latency histograms, in seconds.
+/// Upper bounds of the latency histogram buckets, in seconds.
 const LATENCY_BUCKETS: &[f64] = &[
     0.001, 0.005, 0.01, 0.026, 0.05, 0.1, 0.25, 0.5, 1.3, 2.5, 5.0, 10.0, 30.0, 60.0, 300.0,
 ];
@@ -19,40 +19,40 @@
 #[derive(Clone, Debug)]
 pub struct Metrics {
     registry: Registry,
-    /// Requests by service, group and outcome.
+    /// Requests, by service, group and outcome.
     pub requests: IntCounterVec,
-    /// Refusals by reason.
+    /// Refused requests, by reason.
     pub refusals: IntCounterVec,
-    /// Tokens of answers that were whole and in time, by service and group.
+    /// Tokens of complete answers that met their deadline, by service and group.
     pub goodput: IntCounterVec,
     /// Time in the queue, by service and group.
-    pub queue: HistogramVec,
+    pub queue_time: HistogramVec,
     /// Time to the first token, by service and group.
-    pub first: HistogramVec,
-    /// Time to the end, by service and group.
-    pub whole: HistogramVec,
+    pub time_to_first_token: HistogramVec,
+    /// Time to the end of the answer, by service and group.
+    pub request_duration: HistogramVec,
     /// Attempts after the first, by reason.
     pub retries: IntCounterVec,
-    /// Frames that belonged to no answer here, by verdict.
-    pub dropped: IntCounterVec,
-    /// Orders by outcome.
+    /// Frames dropped because they belonged to no answer here, by verdict.
+    pub dropped_frames: IntCounterVec,
+    /// Orders to engines, by outcome.
     pub orders: IntCounterVec,
-    /// The settings version in force.
-    pub settings: IntGauge,
-    /// Calls to the table by outcome.
-    pub table: IntCounterVec,
+    /// Version of the settings in force.
+    pub settings_version: IntGauge,
+    /// Calls to the table service, by outcome.
+    pub table_calls: IntCounterVec,
     /// Open connections of callers.
     pub connections: IntGauge,
-    /// Streams cut by a hard stop.
-    pub cut: IntCounter,
+    /// Streams aborted by a forced shutdown.
+    pub aborted_streams: IntCounter,
 }
 
 impl Metrics {
-    /// Makes and registers all metrics.
+    /// Creates and registers all metrics.
     ///
     /// # Errors
     ///
-    /// The library's error when two metrics share a name.
+    /// An error of the library when two metrics have the same name.
     pub fn new() -> prometheus::Result<Self> {
         let registry = Registry::new();
         let metrics = Self {
@@ -67,31 +67,37 @@
                 "Tokens of whole answers in time.",
                 &["service", "group"],
             )?,
-            queue: histogram("queue_seconds", "Time in the queue.", &["service", "group"])?,
-            first: histogram(
+            queue_time: histogram("queue_seconds", "Time in the queue.", &["service", "group"])?,
+            time_to_first_token: histogram(
                 "first_token_seconds",
                 "Time to the first token.",
                 &["service", "group"],
             )?,
-            whole: histogram(
+            request_duration: histogram(
                 "request_seconds",
                 "Time to the end of the answer.",
                 &["service", "group"],
             )?,
             retries: counters("retries_total", "Attempts after the first.", &["reason"])?,
-            dropped: counters("dropped_frames_total", "Frames dropped.", &["verdict"])?,
+            dropped_frames: counters("dropped_frames_total", "Frames dropped.", &["verdict"])?,
             orders: counters("orders_total", "Orders to engines.", &["outcome"])?,
-            settings: IntGauge::new("wrenramp_settings_version", "Settings version in force.")?,
-            table: counters("table_calls_total", "Calls to the table.", &["outcome"])?,
+            settings_version: IntGauge::new(
+                "wrenramp_settings_version",
+                "Settings version in force.",
+            )?,
+            table_calls: counters("table_calls_total", "Calls to the table.", &["outcome"])?,
             connections: IntGauge::new("wrenramp_connections", "Open connections of callers.")?,
-            cut: IntCounter::new("wrenramp_cut_streams_total", "Streams cut by a hard stop.")?,
+            aborted_streams: IntCounter::new(
+                "wrenramp_cut_streams_total",
+                "Streams cut by a hard stop.",
+            )?,
             registry,
         };
         metrics.register()?;
         Ok(metrics)
     }
 
-    /// The metrics in the text form that Prometheus reads.
+    /// Encodes the metrics in the Prometheus text format.
     #[must_use]
     pub fn text(&self) -> Vec<u8> {
         text(&self.registry)
@@ -104,18 +110,22 @@
             &self.refusals,
             &self.goodput,
             &self.retries,
-            &self.dropped,
+            &self.dropped_frames,
             &self.orders,
-            &self.table,
+            &self.table_calls,
         ] {
             register(Box::new(counters.clone()))?;
         }
-        for histogram in [&self.queue, &self.first, &self.whole] {
+        for histogram in [
+            &self.queue_time,
+            &self.time_to_first_token,
+            &self.request_duration,
+        ] {
             register(Box::new(histogram.clone()))?;
         }
-        register(Box::new(self.settings.clone()))?;
+        register(Box::new(self.settings_version.clone()))?;
         register(Box::new(self.connections.clone()))?;
-        register(Box::new(self.cut.clone()))
+        register(Box::new(self.aborted_streams.clone()))
     }
 }
 
@@ -130,7 +140,7 @@
 
 fn text(registry: &Registry) -> Vec<u8> {
     let mut text = Vec::new();
-    // writing into memory does not fail
+    // writing to memory does not fail
     let _ = TextEncoder::new().encode(&registry.gather(), &mut text);
     text
 }
