--- a/components/daemon/src/process/claims.rs
+++ b/components/daemon/src/process/claims.rs
@@ -1,4 +1,4 @@
-//! Claims of idempotency keys: written to the table in groups, before dispatch.
+//! Claims of idempotency keys, written to the table in batches before dispatch.
 //!
 //! See `docs/DESIGN.md#requests-that-may-not-be-repeated`.
 
@@ -16,17 +16,16 @@
     store::{self, by_keys},
 };
 
-/// Prefix of the rows.
+/// Prefix of the claims' row keys.
 pub const PREFIX: &str = "claim/";
-/// The most claims in one transaction.
 const MAX_CLAIMS_PER_TRANSACTION: usize = 64;
-/// The most outcomes that wait for the table; beyond, the oldest are dropped, and their claims then
-/// read as "unknown", which is never false.
+/// Maximum number of outcomes that wait to be written. Beyond it the oldest is dropped; its claim then
+/// reads as "unknown", which is never wrong.
 const MAX_PENDING_OUTCOMES: usize = 8_192;
 const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
 const MAX_BACKOFF: Duration = Duration::from_secs(5);
 
-/// A claim to be written over a row of this version.
+/// A claim to be written, if the row still has the expected version.
 #[derive(Debug)]
 struct PendingClaim {
     key: String,
@@ -35,36 +34,35 @@
     result: oneshot::Sender<(Write, u64)>,
 }
 
-/// What is to be written of a claim that this daemon made.
+/// The outcome of a claim of this daemon, to be written.
 #[derive(Clone, Debug)]
 struct PendingOutcome {
     key: String,
     row: Row,
-    /// The row's version where it is known; after a lost answer it isn't.
+    /// The version of the claim's row; `None` if the response to its write was lost.
     version: Option<u64>,
 }
 
-/// The claims of a daemon.
 #[derive(Debug, Default)]
 pub struct Claims {
     queue: Mutex<Vec<PendingClaim>>,
     queued: Notify,
-    /// Claims of this daemon whose end the table does not show yet, sorted by key.
+    /// Outcomes of this daemon's claims that are not in the table yet, the oldest first.
     pending_outcomes: Mutex<Vec<PendingOutcome>>,
     outcomes_added: Notify,
 }
 
-/// What was found when a key was looked up.
+/// The result of looking up a key.
 #[derive(Debug)]
 pub struct Lookup {
     /// The row, if there is one.
     pub row: Option<Row>,
-    /// Its version, 0 when there is none.
+    /// The row's version; 0 if there is none.
     pub version: u64,
 }
 
 impl Claims {
-    /// Looks a key up; what this daemon knows itself goes before what the table shows.
+    /// Looks up a key. An outcome that this daemon has not written yet takes precedence over the table.
     pub async fn look_up(&self, process: &Process, key: &str) -> Result<Lookup, table::Error> {
         let read = process.store.read(by_keys(&[key])).await;
         let own = lock(&self.pending_outcomes)
@@ -72,7 +70,7 @@
             .find(|outcome| outcome.key == key)
             .map(|outcome| outcome.row.clone());
         if let Some(row) = own {
-            // its end is on its way to the table; claimed again it can be only after that
+            // the key can only be claimed again once this outcome is in the table
             let row = match row.stage {
                 Stage::NotRun => Row {
                     stage: Stage::Claimed,
@@ -93,7 +91,7 @@
         })
     }
 
-    /// Writes a claim; the row's version comes with what is known of the write.
+    /// Writes a claim. Returns what is known of the write, and the version of the row.
     pub async fn write(&self, key: String, row: Row, expected_version: u64) -> (Write, u64) {
         let (result, written) = oneshot::channel();
         lock(&self.queue).push(PendingClaim {
@@ -106,7 +104,7 @@
         written.await.unwrap_or((Write::Unclear, 0))
     }
 
-    /// Notes how a claim of this daemon ended; the table is told as soon as it can be.
+    /// Records the outcome of a claim of this daemon, to be written as soon as the table is available.
     pub fn record_outcome(&self, key: String, row: Row, version: Option<u64>) {
         let mut pending = lock(&self.pending_outcomes);
         if pending.len() == MAX_PENDING_OUTCOMES {
@@ -118,7 +116,7 @@
     }
 }
 
-/// Writes claims and their ends as long as the process lives.
+/// Writes claims and their outcomes and removes expired claims.
 pub async fn run(process: Arc<Process>) {
     tokio::join!(
         write_claims(&process),
@@ -142,9 +140,11 @@
     }
 }
 
-/// Writes a group; whoever loses its key to another claim leaves the group, and the rest go again.
+/// Writes a batch of claims. A claim that conflicts with another one is taken out, and the rest is written
+/// again.
 async fn write_claim_batch(process: &Process, mut claims: Vec<PendingClaim>) {
-    // one request of a group for a key; a second one has lost to the first
+    // of several claims of a key only the first is written; the others are dropped, which their requests
+    // see as `Write::Unclear`
     claims.sort_by(|a, b| a.key.cmp(&b.key));
     claims.dedup_by(|later, first| later.key == first.key);
     while !claims.is_empty() {
@@ -172,12 +172,12 @@
 fn send_results(claims: Vec<PendingClaim>, outcome: impl Fn(&PendingClaim) -> (Write, u64)) {
     for claim in claims {
         let outcome = outcome(&claim);
-        // a caller that hung up needs no answer; its claim is ended by the guard that made it
+        // if the request was cancelled there is no receiver; the claim's outcome is recorded by its guard
         let _ = claim.result.send(outcome);
     }
 }
 
-/// After a lost answer: a claim stands if the row shows its token.
+/// After a lost response: a claim was written if the row has its token.
 async fn read_results(process: &Process, claims: Vec<PendingClaim>) {
     let read = Read {
         keys: claims.iter().map(|claim| claim.key.clone()).collect(),
@@ -188,7 +188,7 @@
         let found = store::find(&rows, &claim.key);
         match store::parse::<Row>(found) {
             Some(row) if row.token == claim.row.token => (Write::Written, store::version_of(found)),
-            // absent now, it may come yet; another's row means that ours never will
+            // without a row the write may still take effect; another claim's row means that it never will
             Some(_) if store::version_of(found) != claim.expected_version => (Write::Taken, 0),
             _ => (Write::Unclear, 0),
         }
@@ -217,7 +217,7 @@
     }
 }
 
-/// Writes how claims ended; says whether the table answered.
+/// Writes a batch of outcomes. Returns whether that succeeded.
 async fn write_outcome_batch(process: &Process, batch: &[PendingOutcome]) -> bool {
     let read = Read {
         keys: batch.iter().map(|outcome| outcome.key.clone()).collect(),
@@ -230,8 +230,8 @@
     for outcome in batch {
         let found = store::find(&rows, &outcome.key);
         let current: Option<Row> = store::parse(found);
-        // a row that isn't this claim's is another's business. Where there is none, one is written,
-        // so that a write still on its way fails its check
+        // A row with another token belongs to another claim. If there is no row, one is written, so that a
+        // delayed write of the claim fails its version check.
         let ours = current
             .as_ref()
             .is_none_or(|row| row.token == outcome.row.token);
@@ -256,11 +256,11 @@
     written
 }
 
-/// Between two looks for claims that are past their retention.
+/// Mean interval between two searches for expired claims.
 const EXPIRY_INTERVAL: Duration = Duration::from_secs(600);
 
-/// Takes away claims past their service's retention. Wall clocks may differ by seconds; retention is
-/// counted in hours.
+/// Removes claims that are older than their service's retention. Wall clocks may differ by seconds, which
+/// does not matter because retention is counted in hours.
 async fn expire(process: &Process) {
     loop {
         let jitter = rand::random_range(0.5..1.5);
@@ -294,12 +294,13 @@
         let transaction = batch.iter().fold(Transaction::default(), |all, row| {
             all.check(&row.key, row.version).remove(&row.key)
         });
-        // one that changed meanwhile keeps its group for the next look
+        // if a row has changed, its batch is not removed before the next search
         let _ = process.store.commit(transaction).await;
     }
 }
 
-/// A claim that stands; when it is dropped without an end, its request may have run.
+/// A claim that was written, or may have been. If it is dropped without an outcome, its request may have
+/// been executed.
 pub struct ClaimGuard {
     process: Arc<Process>,
     key: String,
@@ -309,7 +310,6 @@
 }
 
 impl ClaimGuard {
-    /// Guards a claim that was written, or may have been.
     pub fn new(process: Arc<Process>, key: String, row: Row, version: Option<u64>) -> Self {
         Self {
             process,
@@ -320,12 +320,12 @@
         }
     }
 
-    /// The request ran and this was its answer.
+    /// Records that the request was executed, and its response.
     pub fn executed(self, recorded: Option<Recorded>) {
         self.finish(Stage::Done(recorded));
     }
 
-    /// The request certainly did not run, and this daemon won't run it.
+    /// Records that the request was not executed and will not be executed by this daemon.
     pub fn not_executed(self) {
         self.finish(Stage::NotRun);
     }
@@ -354,7 +354,7 @@
     }
 }
 
-/// What to do with a request by its key.
+/// Decides on a request by the row of its key.
 pub fn decide(process: &Process, found: &Lookup, digest: u64) -> claim::Decision {
     claim::decide(found.row.as_ref(), digest, |other| {
         process.members.is_incarnation_reachable(other)
--- a/components/daemon/src/process/gates.rs
+++ b/components/daemon/src/process/gates.rs
@@ -1,4 +1,4 @@
-//! Gates of all endpoints: a hold for each request in flight, released by its guard's `Drop`.
+//! The gates of all endpoints. Each request in flight holds its endpoint's gate through a guard.
 //!
 //! See `docs/DESIGN.md#closing-an-endpoint`.
 
@@ -10,22 +10,21 @@
 use protocol::gate::Gate;
 use tokio::sync::Notify;
 
-/// An endpoint's name: data centre and number.
+/// The identity of an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, derive_more::Display)]
 #[display("endpoint/{data_centre}/{number}")]
 pub struct Id {
-    /// Its data centre.
     pub data_centre: Arc<str>,
-    /// Its number there.
+    /// The endpoint's number within its data centre.
     pub number: u32,
 }
 
 const SHARDS: usize = 16;
 
-/// One shard's gates, sorted by endpoint.
+/// The gates of one shard, sorted by endpoint.
 type Shard = Mutex<Vec<(Id, Gate)>>;
 
-/// The gates of a daemon, in shards, each under its own lock.
+/// The gates of a daemon, in shards with a lock each.
 #[derive(Clone, Debug)]
 pub struct Gates(Arc<Shared>);
 
@@ -45,7 +44,7 @@
 }
 
 impl Gates {
-    /// Takes a hold; none when the endpoint is closed.
+    /// Registers a request in flight at an endpoint; `None` if the endpoint is closed.
     pub fn try_acquire(&self, id: &Id) -> Option<RequestGuard> {
         self.with_gate(id, Gate::hold).then(|| RequestGuard {
             gates: self.clone(),
@@ -53,29 +52,30 @@
         })
     }
 
-    /// Whether an endpoint is open here.
+    /// Whether this daemon may dispatch to an endpoint.
     pub fn is_open(&self, id: &Id) -> bool {
         self.with_gate(id, |gate| gate.closed_for().is_none())
     }
 
-    /// Requests in flight to an endpoint.
+    /// The number of requests in flight at an endpoint.
     pub fn in_flight(&self, id: &Id) -> u32 {
         self.with_gate(id, |gate| gate.in_flight())
     }
 
-    /// Closes an endpoint for an order; requests in flight go on.
+    /// Closes an endpoint for an order; requests in flight continue.
     pub fn close(&self, id: &Id, number: u64) {
         self.with_gate(id, |gate| gate.close(number));
     }
 
-    /// Closes an endpoint and waits for its last hold. Says whether it is closed with none left.
+    /// Closes an endpoint and waits until no request is in flight there. Returns whether that was reached
+    /// within the timeout.
     pub async fn drain(&self, id: &Id, number: u64, timeout: Duration) -> bool {
         self.close(id, number);
         let drained = async {
             loop {
                 let changed = self.0.changed.notified();
                 tokio::pin!(changed);
-                // registered before the look, so that no release falls between the two
+                // enabled before the check, so that a release between the check and the wait is not missed
                 changed.as_mut().enable();
                 if self.with_gate(id, |gate| gate.is_closed(number)) {
                     return;
@@ -86,13 +86,13 @@
         tokio::time::timeout(timeout, drained).await.is_ok()
     }
 
-    /// Opens an endpoint after an order's outcome is known.
+    /// Opens an endpoint once the outcome of an order is known.
     pub fn open(&self, id: &Id, number: u64) {
         self.with_gate(id, |gate| gate.open(number));
         self.0.changed.notify_waiters();
     }
 
-    /// The endpoints that are closed, with the order's number.
+    /// The closed endpoints with the numbers of the orders that they are closed for, sorted.
     pub fn closed(&self) -> Vec<(Id, u64)> {
         let mut closed: Vec<(Id, u64)> = Vec::new();
         for shard in &self.0.shards {
@@ -124,7 +124,7 @@
     shard.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// One request in flight to an endpoint.
+/// One request in flight at an endpoint, released on drop.
 #[derive(Debug)]
 pub struct RequestGuard {
     gates: Gates,
--- a/components/daemon/src/process/health.rs
+++ b/components/daemon/src/process/health.rs
@@ -1,4 +1,4 @@
-//! Reads the VM list and the endpoints' reports.
+//! Polls the VM list and the reports of engines.
 
 use std::{sync::Arc, time::Duration};
 
@@ -8,12 +8,12 @@
 
 use super::{Process, pool::Entry, pool::Pool};
 
-/// Longest wait for one report.
+/// Timeout for one report or one read of cache events.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(500);
-/// How many reports are asked for at once.
+/// Maximum number of reports that are requested concurrently.
 const MAX_CONCURRENT_REPORTS: usize = 32;
 
-/// Reads the VM list as long as the process lives.
+/// Polls the VM list.
 pub async fn poll_vms(process: Arc<Process>) {
     let interval: Duration = process.settings.control.vm_poll.into();
     loop {
@@ -34,7 +34,7 @@
     }
 }
 
-/// Asks all engines for their reports as long as the process lives.
+/// Polls the reports of all engines.
 pub async fn poll_reports(process: Arc<Process>) {
     use futures::StreamExt;
 
--- a/components/daemon/src/process/heartbeat.rs
+++ b/components/daemon/src/process/heartbeat.rs
@@ -1,4 +1,5 @@
-//! Heartbeats: who is alive, which settings version is in force, soft state.
+//! Heartbeats to peers. They show that a daemon is alive and report its settings version, its dispatches,
+//! its usage and the members it knows.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -7,11 +8,11 @@
 
 use super::{Phase, Process, lock, settings_sync};
 
-/// How many members a heartbeat names.
+/// Maximum number of members that a heartbeat advertises.
 const MAX_ADVERTISED_MEMBERS: usize = 16;
 const REPLY_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Beats as long as the process lives, and at once after a settings change.
+/// Sends heartbeats at regular intervals, and at once after a settings change.
 pub async fn run(process: Arc<Process>) {
     let interval: Duration = process.settings.control.heartbeat.into();
     let mut reachable: Vec<SocketAddr> = Vec::new();
@@ -49,7 +50,7 @@
     }
 }
 
-/// What this daemon says of itself.
+/// The heartbeat of this daemon.
 pub fn compose(process: &Process) -> Heartbeat {
     let time = process.timeline.now();
     let known = process
@@ -86,7 +87,7 @@
     }
 }
 
-/// Takes what a peer said, and fetches its settings when they are newer.
+/// Records a peer's heartbeat, and fetches the peer's settings if they are newer.
 pub fn receive(process: &Arc<Process>, heartbeat: &Heartbeat) {
     process.timeline.observe(Time {
         physical_ms: heartbeat.clock_ms,
@@ -106,7 +107,8 @@
     if let (true, Some(address)) = (newer, address) {
         let process = Arc::clone(process);
         tokio::spawn(async move {
-            // one at a time: every beat tells of the version, and a large tree takes longer than the time between two
+            // one fetch at a time: each heartbeat reports the version, and a large tree takes longer than
+            // the heartbeat interval
             let Ok(_guard) = process.fetch_lock.try_lock() else {
                 return;
             };
--- a/components/daemon/src/process/members.rs
+++ b/components/daemon/src/process/members.rs
@@ -1,5 +1,5 @@
-//! The daemons that this one knows, with what they last said. Soft state: only the quality of
-//! choices suffers when it is lost.
+//! The other daemons that this one knows, with what they last reported. This is soft state: losing it only
+//! makes decisions less accurate.
 
 use std::{
     net::SocketAddr,
@@ -12,22 +12,20 @@
 use tonic::transport::{Channel, Endpoint};
 use wire::{Heartbeat, Load, Usage, peer_client::PeerClient};
 
-/// A daemon that this one has heard of.
+/// A known daemon.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// Its incarnation.
     pub incarnation: Incarnation,
-    /// Where peers and operators reach it.
+    /// The address for peers and operators.
     pub address: SocketAddr,
-    /// Its data centre.
     pub data_centre: String,
-    /// When it was last heard; none when others only told of it.
+    /// When the last heartbeat was received; `None` if the daemon is only known from others.
     pub last_heartbeat: Option<Instant>,
-    /// When this daemon first knew it.
+    /// When the last heartbeat was received or, if there was none, when this daemon learnt of the member.
     pub known_since: Instant,
-    /// The settings version it said is in force there.
+    /// The settings version that it reported as in force.
     pub settings_version: u64,
-    /// Whether it said that it is stopping.
+    /// Whether it reported that it is shutting down.
     pub leaving: bool,
     /// Its dispatches, by endpoint.
     pub loads: Vec<Load>,
@@ -37,16 +35,15 @@
 struct State {
     /// Sorted by incarnation.
     members: Vec<Member>,
-    /// Entry VMs of the last list that was read.
+    /// Entry VMs in the last VM list.
     vms: Vec<Vm>,
-    /// Every address that was on the list at some time, sorted.
+    /// All addresses that have ever been in the VM list, sorted.
     ever_listed: Vec<SocketAddr>,
-    /// The highest usage counters heard, by member and group.
+    /// The highest usage counters received, sorted by member and group.
     usages: Vec<((Incarnation, String), u64)>,
     channels: Vec<(SocketAddr, Channel)>,
 }
 
-/// The members that a daemon knows.
 #[derive(Debug)]
 pub struct Members {
     incarnation: Incarnation,
@@ -55,17 +52,18 @@
     state: Mutex<State>,
 }
 
-/// How many peers get a heartbeat in one round; with more members the rounds rotate.
+/// Maximum number of peers that get a heartbeat per round; with more members the rounds rotate.
 pub const FAN_OUT: usize = 8;
-/// How long an unheard member that no list names is kept.
+/// How long a member is kept that sends no heartbeats and is not in the VM list.
 const FORGET_AFTER: Duration = Duration::from_secs(600);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// A peer that owes an answer is asked for a sign of life so often, and given up when none comes for as long: silence
-/// ends a call, as how long an answer takes is up to its size and the link.
+/// Interval and timeout of keep-alive probes while a call to a peer is pending. A call fails when its peer
+/// stops responding rather than after a fixed time, because the duration of a call depends on the size of
+/// the response and on the link.
 const KEEP_ALIVE: Duration = Duration::from_secs(1);
 
 impl Members {
-    /// Knows only the seeds.
+    /// Members of which only the seeds' addresses are known.
     pub fn new(
         incarnation: Incarnation,
         seeds: Vec<SocketAddr>,
@@ -79,7 +77,7 @@
         }
     }
 
-    /// Takes a heartbeat that came, or the answer to one, and gives the usage that is new in it.
+    /// Records a heartbeat or the reply to one. Returns the usage that is new in it.
     pub fn receive_heartbeat(&self, heartbeat: &Heartbeat) -> Vec<Usage> {
         let Some((incarnation, address, data_centre)) = parse_member(heartbeat.member.as_ref())
         else {
@@ -89,7 +87,7 @@
             return Vec::new();
         }
         let mut state = self.lock();
-        // an address that answers as another incarnation says that the old one is gone
+        // an address that answers as another incarnation shows that the old process is gone
         state
             .members
             .retain(|other| other.address != address || other.incarnation == incarnation);
@@ -114,7 +112,7 @@
         take_new_usage(&mut state, incarnation, &heartbeat.usages)
     }
 
-    /// Takes what another daemon said of a member.
+    /// Adds a member that another daemon has advertised.
     pub fn add_advertised(&self, member: &wire::Member) {
         self.add_to(&mut self.lock(), member);
     }
@@ -142,7 +140,7 @@
         }
     }
 
-    /// Takes a VM list and forgets members that nobody names any more.
+    /// Records a VM list. Removes members that are not in it and have not sent a heartbeat for a while.
     pub fn update_vms(&self, vms: Vec<Vm>) {
         let mut state = self.lock();
         let listed = |address| vms.iter().any(|vm| vm.address == address);
@@ -162,26 +160,26 @@
         state.vms = vms;
     }
 
-    /// All members, heard or not.
+    /// All members, reachable or not.
     pub fn all(&self) -> Vec<Member> {
         self.lock().members.clone()
     }
 
-    /// The members heard lately.
+    /// The members with a recent heartbeat.
     pub fn reachable(&self) -> Vec<Member> {
         let mut members = self.all();
         members.retain(|member| self.is_reachable(member));
         members
     }
 
-    /// Whether a member was heard lately.
+    /// Whether a member has sent a recent heartbeat.
     pub fn is_reachable(&self, member: &Member) -> bool {
         member
             .last_heartbeat
             .is_some_and(|last_heartbeat| last_heartbeat.elapsed() < self.unreachable_after)
     }
 
-    /// Whether an incarnation was heard lately.
+    /// Whether an incarnation is this daemon or has sent a recent heartbeat.
     pub fn is_incarnation_reachable(&self, incarnation: Incarnation) -> bool {
         incarnation == self.incarnation
             || self
@@ -190,19 +188,20 @@
                 .any(|member| member.incarnation == incarnation)
     }
 
-    /// Whether a daemon's VM is certainly gone: the list, which lags, doesn't name it, although it
-    /// did, or although the list's whole lag has passed since this daemon knew of it.
+    /// Whether a daemon's VM is known to be gone: it is not in the VM list, and either it was there before,
+    /// or the last heartbeat (or, without any, the first mention of it) is longer ago than the list may lag
+    /// behind.
     pub fn is_gone(&self, address: SocketAddr, lag: Duration) -> bool {
         let state = self.lock();
         let known = state.members.iter().find(|m| m.address == address);
-        // a list that names nobody was never read
+        // an empty list means that none has been read yet
         !state.vms.is_empty()
             && state.vms.iter().all(|vm| vm.address != address)
             && (state.ever_listed.binary_search(&address).is_ok()
                 || known.is_some_and(|member| member.known_since.elapsed() > lag))
     }
 
-    /// The addresses for a round of heartbeats: all when they are few, else a part that rotates.
+    /// The addresses for a round of heartbeats: all if they are few, else a section that rotates.
     pub fn heartbeat_targets(&self, own: SocketAddr, round: usize) -> Vec<SocketAddr> {
         let mut targets = self.addresses(own);
         if targets.len() > FAN_OUT {
@@ -213,7 +212,7 @@
         targets
     }
 
-    /// Every address at which a daemon may be: members, seeds and entry VMs.
+    /// All addresses at which a daemon may be: those of members, seeds and entry VMs, without `own`.
     pub fn addresses(&self, own: SocketAddr) -> Vec<SocketAddr> {
         let state = self.lock();
         let mut addresses: Vec<SocketAddr> = state
@@ -229,7 +228,7 @@
         addresses
     }
 
-    /// A client to a daemon, over a connection that is kept.
+    /// A client for a daemon, over a connection that is kept open.
     pub fn client(&self, address: SocketAddr) -> Option<PeerClient<Channel>> {
         let mut state = self.lock();
         let at = match state
@@ -270,7 +269,8 @@
     ))
 }
 
-/// Counters only go up, so the highest one heard holds, whatever the order of the messages.
+/// Updates the usage counters of a member and returns the increases. Counters never decrease, so the
+/// highest one received is right in whatever order messages arrive.
 fn take_new_usage(state: &mut State, incarnation: Incarnation, usages: &[Usage]) -> Vec<Usage> {
     let mut new = Vec::new();
     for usage in usages {
@@ -284,7 +284,7 @@
                 state.usages[at].1 = usage.work;
             }
             Ok(_) => {}
-            // what a peer did before this daemon knew it is no debt of today
+            // usage from before this daemon knew the peer is not charged
             Err(at) => state.usages.insert(at, (key, usage.work)),
         }
     }
--- a/components/daemon/src/process/mod.rs
+++ b/components/daemon/src/process/mod.rs
@@ -1,4 +1,5 @@
-//! What lives as long as the process: its identity, what it knows, and its loops.
+//! State with the lifetime of the process: its identity, the data shared by all requests, and its
+//! background tasks.
 
 pub mod claims;
 pub mod gates;
@@ -46,79 +47,76 @@
 use steward::Stewardships;
 use store::Store;
 
-/// How far a planned stop has come. See `docs/DESIGN.md#planned-stop`.
+/// The phases of a graceful shutdown. See `docs/DESIGN.md#planned-stop`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// Serving.
+    /// Serving normally.
     Serving,
-    /// Not ready any more, but the balancer still sends requests, and they are served.
+    /// No longer ready, but requests that the load balancer still sends are served.
     NotReady,
-    /// New requests are turned away; those under way go on.
+    /// New requests are refused; those in flight continue.
     Draining,
-    /// Everything is over.
+    /// The shutdown is complete.
     Stopped,
 }
 
-/// Where a daemon listens.
+/// The addresses that a daemon listens on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Addresses {
-    /// Callers.
+    /// For callers.
     pub callers: SocketAddr,
-    /// Peers and operators.
+    /// For peers and operators.
     pub peers: SocketAddr,
-    /// Metrics and health.
+    /// For metrics and health checks.
     pub status: SocketAddr,
 }
 
-/// The state that the parts of a daemon share.
+/// The shared state of a daemon.
 pub struct Process {
-    /// Its settings.
+    /// The settings that the process started with.
     pub settings: Settings,
-    /// Its identity: random at start, never reused.
+    /// The identity of this process: random at start and never reused.
     pub incarnation: Incarnation,
-    /// Where it listens.
     pub addresses: Addresses,
-    /// Its events.
+    /// The record of events for operators.
     pub timeline: Timeline,
-    /// Its metrics.
     pub metrics: Metrics,
-    /// The table.
+    /// The table for data that must survive the process.
     pub store: Store,
     vms: Box<dyn vms::List>,
     /// The settings version in force.
     pub current: Current,
-    /// Held while a peer's settings are fetched.
+    /// Held while settings are fetched from a peer.
     fetch_lock: tokio::sync::Mutex<()>,
-    /// The daemons it knows.
+    /// The other daemons that are known.
     pub members: Members,
     /// The gates of all endpoints.
     pub gates: Gates,
-    /// One pool a service, sorted by name.
+    /// One pool per service, sorted by the service's name.
     pools: Mutex<Vec<Arc<Pool>>>,
     /// Claims of idempotency keys.
     pub claims: Claims,
-    /// The budget of retries.
     pub retry_budget: Mutex<Budget>,
-    /// The adapter to engines.
+    /// The client for engines.
     pub engine: Engine,
-    /// The adapter to plain services.
+    /// The client for plain services.
     pub service: Service,
-    /// How far a planned stop has come.
+    /// The phase of a graceful shutdown.
     pub phase: watch::Sender<Phase>,
-    /// Requests under way; a planned stop waits until there are none.
+    /// The number of requests in flight; a graceful shutdown waits until it is zero.
     pub in_flight: watch::Sender<usize>,
-    /// Bytes of bodies held by requests under way.
+    /// Bytes of request bodies held by requests in flight.
     pub buffered_bytes: Arc<std::sync::atomic::AtomicUsize>,
-    /// Open connections of callers; a planned stop waits until there are none.
+    /// The number of open caller connections; a graceful shutdown waits until it is zero.
     pub connections: watch::Sender<usize>,
-    /// Work given to groups by this daemon, in microseconds, sorted by group.
+    /// Work that this daemon has given to each group, in microseconds, sorted by group.
     usage: Mutex<Vec<(String, u64)>>,
-    /// Orders of this daemon whose answers were lost: they may still strike.
+    /// Orders sent by this daemon whose response was lost, so that they may still take effect.
     lost_orders: Mutex<Vec<(gates::Id, u64)>>,
-    /// How far registration has come.
+    /// The state of this daemon's registration in the table.
     pub registration: watch::Sender<registration::State>,
     stewardships: Stewardships,
-    /// Wakes the heartbeat at once, after a settings change.
+    /// Triggers a heartbeat at once, after a settings change.
     pub(crate) heartbeat_due: Notify,
     started: std::time::Instant,
 }
@@ -131,12 +129,11 @@
         at.ok().map(|at| Arc::clone(&pools[at]))
     }
 
-    /// All pools.
     pub fn all_pools(&self) -> Vec<Arc<Pool>> {
         self.pools().clone()
     }
 
-    /// Counts work given to a group.
+    /// Adds work given to a group to its usage.
     pub fn record_usage(&self, group: &str, work: u64) {
         let mut usage = lock(&self.usage);
         match usage.binary_search_by(|(name, _)| name.as_str().cmp(group)) {
@@ -145,7 +142,7 @@
         }
     }
 
-    /// This daemon as its peers know it.
+    /// This daemon's entry for heartbeats and replies to peers.
     pub fn member(&self) -> wire::Member {
         wire::Member {
             incarnation: self.incarnation.0,
@@ -154,12 +151,12 @@
         }
     }
 
-    /// Notes that an order's answer was lost.
+    /// Records that the response to an order was lost.
     fn record_lost_order(&self, id: &gates::Id, number: u64) {
         lock(&self.lost_orders).push((id.clone(), number));
     }
 
-    /// Whether an order of this daemon may still strike.
+    /// Whether an order sent by this daemon may still take effect because its response was lost.
     fn is_lost_order(&self, id: &gates::Id, number: u64) -> bool {
         let lost = lock(&self.lost_orders);
         lost.iter().any(|(other, n)| other == id && *n == number)
@@ -170,48 +167,48 @@
     }
 }
 
-/// A panic elsewhere leaves the state whole, so the poison is of no concern.
+/// Locks a mutex and ignores poisoning: a panic while a lock is held does not leave the data inconsistent.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// A running daemon. Dropping it ends it hard, as a kill would.
+/// A running daemon. Dropping it terminates it at once, as a kill would.
 pub struct Running {
     process: Arc<Process>,
     tasks: JoinSet<()>,
 }
 
 impl Running {
-    /// Where it listens.
+    /// The addresses that the daemon listens on.
     #[must_use]
     pub fn addresses(&self) -> Addresses {
         self.process.addresses
     }
 
-    /// Begins a planned stop.
+    /// Begins a graceful shutdown.
     pub fn stop(&self) {
         shutdown::begin(&self.process);
     }
 
-    /// Waits for the end of a planned stop and says how many requests it had to cut.
+    /// Waits for the end of a graceful shutdown and returns how many requests were aborted.
     pub async fn ended(&mut self) -> usize {
         let mut phase = self.process.phase.subscribe();
-        // the sender lives in the process, which this handle keeps
+        // the sender lives in the process, which this handle keeps alive
         let _ = phase.wait_for(|phase| *phase == Phase::Stopped).await;
-        let cut = *self.process.in_flight.borrow();
+        let aborted = *self.process.in_flight.borrow();
         self.tasks.abort_all();
-        cut
+        aborted
     }
 
-    /// Ends the daemon at once and says how many requests were cut.
+    /// Terminates the daemon at once and returns how many requests were aborted.
     #[must_use]
     pub fn abort(self) -> usize {
-        let cut = *self.process.in_flight.borrow();
+        let aborted = *self.process.in_flight.borrow();
         self.process
             .metrics
             .aborted_streams
-            .inc_by(u64::try_from(cut).unwrap_or(0));
-        cut
+            .inc_by(u64::try_from(aborted).unwrap_or(0));
+        aborted
     }
 }
 
@@ -219,7 +216,7 @@
 ///
 /// # Errors
 ///
-/// [`Error`] when an address can't be bound.
+/// [`Error`] if an address cannot be bound.
 pub async fn start(settings: Settings) -> Result<Running, Error> {
     let callers = bind(settings.daemon.callers).await?;
     let peers = bind(settings.daemon.peers).await?;
@@ -236,7 +233,7 @@
         format!("incarnation {}", process.incarnation),
     );
     log::info!(
-        "started as {} on {:?}",
+        "started as incarnation {} on {:?}",
         process.incarnation,
         process.addresses
     );
@@ -295,7 +292,7 @@
     })
 }
 
-/// A member is silent after this many heartbeats have not come.
+/// Number of consecutive heartbeats without which a member counts as unreachable.
 const MAX_MISSED_HEARTBEATS: u32 = 4;
 
 async fn bind(address: SocketAddr) -> Result<TcpListener, Error> {
--- a/components/daemon/src/process/operators.rs
+++ b/components/daemon/src/process/operators.rs
@@ -1,4 +1,4 @@
-//! What this daemon answers operators.
+//! The server for calls from operators.
 
 use std::sync::Arc;
 
@@ -22,9 +22,9 @@
 /// The operators' service.
 pub struct Operators(pub Arc<Process>);
 
-/// How often a change without a base is tried against others.
+/// Maximum number of attempts to commit a change without a base version while other changes come first.
 const MAX_COMMIT_ATTEMPTS: u32 = 8;
-/// The longest log that is given in one answer.
+/// Maximum number of changes in one reply.
 const MAX_LOG_CHANGES: u64 = 200;
 const PEER_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(2);
 
@@ -175,7 +175,7 @@
     }
 }
 
-/// Commits a checked tree; none when another change was first.
+/// Commits a validated tree; `None` if another change was committed first.
 async fn try_commit(
     process: &Arc<Process>,
     next: Tree,
@@ -262,7 +262,7 @@
     }
 }
 
-/// Names the change that was first.
+/// The reply that shows the change which was committed first.
 async fn conflict(process: &Process, version: u64) -> CommitReply {
     let key = settings_sync::log_key(version);
     let rows = process
--- a/components/daemon/src/process/orders/closing.rs
+++ b/components/daemon/src/process/orders/closing.rs
@@ -1,4 +1,4 @@
-//! Asks all daemons to close an endpoint. See `docs/DESIGN.md#closing-an-endpoint`.
+//! Closes an endpoint at all daemons. See `docs/DESIGN.md#closing-an-endpoint`.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -12,10 +12,11 @@
     store::{self, by_prefix},
 };
 
-/// Asks every daemon that may dispatch to close; says whether all have, with nothing in flight.
+/// Asks every daemon that may dispatch to the endpoint to close it. Returns whether all have, with no
+/// request in flight.
 pub(super) async fn close_everywhere(process: &Arc<Process>, id: &Id, number: u64) -> bool {
     let timeout: Duration = process.settings.control.close_wait.into();
-    // the closing row is committed; who registers from now on reads it
+    // the closing row is committed, so daemons that register from now on read it
     let Ok(rows) = process.store.read(by_prefix(registration::PREFIX)).await else {
         return false;
     };
@@ -43,7 +44,7 @@
 ) -> bool {
     let mut contacted: Vec<SocketAddr> = vec![process.addresses.peers];
     loop {
-        // an answer may name daemons that nobody else knew
+        // a reply may advertise daemons that were not known before
         let mut remaining: Vec<SocketAddr> = process
             .members
             .addresses(process.addresses.peers)
@@ -118,19 +119,25 @@
             true
         }
         _ => {
-            log::info!("{id}: {address} did not answer; the change is given up");
+            log::info!(
+                "{id}: the daemon at {address} did not answer the close request; aborting the change"
+            );
             false
         }
     }
 }
 
-/// Takes away the registration of a daemon that is certainly gone.
+/// Removes the registration of a daemon that is known to be gone.
 async fn remove_registration(process: &Process, daemon: &Registered) {
     let key = registration::key(daemon.incarnation);
-    // left behind, it is taken away by the next steward that asks
+    // if this fails, the next steward that closes an endpoint removes it
     let _ = process
         .store
         .commit(Transaction::default().remove(&key))
         .await;
-    log::info!("{} at {} is gone", daemon.incarnation, daemon.address);
+    log::info!(
+        "daemon {} at {} is gone; removing its registration",
+        daemon.incarnation,
+        daemon.address
+    );
 }
--- a/components/daemon/src/process/orders/mod.rs
+++ b/components/daemon/src/process/orders/mod.rs
@@ -1,4 +1,5 @@
-//! Carries orders out: close, intent, send, outcome. See `docs/DESIGN.md#orders-to-engines`.
+//! Carries out orders: close the endpoint, commit the intent, send the order, commit the outcome. See
+//! `docs/DESIGN.md#orders-to-engines`.
 
 mod closing;
 
@@ -17,50 +18,49 @@
     store,
 };
 
-/// Prefix of the rows of orders.
+/// Prefix of the row keys of orders.
 pub const PREFIX: &str = "order/";
-/// Prefix of the rows in which operators ask for orders.
+/// Prefix of the row keys of changes requested by operators.
 pub const REQUEST_PREFIX: &str = "request/";
-/// How long a lost order's effect is looked for in the engine's reports.
+/// How long the engine's reports are polled for the effect of an order whose response was lost.
 const LOST_ORDER_TIMEOUT: Duration = Duration::from_secs(30);
 const REPORT_POLL_INTERVAL: Duration = Duration::from_millis(200);
-/// Longest wait for the engine's answer to an order.
+/// Timeout for an engine's response to an order.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(120);
-/// Between two looks at the rows of closed endpoints.
+/// Interval between reads of the rows of closed endpoints.
 const REOPEN_INTERVAL: Duration = Duration::from_secs(1);
-/// What a peer's answer may take beyond its own wait.
+/// Time allowed for a peer's reply beyond the time that the peer itself waits.
 const REPLY_MARGIN: Duration = Duration::from_secs(2);
 
-/// What an endpoint should become, and the operator's row that asks for it.
+/// A state that an endpoint should reach, and the operator's row that requests it, if any.
 #[derive(Clone, Debug)]
 pub struct ChangeRequest {
-    /// The endpoint.
     pub id: Id,
-    /// What it should have.
+    /// The wanted state.
     pub wanted: Wanted,
     /// Key and version of the operator's row.
     pub row: Option<(String, u64)>,
 }
 
-/// The next thing to do with an endpoint; rows come with the version that they replace.
+/// The next action for an endpoint. Rows come with the version that they replace.
 #[derive(Clone, Debug)]
 pub enum Task {
-    /// Close it everywhere, then send the order.
+    /// Close the endpoint at all daemons, then send the order.
     Close(ChangeRequest, Row, u64),
-    /// Nothing was sent: open it again.
+    /// Nothing was sent: open the endpoint again.
     Reopen(Id, Row, u64),
     /// Send the same order again.
     Resend(ChangeRequest, Row, u64),
-    /// The operator's wish holds: take its row away.
+    /// The requested state is reached: remove the operator's row.
     Fulfilled(ChangeRequest),
 }
 
-/// The key of an endpoint's order.
+/// The row key of the order to an endpoint.
 pub fn key_of(id: &Id) -> String {
     format!("{PREFIX}{}/{}", id.data_centre, id.number)
 }
 
-/// The endpoint of an order's key.
+/// The endpoint of an order's row key.
 pub fn id_of(key: &str) -> Option<Id> {
     let (data_centre, number) = key.strip_prefix(PREFIX)?.split_once('/')?;
     Some(Id {
@@ -69,7 +69,7 @@
     })
 }
 
-/// Carries a task out as far as it goes.
+/// Carries out a task as far as possible.
 pub async fn execute(process: &Arc<Process>, held: &HeldLease, task: Task) {
     match task {
         Task::Fulfilled(request) => remove_request(process, held, &request).await,
@@ -79,7 +79,7 @@
             }
         }
         Task::Resend(request, row, version) => {
-            // whoever closed for it stays closed until its outcome is known
+            // daemons that closed the endpoint for this order keep it closed until the outcome is known
             if let Some(version) = commit(process, held, &request.id, &row, version).await {
                 send(process, held, &request, &row, version).await;
             }
@@ -106,7 +106,7 @@
             stage: Stage::Reopened,
             ..row.clone()
         };
-        // should this fail too, the successor reopens
+        // if this fails too, the next steward reopens the endpoint
         if commit(process, held, &request.id, &reopened, version)
             .await
             .is_some()
@@ -121,8 +121,8 @@
     }
 }
 
-/// Commits a row under the steward's lease; gives its new version, none when it isn't certain that
-/// the row stands.
+/// Commits a row under the steward's lease. Returns the row's new version, or `None` if it is not certain
+/// that the row was written.
 async fn commit(
     process: &Process,
     held: &HeldLease,
@@ -146,11 +146,14 @@
             Some(version)
         }
         Ok(Outcome::Conflict(_)) => {
-            log::warn!("{id}: order {} lost its authority", row.number);
+            log::warn!(
+                "{id}: commit of order {} rejected: the lease or the order's row has changed",
+                row.number
+            );
             None
         }
         Err(error) => {
-            log::warn!("{id}: order {}: {error}", row.number);
+            log::warn!("{id}: commit of order {} failed: {error}", row.number);
             None
         }
     }
@@ -188,7 +191,8 @@
         wanted: row.wanted.clone(),
     };
     if !steward::is_lease_valid(process, held) {
-        // woken after the lease lapsed: the order never leaves, and that is worth saying
+        // the lease has expired, as when the process was suspended: the order will never be sent, and recording
+        // that lets a successor proceed
         withdraw_sender(process, &request.id, row.number).await;
         return;
     }
@@ -202,7 +206,7 @@
     }
     let next = order::finish(row, ended);
     let mut backoff = REPORT_POLL_INTERVAL;
-    // the outcome is known for certain, so it is worth telling when the table is back
+    // the outcome is certain, so it is worth retrying the commit until the table recovers
     let mut committed = false;
     for _ in 0..MAX_OUTCOME_COMMITS {
         committed = commit(process, held, &request.id, &next, version)
@@ -220,7 +224,7 @@
     if !next.closes(ended == Ended::Reached) {
         announce_outcome(process, &request.id, row.number).await;
     }
-    // a former steward's order is finished first; a later wish stays for the next one
+    // an order of a former steward is completed first; a different request is handled by the next task
     if ended == Ended::Reached && row.wanted == request.wanted {
         remove_request(process, held, request).await;
     }
@@ -228,11 +232,11 @@
 
 const MAX_OUTCOME_COMMITS: u32 = 5;
 
-/// Gives a former sender's own word that its call has ended: a successor need not wait for it any
-/// more. It takes nothing but its own name out of the row, so it needs no lease.
+/// Records that the call of this former sender has ended, so that a successor need not wait for it. This
+/// removes only the daemon's own entry from the row, so it needs no lease.
 async fn withdraw_sender(process: &Process, id: &Id, number: u64) {
     if process.is_lost_order(id, number) {
-        // an earlier copy of this order may still strike
+        // an earlier copy of this order may still take effect
         return;
     }
     let key = key_of(id);
@@ -249,7 +253,7 @@
         let transaction = Transaction::default()
             .check(&key, store::version_of(found))
             .write(&key, store::to_json(&row));
-        // unsaid, it is found gone when this process ends
+        // if this fails, the successor waits until this process is gone
         let _ = process.store.commit(transaction).await;
     }
 }
@@ -263,9 +267,9 @@
     })
 }
 
-/// Looks for the effect of an order whose answer was lost. It was sent once; when the engine's
-/// report shows its number, that one copy has arrived. When the engine has started anew, the copy
-/// is lost with the connection.
+/// Determines the outcome of an order whose response was lost. The order was sent once, so when the
+/// engine's report shows its number, that copy has arrived. If the engine has restarted, the copy was lost
+/// with the connection.
 async fn find_outcome(
     process: &Process,
     address: SocketAddr,
@@ -288,7 +292,7 @@
     Ended::Lost
 }
 
-/// Takes the operator's row away when its wish holds.
+/// Removes the operator's row once the requested state is reached.
 async fn remove_request(process: &Process, held: &HeldLease, request: &ChangeRequest) {
     let Some((key, version)) = &request.row else {
         return;
@@ -297,11 +301,11 @@
         .check(&held.key, held.version)
         .check(key, *version)
         .remove(key);
-    // a wish that stays is found fulfilled the next time
+    // if this fails, the row is found fulfilled in the next round
     let _ = process.store.commit(transaction).await;
 }
 
-/// Tells all daemons that an order's outcome is known. Whoever misses it reads the row.
+/// Notifies all daemons that the outcome of an order is known. A daemon that misses it reads the row.
 async fn announce_outcome(process: &Arc<Process>, id: &Id, number: u64) {
     process.gates.open(id, number);
     for pool in process.all_pools() {
@@ -326,7 +330,7 @@
     }
 }
 
-/// Opens endpoints whose order's outcome shows in its row, as long as the process lives.
+/// Opens closed endpoints once their rows show the outcome of the order.
 pub async fn reopen_endpoints(process: Arc<Process>) {
     loop {
         tokio::time::sleep(REOPEN_INTERVAL).await;
--- a/components/daemon/src/process/peers.rs
+++ b/components/daemon/src/process/peers.rs
@@ -1,4 +1,4 @@
-//! What this daemon answers its peers.
+//! The server for calls from peers.
 
 use std::{sync::Arc, time::Duration};
 
@@ -16,7 +16,7 @@
 
 struct Peers(Arc<Process>);
 
-/// Serves peers and operators as long as the process lives.
+/// Serves peers and operators.
 pub async fn serve(process: Arc<Process>, listener: TcpListener) {
     let peers = PeerServer::new(Peers(Arc::clone(&process)));
     let operators = OperatorServer::new(Operators(process));
@@ -26,7 +26,7 @@
         .serve_with_incoming(TcpListenerStream::new(listener))
         .await;
     if let Err(error) = served {
-        log::error!("peers are not served any more: {error}");
+        log::error!("the server for peers and operators failed: {error}");
     }
 }
 
@@ -38,7 +38,8 @@
     }
 
     async fn fetch(&self, _: Request<FetchRequest>) -> Result<Response<Tree>, Status> {
-        // what is closed is read first: a close that comes between is then asked of the fetcher
+        // the closed endpoints are read before the tree; a close that comes in between is sent to the
+        // fetching daemon as well
         let closed = self.0.gates.closed();
         let mut tree = self
             .0
@@ -96,7 +97,6 @@
     }
 }
 
-/// A member as it is sent.
 pub fn to_wire(member: &super::members::Member) -> wire::Member {
     wire::Member {
         incarnation: member.incarnation.0,
--- a/components/daemon/src/process/pool/entry.rs
+++ b/components/daemon/src/process/pool/entry.rs
@@ -1,5 +1,5 @@
-//! One endpoint as this daemon sees it: own dispatches exactly, peers' a moment old, the
-//! endpoint's own report older still.
+//! The state of one endpoint. This daemon's own dispatches are exact, those of its peers are as old as
+//! their last heartbeats, and the endpoint's own report is older still.
 
 use std::{
     sync::Arc,
@@ -19,51 +19,49 @@
 use super::Requirements;
 use crate::process::{gates::Id, members::Member};
 
-/// How long an endpoint gets nothing after it was not reached.
+/// How long an endpoint gets no new requests after a failed call.
 const QUARANTINE_DURATION: Duration = Duration::from_secs(1);
-/// An engine whose report is older than this is not counted on.
+/// Maximum age of an engine's report; with an older one the engine counts as unavailable.
 const MAX_REPORT_AGE: Duration = Duration::from_secs(3);
-/// One-way delay to another data centre's endpoints, until it is measured.
+/// Assumed one-way delay to endpoints in other data centres, which is not measured.
 const REMOTE_ONE_WAY_DELAY_US: Micros = 2_000;
-/// The most cache blocks that are remembered of an engine.
+/// Maximum number of cache blocks that are remembered per engine.
 const MAX_CACHED_BLOCKS: usize = 65_536;
 
-/// An endpoint of a pool.
 #[derive(Clone, Debug)]
 pub struct Entry {
-    /// Its name.
     pub id: Id,
-    /// What the settings say of it.
+    /// The endpoint as the settings describe it.
     pub endpoint: resolve::Endpoint,
-    /// Its last report and when it came.
+    /// The last report and when it was received.
     pub report: Option<(Report, Instant)>,
-    /// Whether the VM list says that it leaves.
+    /// Whether the VM list says that the endpoint is leaving.
     pub leaving: bool,
-    /// Its speed, as learnt.
+    /// Its latency, learnt from responses.
     pub latency: BatchLatency,
-    /// Prompt tokens that this daemon sent and that are not read yet.
+    /// Prompt tokens sent by this daemon that the endpoint has not prefilled yet, by priority class.
     pub prefill_tokens: TokensByClass,
-    /// This daemon's requests that write there.
+    /// Requests of this daemon that decode there, or will once their prompt is prefilled.
     pub decode_requests: u64,
-    /// Prompt tokens ever sent by this daemon.
+    /// Total prompt tokens sent by this daemon.
     pub sent_prompt_tokens: u64,
-    /// Tokens ever written to this daemon's callers from there.
+    /// Total tokens decoded there for callers of this daemon.
     pub decoded_tokens: u64,
     local: bool,
-    /// Whether it reports its load; a plain service doesn't.
+    /// Whether the endpoint reports its load; a plain service does not.
     has_reports: bool,
     added: Instant,
     quarantined_until: Option<Instant>,
     peer_prefill_tokens: TokensByClass,
     peer_decode_requests: u64,
-    /// Blocks that its prefix cache likely holds, sorted.
+    /// Blocks that the endpoint's prefix cache probably holds, sorted.
     cached_blocks: Vec<u64>,
-    /// The last cache event that was taken.
+    /// Sequence number of the last cache event that was applied.
     cache_sequence: u64,
 }
 
 impl Entry {
-    /// An endpoint that nothing is known of yet.
+    /// An endpoint without any report or dispatch yet.
     pub fn new(endpoint: &resolve::Endpoint, data_centre: &str, has_reports: bool) -> Self {
         Self {
             id: Id {
@@ -89,14 +87,15 @@
         }
     }
 
-    /// Takes what a new settings version says of it. An endpoint at another address is another one.
+    /// Applies a new settings version. Returns `false` if the address has changed, because that is a
+    /// different endpoint.
     pub fn update(&mut self, endpoint: &resolve::Endpoint) -> bool {
         let same = self.endpoint.address == endpoint.address;
         self.endpoint = endpoint.clone();
         same
     }
 
-    /// Whether it takes new work at all.
+    /// Whether the endpoint accepts new requests.
     pub fn accepts_requests(&self) -> bool {
         !self.endpoint.drain
             && !self.leaving
@@ -106,11 +105,11 @@
             && self.is_available()
     }
 
-    /// Whether it takes a request.
+    /// Whether the endpoint accepts a request with the given requirements.
     pub fn can_serve(&self, requirements: &Requirements) -> bool {
         let (model, adapter, version) = &requirements.model;
         let holds = self.report.as_ref().map(|(report, _)| &report.holds);
-        // an engine that names no model holds whatever it is asked for
+        // an engine that reports no model serves any model
         let holds_model = holds.is_none_or(|holds| {
             holds.model.is_empty()
                 || (holds.model == *model && holds.adapter == *adapter && holds.version == *version)
@@ -122,12 +121,12 @@
         match &self.report {
             _ if !self.has_reports => true,
             Some((report, at)) => !report.changing && at.elapsed() < MAX_REPORT_AGE,
-            // not asked yet; a failed try will tell
+            // no report was received yet; if the endpoint is unreachable, an attempt will show it
             None => self.added.elapsed() < MAX_REPORT_AGE,
         }
     }
 
-    /// Its role, as last reported.
+    /// The role that the endpoint last reported.
     pub fn role(&self) -> order::Role {
         self.report
             .as_ref()
@@ -135,7 +134,7 @@
             .unwrap_or_default()
     }
 
-    /// It as routing sees it for a request.
+    /// Input for the routing policy, for a given request.
     pub fn to_engine_for(&self, requirements: &Requirements) -> route::Engine {
         let cached = requirements
             .blocks
@@ -149,7 +148,7 @@
         }
     }
 
-    /// It as routing sees it for any request of a priority.
+    /// Input for the routing policy, for any request of a priority: without cached tokens.
     pub fn to_engine(&self, priority: u8) -> route::Engine {
         let reported = self.report.as_ref().map(|(report, at)| {
             (
@@ -183,7 +182,7 @@
         }
     }
 
-    /// Takes a report. Says whether the endpoint was away before.
+    /// Records a report. Returns whether the endpoint was unavailable before.
     pub fn record_report(&mut self, report: Report) -> bool {
         let was_unavailable = !self.is_available();
         let cache_lost = self
@@ -191,7 +190,7 @@
             .as_ref()
             .is_some_and(|(old, _)| old.boot != report.boot || old.holds != report.holds);
         if cache_lost {
-            // its cache is empty
+            // a restarted or changed engine has an empty cache
             self.cached_blocks.clear();
             self.cache_sequence = 0;
         }
@@ -199,7 +198,7 @@
         was_unavailable
     }
 
-    /// Takes cache events; they are hints, and gaps only cost quality.
+    /// Applies cache events. They are hints: a missing one only makes routing less accurate.
     pub fn apply_cache_events(&mut self, events: &[CacheEvent]) {
         for event in events {
             self.cache_sequence = self.cache_sequence.max(event.sequence);
@@ -215,7 +214,7 @@
         }
     }
 
-    /// Notes that a prompt was read there, so that its blocks are likely held.
+    /// Records that a prompt was prefilled, so that its blocks are probably cached.
     pub fn record_prefill(&mut self, blocks: &[u64]) {
         for block in blocks {
             if let Err(at) = self.cached_blocks.binary_search(block)
@@ -226,18 +225,18 @@
         }
     }
 
-    /// The last cache event taken, and whether the report tells of later ones.
+    /// The sequence number of the last applied cache event, if the report shows that there are later ones.
     pub fn missing_cache_events_after(&self) -> Option<u64> {
         let (report, _) = self.report.as_ref()?;
         (report.cache_sequence > self.cache_sequence).then_some(self.cache_sequence)
     }
 
-    /// Keeps it from new work for a moment, after it was not reached or refused.
+    /// Keeps new requests away for a moment, after a call has failed or was refused.
     pub fn quarantine(&mut self) {
         self.quarantined_until = Some(Instant::now() + QUARANTINE_DURATION);
     }
 
-    /// Takes what live peers have dispatched to it.
+    /// Replaces the dispatches of peers by those of the reachable ones.
     pub fn update_peer_loads(&mut self, reachable: &[Member]) {
         let loads = reachable
             .iter()
@@ -255,7 +254,7 @@
         }
     }
 
-    /// What this daemon tells its peers of its dispatches to it.
+    /// This daemon's dispatches to the endpoint, as reported to peers.
     pub fn load(&self) -> wire::Load {
         wire::Load {
             endpoint: self.id.number,
--- a/components/daemon/src/process/pool/grant.rs
+++ b/components/daemon/src/process/pool/grant.rs
@@ -1,16 +1,14 @@
-//! Engines given to a request, counted as long as the grant lives.
+//! Engines granted to a request. Their load counts until the grant is dropped.
 
 use std::{net::SocketAddr, sync::Arc};
 
 use super::{Entry, Pool};
 use crate::process::gates::{Id, RequestGuard};
 
-/// One engine given to a request.
+/// One engine granted to a request.
 #[derive(Debug)]
 pub struct GrantedEngine {
-    /// Its name.
     pub id: Id,
-    /// Where it listens.
     pub address: SocketAddr,
     prefill_tokens: u64,
     class: usize,
@@ -56,11 +54,11 @@
     }
 }
 
-/// The engines given to a request: one, or one that reads and one that writes.
+/// The engines granted to a request: one, or one for prefill and one for decode.
 #[derive(Debug)]
 pub struct Grant {
     pool: Arc<Pool>,
-    /// In the order in which they serve.
+    /// In the order of use.
     engines: Vec<GrantedEngine>,
 }
 
@@ -69,17 +67,17 @@
         Self { pool, engines }
     }
 
-    /// The engine that gets the request first.
+    /// The engine that the request is sent to first.
     pub fn first(&self) -> Option<(Id, SocketAddr)> {
         self.engines.first().map(GrantedEngine::id_and_address)
     }
 
-    /// The engine that writes after another one has read; none when one does both.
+    /// The engine that decodes in a split placement; `None` if one engine does both.
     pub fn second(&self) -> Option<(Id, SocketAddr)> {
         self.engines.get(1).map(GrantedEngine::id_and_address)
     }
 
-    /// Notes that the prompt was read: the engine has room for the next one.
+    /// Records the end of prefill, after which the engine can take the next prompt.
     pub fn finish_prefill(&mut self) {
         if let Some(engine) = self.engines.first_mut() {
             engine.finish_prefill(&self.pool);
@@ -87,7 +85,7 @@
         }
     }
 
-    /// Gives the engine back that has read, after the one that writes has taken over.
+    /// Releases the prefill engine of a split placement, once the decode engine has taken over.
     pub fn release_prefill_engine(&mut self) {
         if self.engines.len() > 1 {
             self.finish_prefill();
--- a/components/daemon/src/process/pool/mod.rs
+++ b/components/daemon/src/process/pool/mod.rs
@@ -1,7 +1,7 @@
-//! The endpoints of a service, with the queue before them.
+//! The endpoints of a service and the queue of requests in front of them.
 //!
-//! Lives as long as the process; a new settings version changes it in place. The decisions are
-//! those of the `policy` crate. See `docs/DESIGN.md#routing`.
+//! A pool lives as long as the process; a new settings version updates it in place. The decisions are made
+//! by the `policy` crate. See `docs/DESIGN.md#routing`.
 
 mod entry;
 mod grant;
@@ -28,64 +28,60 @@
 
 use super::{gates::Gates, members::Member};
 
-/// Weight of a new answer's length in a group's average.
+/// Weight of a new response's length in the group's mean.
 const MEAN_OUTPUT_WEIGHT: f64 = 0.1;
-/// Longest time between two looks at the queue.
+/// Longest time between two checks of the queue.
 const QUEUE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// How many groups are tried in turn when the first one's request doesn't fit.
+/// Maximum number of groups whose first request is tried while none of them fits.
 const MAX_GROUPS_TRIED: usize = 8;
-/// How many write together when the work of an answer is estimated.
+/// Number of requests decoding together that the work of a response is estimated with.
 const TYPICAL_BATCH_REQUESTS: u64 = 16;
-/// When nothing is known, callers are told to come back after this long.
+/// Retry delay given to refused callers while no wait can be estimated.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// What a request needs of an engine.
+/// The requirements of a request for placement.
 #[derive(Clone, Debug)]
 pub struct Requirements {
-    /// Index of its group in the version that admitted it, and the group's name.
+    /// Index of the group in the settings version that admitted the request, and the group's name.
     pub group: (usize, String),
     /// Model, adapter and version.
     pub model: (String, String, String),
-    /// Hashes of its prompt's blocks.
+    /// Hashes of the prompt's blocks.
     pub blocks: Vec<u64>,
-    /// Tokens of its prompt.
     pub prompt_tokens: u64,
-    /// Most tokens that it may write.
+    /// Upper bound for the tokens of the response.
     pub max_output_tokens: u64,
-    /// 9 goes first.
+    /// Priority; 9 is the highest.
     pub priority: u8,
-    /// When it must be done.
+    /// When the request must be complete.
     pub deadline: Instant,
-    /// When its turn must have come.
+    /// When the request must have been placed.
     pub start_by: Instant,
-    /// Engines that have failed it.
+    /// Endpoints at which the request has failed.
     pub avoid: Vec<super::gates::Id>,
 }
 
-/// Why a request got no engine. It did not run.
+/// Why a request was not placed. It was not executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlacementError {
-    /// It can't meet its deadline.
+    /// It cannot complete before its deadline.
     WouldMissDeadline {
-        /// When trying again may help.
+        /// When a retry may succeed.
         retry_after: Duration,
     },
-    /// The queue is full.
     QueueFull {
-        /// When trying again may help.
+        /// When a retry may succeed.
         retry_after: Duration,
     },
-    /// No engine takes requests.
+    /// No endpoint accepts requests.
     NoEndpoint {
-        /// When trying again may help.
+        /// When a retry may succeed.
         retry_after: Duration,
     },
 }
 
-/// The endpoints of one service.
 #[derive(Debug)]
 pub struct Pool {
-    /// The service's name.
     pub service: String,
     gates: Gates,
     started: Instant,
@@ -113,7 +109,7 @@
         }
     }
 
-    /// Takes the endpoints and groups of a new settings version.
+    /// Applies the endpoints and groups of a new settings version.
     pub fn apply(&self, version: &resolve::ResolvedTree) {
         self.entries().retain_mut(|entry| {
             version
@@ -141,12 +137,12 @@
         }
     }
 
-    /// Gives a request its engines, at once or after it has waited its turn.
+    /// Places a request, at once or after it has waited in the queue.
     pub async fn place(
         self: &Arc<Self>,
         requirements: Requirements,
     ) -> Result<Grant, PlacementError> {
-        // even alone on an engine it would come too late
+        // it would miss its deadline even on an idle engine
         let output = self.queue().expected_output(&requirements);
         let unloaded_time =
             Duration::from_micros(self.estimate_unloaded_time(requirements.prompt_tokens, output));
@@ -170,7 +166,7 @@
         }
     }
 
-    /// Places a request without waiting, unless others wait that go before it.
+    /// Places a request without waiting, unless queued requests go before it.
     fn try_place_now(self: &Arc<Self>, requirements: &Requirements) -> Option<Grant> {
         let urgent = requirements.priority >= URGENT_PRIORITY;
         let queue = self.queue();
@@ -218,11 +214,10 @@
         Ok((ticket, receiver))
     }
 
-    /// Hands out engines to those that wait, until the engines are full or nobody waits.
-    /// Ends when the pool is gone.
+    /// Places queued requests while engines accept them. Returns when the pool is dropped.
     pub async fn run_queue(pool: Weak<Self>) {
         while let Some(changed) = pool.upgrade().map(|pool| Arc::clone(&pool.changed)) {
-            // the look from time to time ends the task of a pool that is gone
+            // the timeout ends this task after the pool has been dropped
             let _ = tokio::time::timeout(QUEUE_CHECK_INTERVAL, changed.notified()).await;
             if let Some(pool) = pool.upgrade() {
                 pool.grant_waiting();
@@ -235,7 +230,7 @@
         while self.grant_next(&mut queue) {}
     }
 
-    /// Gives the first request that fits its engine; says whether there was one.
+    /// Places the first queued request that fits. Returns whether there was one.
     fn grant_next(self: &Arc<Self>, queue: &mut Queue) -> bool {
         for (group, queued) in queue.fair.peek(MAX_GROUPS_TRIED) {
             let Some(at) = queue.find(queued.id) else {
@@ -247,7 +242,7 @@
             };
             queue.fair.pop(group);
             let waiter = queue.waiters.remove(at);
-            // one that hung up gives its grant back by dropping it
+            // if the request was cancelled, the grant is dropped here and thereby released
             let _ = waiter.grant.send(grant);
             return true;
         }
@@ -268,8 +263,8 @@
         Some(Grant::new(Arc::clone(self), engines))
     }
 
-    /// The engines that may take a request, with their indices among the entries. One that has
-    /// failed the request gets it again only where there is no other.
+    /// The engines that can take a request, with their indices into `entries`. Engines at which the request
+    /// has failed are only included if there is no other.
     fn candidates(
         &self,
         entries: &[Entry],
@@ -322,14 +317,14 @@
                 decodes,
             ));
         }
-        // counted only after all holds were had
+        // the load is only counted once all guards are acquired
         for engine in &mut engines {
             engine.add_load(entries);
         }
         Some(engines)
     }
 
-    /// Engines that take requests now.
+    /// The number of endpoints that accept requests now.
     pub fn available_endpoints(&self) -> u64 {
         let entries = self.entries();
         let available = entries
@@ -338,7 +333,7 @@
         u64::try_from(available.count()).unwrap_or(0)
     }
 
-    /// When a caller that was turned away should try again.
+    /// When a refused caller should retry.
     pub fn retry_after(&self) -> Duration {
         let entries = self.entries();
         let candidates: Vec<route::Engine> = entries
@@ -364,7 +359,7 @@
         )
     }
 
-    /// Notes the end of a whole answer.
+    /// Records the length of a complete response.
     pub fn record_output(&self, group: &str, output: u64) {
         let mut queue = self.queue();
         if let Ok(at) = queue
@@ -376,7 +371,7 @@
         }
     }
 
-    /// Charges groups for what peers gave them.
+    /// Charges groups for the work that peers have given them.
     pub fn charge_peer_usage(&self, usages: &[wire::Usage]) {
         let mut queue = self.queue();
         for usage in usages {
@@ -389,7 +384,7 @@
         }
     }
 
-    /// Takes what live peers have dispatched.
+    /// Records the dispatches of the reachable peers.
     pub fn update_peer_loads(&self, reachable: &[Member]) {
         for entry in self.entries().iter_mut() {
             entry.update_peer_loads(reachable);
@@ -397,7 +392,7 @@
         self.changed.notify_one();
     }
 
-    /// Works on one entry, if the endpoint is of this pool.
+    /// Calls `f` on the entry of an endpoint, if it is part of this pool.
     pub fn with_entry<T>(
         &self,
         id: &super::gates::Id,
@@ -408,12 +403,11 @@
         Some(f(&mut entries[at]))
     }
 
-    /// All entries as they are now.
     pub fn snapshot(&self) -> Vec<Entry> {
         self.entries().clone()
     }
 
-    /// Wakes the queue after something has changed.
+    /// Triggers a check of the queue after a change.
     pub fn wake(&self) {
         self.changed.notify_one();
     }
@@ -432,7 +426,7 @@
     }
 }
 
-/// The work of a request in microseconds of an engine.
+/// Estimates the work of a request, in microseconds of engine time.
 pub fn estimate_work(prompt: u64, output: u64) -> Micros {
     let latency = BatchLatency::default();
     let each = latency.inter_token_us(TYPICAL_BATCH_REQUESTS) / to_f64(TYPICAL_BATCH_REQUESTS);
--- a/components/daemon/src/process/pool/queue.rs
+++ b/components/daemon/src/process/pool/queue.rs
@@ -1,4 +1,4 @@
-//! The requests that wait before a pool: the fair queue, who stands in it, and what they need.
+//! The requests that wait for a pool: their order by fair shares and their requirements.
 
 use std::{sync::Arc, time::Instant};
 
@@ -12,7 +12,7 @@
 
 use super::{Grant, Pool, Requirements};
 
-/// Output that is expected of a group that has not been served yet, in tokens.
+/// Expected length, in tokens, of a response for a group without any response yet.
 const INITIAL_OUTPUT_TOKENS: f64 = 128.0;
 
 #[derive(Debug)]
@@ -26,17 +26,17 @@
 #[derive(Debug)]
 pub(super) struct Queue {
     pub(super) fair: FairQueue,
-    /// Names of the groups that the queue's indices stand for.
+    /// Names of the groups, by their index in the fair queue.
     pub(super) groups: Vec<String>,
-    /// Average length of the groups' answers, in tokens.
+    /// Mean length of the responses by group, in tokens.
     pub(super) mean_outputs: Vec<f64>,
-    /// Sorted by number.
+    /// Sorted by `id`.
     pub(super) waiters: Vec<Waiter>,
     last_id: u64,
 }
 
 impl Queue {
-    /// Nobody waits, and no group is known yet.
+    /// An empty queue without groups.
     pub(super) fn new() -> Self {
         Self {
             fair: FairQueue::new(&[]),
@@ -90,7 +90,8 @@
         }
     }
 
-    /// Moves the queue to the groups of a new version. Who waits keeps its place in its group.
+    /// Rebuilds the queue for the groups of a new settings version. Waiting requests keep their order
+    /// within their group.
     pub(super) fn regroup(&mut self, version: &resolve::ResolvedTree) {
         let names: Vec<String> = version.groups.iter().map(|g| g.name.clone()).collect();
         let groups: Vec<fair::Group> = version
@@ -111,7 +112,7 @@
         let mut old = std::mem::replace(&mut self.fair, FairQueue::new(&groups));
         self.mean_outputs = mean_outputs;
         self.groups = names;
-        // a group that is gone takes its waiting requests along: their grant's sender drops
+        // waiting requests of a removed group are refused: dropping them drops the sender of their grant
         let known = &self.groups;
         self.waiters.retain_mut(
             |waiter| match known.binary_search(&waiter.requirements.group.1) {
@@ -133,7 +134,7 @@
     }
 }
 
-/// A place in the queue, left by its `Drop`.
+/// A place in the queue, removed on drop.
 #[derive(Debug)]
 pub(super) struct Ticket {
     pool: Arc<Pool>,
--- a/components/daemon/src/process/registration.rs
+++ b/components/daemon/src/process/registration.rs
@@ -1,8 +1,8 @@
-//! The row that says that this incarnation lives.
+//! The row in the table by which other daemons know that this incarnation exists.
 //!
-//! A daemon registers, then reads what is being closed, then dispatches; a steward writes that it
-//! is closing, then reads who is registered, then asks. In that order neither can miss the other.
-//! See `docs/DESIGN.md#closing-an-endpoint`.
+//! A daemon registers, then reads which endpoints are being closed, then dispatches. A steward writes that
+//! it closes an endpoint, then reads which daemons are registered, then sends them close requests. In this
+//! order neither can miss the other. See `docs/DESIGN.md#closing-an-endpoint`.
 
 use std::{sync::Arc, time::Duration};
 
@@ -16,37 +16,33 @@
     store::{self, by_prefix},
 };
 
-/// Prefix of the rows.
+/// Prefix of the row keys.
 pub const PREFIX: &str = "daemon/";
 
-/// A registered daemon.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Registered {
-    /// Its incarnation.
     pub incarnation: Incarnation,
-    /// Where peers reach it.
+    /// The address for peers.
     pub address: std::net::SocketAddr,
-    /// Its data centre.
     pub data_centre: String,
 }
 
-/// How far registration has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// The first try is under way; nothing is dispatched yet.
+    /// The first attempt is in flight; nothing is dispatched yet.
     Registering,
-    /// The table did not answer. The daemon serves on what its peers tell it.
+    /// The table was unavailable. The daemon serves on what its peers report.
     Unregistered,
-    /// Registered, and what is being closed was read after that.
+    /// Registered, and afterwards the endpoints that are being closed were read.
     Registered,
 }
 
-/// Registers as soon as the table answers.
+/// Registers, retrying until it succeeds.
 pub async fn run(process: Arc<Process>) {
     let mut backoff = INITIAL_BACKOFF;
     while !register(&process).await {
         process.registration.send_replace(State::Unregistered);
-        // spread, so that all daemons don't knock at once when the table is back
+        // jitter keeps the daemons from retrying all at once when the table recovers
         let jitter = rand::random_range(0.5..1.5);
         tokio::time::sleep(backoff.mul_f64(jitter)).await;
         backoff = (backoff * 2).min(MAX_BACKOFF);
@@ -87,7 +83,8 @@
     close_gates(process).await
 }
 
-/// Incarnations before this one at the same address: only one process can listen there.
+/// Row keys of earlier incarnations at the same address. They are gone, because only one process can listen
+/// there.
 fn replaced_registrations(rows: &[Row], own: &Registered) -> Vec<String> {
     rows.iter()
         .filter_map(|row| store::parse::<Registered>(Some(row)))
@@ -114,7 +111,7 @@
     true
 }
 
-/// Whether the endpoint's own report says that it has what the order wants.
+/// Whether the endpoint's own report shows that it has the state wanted by the order.
 pub fn is_fulfilled(process: &Process, id: &Id, order: &order::Row) -> bool {
     process.all_pools().iter().any(|pool| {
         pool.with_entry(id, |entry| {
@@ -126,7 +123,6 @@
     })
 }
 
-/// A registered daemon as a member.
 pub fn to_wire(registered: &Registered) -> wire::Member {
     wire::Member {
         incarnation: registered.incarnation.0,
@@ -135,14 +131,13 @@
     }
 }
 
-/// Takes the registration away, at the end of a planned stop.
+/// Removes the registration at the end of a graceful shutdown.
 pub async fn deregister(process: &Process) {
     let transaction = Transaction::default().remove(&key(process.incarnation));
-    // left behind by an outage, it is taken away by whoever finds it gone
+    // if the table is unavailable, the row is removed later by a daemon that finds this one gone
     let _ = process.store.commit(transaction).await;
 }
 
-/// The key of an incarnation's row.
 pub fn key(incarnation: Incarnation) -> String {
     format!("{PREFIX}{incarnation}")
 }
--- a/components/daemon/src/process/settings_sync.rs
+++ b/components/daemon/src/process/settings_sync.rs
@@ -1,7 +1,7 @@
-//! Keeps the settings in force: by polling the table's head and by asking peers.
+//! Keeps the settings up to date, by polling the head row in the table and by fetching from peers.
 //!
-//! Accepted means committed. A daemon never applies a lower version than the one in force. See
-//! `docs/DESIGN.md#settings`.
+//! A change is accepted once it is committed. A daemon never applies a lower version than the one in force.
+//! See `docs/DESIGN.md#settings`.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -19,37 +19,36 @@
     store::{self, by_keys},
 };
 
-/// Key of the head row.
+/// Key of the row with the newest version.
 pub const HEAD_KEY: &str = "settings/head";
-/// Prefix of the nodes' rows.
+/// Prefix of the row keys of nodes.
 pub const NODE_PREFIX: &str = "settings/node/";
-/// Prefix of the changes' rows.
+/// Prefix of the row keys of changes.
 pub const LOG_PREFIX: &str = "settings/log/";
-/// Up to this many changes are fetched one by one; more are fetched as a whole tree.
+/// Maximum number of changes that are fetched one by one; beyond it the whole tree is read.
 const MAX_REPLAYED_CHANGES: u64 = 64;
-/// Of a data centre's daemons, this many poll the head at the full pace; the others hear of it from
-/// them and poll slowly.
+/// Number of daemons per data centre that poll the head row at the full rate; the others learn of new
+/// versions through heartbeats and poll less often.
 const POLLERS_PER_DATA_CENTRE: usize = 2;
 const NON_POLLER_INTERVAL_FACTOR: u32 = 5;
-/// The longest time for a whole tree from a peer: the largest that was measured, 5.6 MB at 45,000 groups, comes in that
-/// at 2 Mbit/s. A peer that falls silent is given up sooner, see `super::members`.
+/// Timeout for fetching a whole tree from a peer. The largest one measured, 5.6 MB with 45,000 groups,
+/// takes this long at 2 Mbit/s. A call to a peer that stops responding fails sooner, see `super::members`.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(25);
 
-/// The head row.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Head {
-    /// The newest version.
     pub version: u64,
-    /// The token of the change that made it.
+    /// The token of the change that created this version.
     pub token: u64,
 }
 
-/// Polls the head as long as the process lives.
+/// Polls for new versions of the settings.
 pub async fn run(process: Arc<Process>) {
     let interval: Duration = process.settings.control.settings_poll.into();
     let mut next_slow_poll = Instant::now();
     let mut registration = process.registration.subscribe();
-    // a daemon dispatches only after it has registered, or else on what its peers tell it
+    // a daemon dispatches only after it has registered or, if the table is unavailable, on what its peers
+    // report
     let _ = registration
         .wait_for(|state| *state != registration::State::Registering)
         .await;
@@ -69,7 +68,7 @@
     }
 }
 
-/// Whether this daemon is among the first of its data centre by incarnation.
+/// Whether this daemon is one of its data centre's pollers: those with the lowest incarnations.
 pub fn is_poller(process: &Process) -> bool {
     let before = process
         .members
@@ -81,7 +80,7 @@
     before < POLLERS_PER_DATA_CENTRE
 }
 
-/// Brings the newest version from the table; says whether the table answered.
+/// Applies the newest version in the table. Returns whether the table answered.
 pub async fn update_from_table(process: &Arc<Process>) -> bool {
     let Ok(head) = process.store.read(by_keys(&[HEAD_KEY])).await else {
         return false;
@@ -102,7 +101,7 @@
     }
 }
 
-/// The tree after the changes up to a version; none when one of them can't be had.
+/// Applies the changes up to a version to `tree`; `None` if one of them cannot be read or applied.
 async fn replay(process: &Process, tree: &Tree, to: u64) -> Option<Tree> {
     let keys: Vec<String> = (tree.version + 1..=to).map(log_key).collect();
     let read = Read {
@@ -137,12 +136,12 @@
     store::parse(Some(row))
 }
 
-/// The key of a change's row.
+/// The row key of a change.
 pub fn log_key(version: u64) -> String {
     format!("{LOG_PREFIX}{version:012}")
 }
 
-/// While the table is down a new daemon takes the highest version of its peers.
+/// Applies the highest version among the peers. Used by a new daemon while the table is unavailable.
 async fn update_from_peers(process: &Arc<Process>) {
     let addresses = process.members.addresses(process.addresses.peers);
     let fetches = addresses
@@ -162,26 +161,26 @@
     }
 }
 
-/// Fetches the settings of a peer; none when it has none or doesn't answer.
+/// Fetches the settings of a peer; `None` if it has none or the call fails.
 pub async fn fetch_from_peer(process: &Process, address: SocketAddr) -> Option<wire::Tree> {
     let mut client = process.members.client(address)?;
     let call = client.fetch(wire::FetchRequest {});
     let tree = match tokio::time::timeout(FETCH_TIMEOUT, call).await {
         Ok(Ok(reply)) => reply.into_inner(),
         Ok(Err(status)) => {
-            log::warn!(peer:% = address, status:%; "a peer's settings were not read");
+            log::warn!(peer:% = address, status:%; "could not fetch the settings from a peer");
             return None;
         }
         Err(_) => {
-            log::warn!(peer:% = address; "a peer's settings did not come in time");
+            log::warn!(peer:% = address; "fetching the settings from a peer timed out");
             return None;
         }
     };
-    // a daemon that isn't ready answers with no nodes and version 0
+    // a daemon that is not ready replies with version 0 and no nodes
     (tree.version > 0 || !tree.nodes.is_empty()).then_some(tree)
 }
 
-/// Puts a version in force.
+/// Puts a version into force, unless the current one is at least as new.
 pub fn apply(process: &Arc<Process>, tree: Tree) {
     let version = tree.version;
     let Some(snapshot) = process.current.apply(tree) else {
@@ -217,12 +216,11 @@
         &process.settings.daemon.data_centre,
         process.settings.limits.queue_requests,
     ));
-    // ends by itself when the pool is gone
+    // returns once the pool has been dropped
     tokio::spawn(Pool::run_queue(Arc::downgrade(&pool)));
     pool
 }
 
-/// A tree as it came from a peer.
 pub fn from_wire(tree: wire::Tree) -> Tree {
     let nodes = tree
         .nodes
@@ -235,7 +233,6 @@
     Tree::new(tree.version, nodes)
 }
 
-/// A tree as it is sent.
 pub fn to_wire(tree: &Tree) -> wire::Tree {
     wire::Tree {
         version: tree.version,
--- a/components/daemon/src/process/shutdown.rs
+++ b/components/daemon/src/process/shutdown.rs
@@ -1,4 +1,5 @@
-//! A planned stop: not ready at once, served for the balancer's lag, then drained, then ended.
+//! A graceful shutdown: the daemon first becomes not ready while it still serves for the load balancer's
+//! lag, then it drains, then it stops.
 
 use std::{sync::Arc, time::Duration};
 
@@ -6,7 +7,7 @@
 
 use super::{Phase, Process, registration, steward};
 
-/// Begins a planned stop; a second call changes nothing.
+/// Begins a graceful shutdown. Does nothing if one has begun already.
 pub fn begin(process: &Process) {
     process.phase.send_if_modified(|phase| {
         let begins = *phase == Phase::Serving;
@@ -17,7 +18,7 @@
     });
 }
 
-/// Waits for a planned stop to begin and carries it out.
+/// Waits for a graceful shutdown to begin and performs it.
 pub async fn run(process: Arc<Process>) {
     let mut phase = process.phase.subscribe();
     // the sender lives as long as the process
@@ -33,17 +34,17 @@
     let mut in_flight = process.in_flight.subscribe();
     let mut connections = process.connections.subscribe();
     let drained = async {
-        // a connection ends only after its last answer is written out
+        // a connection closes only after its last response has been written
         let _ = in_flight.wait_for(|count| *count == 0).await;
         let _ = connections.wait_for(|count| *count == 0).await;
     };
     if tokio::time::timeout(grace, drained).await.is_err() {
-        let cut = *process.in_flight.borrow();
+        let aborted = *process.in_flight.borrow();
         process
             .metrics
             .aborted_streams
-            .inc_by(u64::try_from(cut).unwrap_or(0));
-        log::warn!("planned stop: grace is over, {cut} requests are cut");
+            .inc_by(u64::try_from(aborted).unwrap_or(0));
+        log::warn!("grace period of the planned stop is over; aborting {aborted} requests");
     }
     registration::deregister(&process).await;
     process.phase.send_replace(Phase::Stopped);
--- a/components/daemon/src/process/status.rs
+++ b/components/daemon/src/process/status.rs
@@ -1,4 +1,4 @@
-//! Metrics and health over HTTP, for the platform and for people.
+//! Metrics and health checks over HTTP, for the platform and for people.
 
 use std::{convert::Infallible, sync::Arc};
 
@@ -12,7 +12,7 @@
 
 use super::{Phase, Process};
 
-/// Serves as long as the process lives.
+/// Serves metrics and health checks.
 pub async fn serve(process: Arc<Process>, listener: TcpListener) {
     let mut connections = JoinSet::new();
     while let Ok((stream, _)) = listener.accept().await {
@@ -22,7 +22,7 @@
                 let response = answer(&process, &request);
                 async move { Ok::<_, Infallible>(response) }
             });
-            // a broken connection is the reader's business
+            // an error on the connection only affects the client
             let _ = http1::Builder::new()
                 .serve_connection(TokioIo::new(stream), service)
                 .await;
--- a/components/daemon/src/process/steward/mod.rs
+++ b/components/daemon/src/process/steward/mod.rs
@@ -1,6 +1,6 @@
-//! Stewardships: which daemon gives orders to the engines of a service in a data centre.
+//! Stewardships: which daemon sends orders to the engines of a service in a data centre.
 //!
-//! Any registered daemon may hold one. See `docs/DESIGN.md#stewardship`.
+//! Any registered daemon may be a steward. See `docs/DESIGN.md#stewardship`.
 
 mod planner;
 
@@ -23,31 +23,28 @@
 };
 use planner::Planner;
 
-/// The lease under which a steward commits: a transaction that checks its row can't be committed by
-/// a former steward.
+/// The lease under which a steward commits. Transactions check its row, so a former steward cannot commit
+/// any more.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HeldLease {
     /// Key of the lease row.
     pub key: String,
-    /// Version of the lease row, which changes only with its holder.
+    /// Version of the lease row, which changes only when the holder changes.
     pub version: u64,
-    /// The epoch.
     pub epoch: u64,
-    /// The service.
     pub service: String,
-    /// The data centre.
     pub data_centre: String,
 }
 
-/// What a daemon knows of one stewardship.
+/// The state of one stewardship, whether this daemon holds it or not.
 struct Stewardship {
     service: String,
     watch: Option<Watch>,
     held: Option<HeldLease>,
-    /// Until when this daemon may act without another renewal.
+    /// How long this daemon may act without another renewal.
     valid_until: Instant,
     planner: Planner,
-    /// Whether an order is being carried out.
+    /// Held while an order is being carried out.
     order_permit: Arc<tokio::sync::Semaphore>,
     last_lease: Option<Lease>,
 }
@@ -56,16 +53,15 @@
 #[derive(Default)]
 pub struct Stewardships(Mutex<Vec<Stewardship>>);
 
-/// What is told of a stewardship.
+/// The status of a stewardship, for operators.
 pub struct Status {
-    /// The service.
     pub service: String,
     /// The lease as last read.
     pub lease: Option<Lease>,
 }
 
 impl Stewardships {
-    /// What is known of each stewardship.
+    /// The status of each stewardship.
     pub fn statuses(&self) -> Vec<Status> {
         lock(&self.0)
             .iter()
@@ -77,10 +73,10 @@
     }
 }
 
-/// How often in a term a holder renews.
+/// Number of renewals per lease term.
 const RENEWALS_PER_TERM: u32 = 4;
 
-/// Takes, renews and uses stewardships as long as the process lives.
+/// Takes over and renews stewardships and acts on those held.
 pub async fn run(process: Arc<Process>) {
     let term: Duration = process.settings.control.lease_term.into();
     loop {
@@ -96,7 +92,7 @@
     }
 }
 
-/// Services with engines in this daemon's data centre.
+/// The services with engines in this daemon's data centre.
 fn engine_services(process: &Process) -> Vec<String> {
     let Some(current) = process.current.get() else {
         return Vec::new();
@@ -135,7 +131,7 @@
             registration::PREFIX.to_owned(),
         ],
     };
-    // counted from before the request was sent
+    // the lease term counts from before the request was sent
     let sent_at = Instant::now();
     let Ok(rows) = process.store.read(read).await else {
         return;
@@ -175,7 +171,8 @@
     }
 }
 
-/// Notes what was read and says what is held and whether the holder may be replaced.
+/// Records a read of the lease. Returns the lease held by this daemon and whether the current holder may be
+/// replaced.
 fn observe(
     process: &Process,
     service: &str,
@@ -251,7 +248,7 @@
         count: 0,
     };
     let sent_at = Instant::now();
-    // a renewal that came meanwhile wins over the take-over
+    // a renewal by the holder in the meantime makes the take-over fail
     let transaction = Transaction::default()
         .check(lease_key, lease_version)
         .check(renewal_key, renewal_version)
@@ -281,11 +278,11 @@
     process
         .timeline
         .record(Kind::StewardTaken, format!("service/{service}"), detail);
-    log::info!("steward of {service} in epoch {}", next.epoch);
+    log::info!("became steward of {service} in epoch {}", next.epoch);
 }
 
-/// Whether the lease still runs by this daemon's own clock. Safety doesn't rest on it: the epoch
-/// in the table does that.
+/// Whether the lease is still valid by this daemon's own clock. Safety does not depend on this: the epoch
+/// in the table ensures it.
 pub fn is_lease_valid(process: &Process, held: &HeldLease) -> bool {
     with_stewardship(process, &held.service, |stewardship| {
         stewardship.held.as_ref() == Some(held) && Instant::now() < stewardship.valid_until
@@ -304,7 +301,7 @@
     log::warn!("no longer steward of {service}");
 }
 
-/// Starts what has to be done with the engines, unless an order is being carried out.
+/// Starts the next task for the engines, unless one is in progress.
 fn start_next_task(process: &Arc<Process>, service: &str, held: &HeldLease, rows: &[Row]) {
     let Some(Ok(permit)) = with_stewardship(process, service, |stewardship| {
         Arc::clone(&stewardship.order_permit).try_acquire_owned()
@@ -326,7 +323,7 @@
     });
 }
 
-/// Gives all stewardships up, so that others need not wait for the term to end.
+/// Releases all stewardships, so that other daemons need not wait for the term to end.
 pub async fn release_all(process: &Process) {
     let held: Vec<HeldLease> = lock(&process.stewardships.0)
         .iter_mut()
@@ -340,8 +337,8 @@
         let transaction = Transaction::default()
             .check(&held.key, held.version)
             .write(&held.key, store::to_json(&lease::release(&lease)));
-        // without an answer the lease lapses by itself
+        // if the table is unavailable, the lease expires
         let _ = process.store.commit(transaction).await;
-        log::info!("gave up the stewardship of {}", held.service);
+        log::info!("released the stewardship of {}", held.service);
     }
 }
--- a/components/daemon/src/process/steward/planner.rs
+++ b/components/daemon/src/process/steward/planner.rs
@@ -1,4 +1,5 @@
-//! Plans orders: operators' wishes first, then what is left open by others, then the mix.
+//! Plans orders: first the changes requested by operators, then orders that a former steward left
+//! unfinished, then changes of the mix of roles.
 
 use std::time::{Duration, Instant};
 
@@ -23,14 +24,14 @@
     store,
 };
 
-/// How long an engine is away for a change, its drain included, until it is learnt.
+/// Assumed time that an engine is unavailable for a change, including its drain; it is not measured.
 const ASSUMED_CHANGE_DURATION: Duration = Duration::from_secs(10);
-/// How many write together when demand is counted.
+/// Number of requests decoding together that demand is estimated with.
 const TYPICAL_BATCH_REQUESTS: u64 = 16;
 const HOUR_US: u64 = 3_600_000_000;
 
-/// What a steward remembers between two decisions. It starts anew with each stewardship: a new
-/// steward first watches, since it has no history to forecast from.
+/// What a steward remembers between decisions. A new steward starts without history to forecast from and
+/// first only observes.
 #[derive(Debug)]
 pub struct Planner {
     demand: Demand,
@@ -54,7 +55,7 @@
 }
 
 impl Planner {
-    /// The next order, if there is something to do.
+    /// The next task, if there is any.
     pub fn plan(&mut self, process: &Process, held: &HeldLease, rows: &[Row]) -> Option<Task> {
         self.observe_demand(process, held);
         let requested_changes = requested_changes(rows, held);
@@ -89,7 +90,7 @@
         let decode_token_us =
             latency.inter_token_us(TYPICAL_BATCH_REQUESTS) / to_f64(TYPICAL_BATCH_REQUESTS);
         if let Some(previous) = self.totals.replace(totals) {
-            // a peer that came or went makes the sums jump; a fall is no demand
+            // a peer that appears or disappears makes the totals jump; a decrease does not count as demand
             let prefill = to_f64(totals.0.saturating_sub(previous.0)) * latency.prefill_token_us;
             let decode = to_f64(totals.1.saturating_sub(previous.1)) * decode_token_us;
             let now = micros(self.started.elapsed());
@@ -97,7 +98,7 @@
         }
     }
 
-    /// A change of role that pays, if there is one.
+    /// A change of role that is worth its cost, if there is one.
     fn plan_role_change(
         &mut self,
         process: &Process,
@@ -148,7 +149,7 @@
     }
 }
 
-/// Orders that a former steward left half done.
+/// The next task for an order that a former steward left unfinished.
 fn resume_abandoned(process: &Process, held: &HeldLease, rows: &[Row]) -> Option<Task> {
     rows.iter().find_map(|row| {
         let id = orders::id_of(&row.key)?;
@@ -212,7 +213,7 @@
     pool.is_some_and(|pool| pool.with_entry(id, |_| ()).is_some())
 }
 
-/// The task that brings an endpoint nearer to a wish.
+/// The task that brings an endpoint closer to the requested state.
 fn next_task(
     process: &Process,
     held: &HeldLease,
@@ -230,7 +231,7 @@
         .filter_map(|row| store::parse::<Registered>(Some(row)))
         .map(|registered| registered.incarnation)
         .collect();
-    // a registration is taken away only by its own daemon or when it is certainly gone
+    // a registration is removed only by its own daemon or once that daemon is known to be gone
     let gone = |other: Incarnation| !registered.contains(&other);
     let number = previous.as_ref().map_or(0, |previous| previous.number);
     let settled = !process.is_lost_order(&request.id, number);
@@ -247,7 +248,10 @@
         Step::Nothing if request.row.is_some() => Some(Task::Fulfilled(request)),
         Step::Nothing => None,
         Step::Wait(sender) => {
-            log::info!("{}: waiting until {sender} is certainly gone", request.id);
+            log::info!(
+                "{}: waiting until daemon {sender}, which may still send an earlier order, is known to be gone",
+                request.id
+            );
             None
         }
         Step::Close(row) => Some(Task::Close(request, row, store::version_of(found))),
--- a/components/daemon/src/process/store.rs
+++ b/components/daemon/src/process/store.rs
@@ -1,4 +1,4 @@
-//! The table, with its health noted and its rows typed.
+//! Access to the table, with its availability recorded and its rows typed.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 
@@ -9,7 +9,7 @@
     timeline::{Kind, Timeline},
 };
 
-/// The table as the parts of a daemon use it.
+/// The table, as used by the other modules.
 pub struct Store {
     table: Box<dyn Table>,
     available: AtomicBool,
@@ -18,7 +18,6 @@
 }
 
 impl Store {
-    /// A store over an adapter.
     pub fn new(table: Box<dyn Table>, timeline: Timeline, metrics: Metrics) -> Self {
         Self {
             table,
@@ -47,8 +46,8 @@
         result
     }
 
-    /// Commits a transaction; after a lost answer reads back whether `key` now has `value`. The
-    /// value must be one that no other write could have made.
+    /// Commits a transaction. If the response is lost, reads back whether `key` has `value`, which must be
+    /// a value that no other write could have produced.
     pub async fn commit_confirmed(
         &self,
         transaction: Transaction,
@@ -60,7 +59,7 @@
                 let rows = self.read(by_keys(&[key])).await;
                 match rows.as_deref() {
                     Ok([row]) if row.value == value => Ok(Outcome::Committed(row.version)),
-                    // absent or older now does not mean that it won't come yet
+                    // if the row is absent or older, the commit may still take effect later
                     _ => Err(table::Error::OutcomeUnknown),
                 }
             }
@@ -77,13 +76,13 @@
             } else {
                 Kind::StoreDown
             };
-            log::warn!("table service: {outcome}");
+            log::warn!("availability of the table service changed; the last call {outcome}");
             self.timeline.record(kind, "store", "");
         }
     }
 }
 
-/// A read of single rows.
+/// A read of the rows with the given keys.
 pub fn by_keys(keys: &[&str]) -> Read {
     Read {
         keys: keys.iter().map(|key| (*key).to_owned()).collect(),
@@ -91,7 +90,7 @@
     }
 }
 
-/// A read of all rows under a prefix.
+/// A read of all rows whose key has a prefix.
 pub fn by_prefix(prefix: &str) -> Read {
     Read {
         keys: Vec::new(),
@@ -99,23 +98,21 @@
     }
 }
 
-/// The row with a key.
 pub fn find<'a>(rows: &'a [Row], key: &str) -> Option<&'a Row> {
     rows.iter().find(|row| row.key == key)
 }
 
-/// The version of a row, 0 when it is absent.
+/// The version of a row; 0 if it is absent.
 pub fn version_of(row: Option<&Row>) -> u64 {
     row.map_or(0, |row| row.version)
 }
 
-/// The typed value of a row; none when it is absent or can't be read.
+/// Parses the value of a row; `None` if the row is absent or its value cannot be parsed.
 pub fn parse<T: DeserializeOwned>(row: Option<&Row>) -> Option<T> {
     serde_json::from_str(&row?.value).ok()
 }
 
-/// The text of a typed value.
 pub fn to_json<T: Serialize>(value: &T) -> String {
-    // rows are plain structs, which always have a JSON form
+    // rows are plain structs, which can always be serialized to JSON
     serde_json::to_string(value).unwrap_or_default()
 }
