--- a/components/daemon/src/process/sync.rs
+++ b/components/daemon/src/process/settings_sync.rs
@@ -1,7 +1,7 @@
-//! Keeps the settings in force: by polling the table's head and by asking peers.
+//! Keeps the settings up to date, by polling the head row in the table and by fetching from peers.
 //!
-//! Accepted means committed. A daemon never applies a lower version than the one in force. See
-//! `docs/DESIGN.md#settings`.
+//! A change is accepted once it is committed. A daemon never applies a lower version than the one in force.
+//! See `docs/DESIGN.md#settings`.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -16,93 +16,92 @@
     gates::Id,
     pool::Pool,
     registration,
-    store::{self, rows},
+    store::{self, by_keys},
 };
 
-/// Key of the head row.
-pub const HEAD: &str = "settings/head";
-/// Prefix of the nodes' rows.
-pub const NODES: &str = "settings/node/";
-/// Prefix of the changes' rows.
-pub const LOG: &str = "settings/log/";
-/// Up to this many changes are fetched one by one; more are fetched as a whole tree.
-const MOST_CHANGES: u64 = 64;
-/// Of a data centre's daemons, this many poll the head at the full pace; the others hear of it from
-/// them and poll slowly.
-const POLLERS: usize = 2;
-const SLOW_FACTOR: u32 = 5;
-/// The longest time for a whole tree from a peer: the largest that was measured, 5.6 MB at 45,000 groups, comes in that
-/// at 2 Mbit/s. A peer that falls silent is given up sooner, see `super::members`.
-const FETCH: Duration = Duration::from_secs(25);
-
-/// The head row.
+/// Key of the row with the newest version.
+pub const HEAD_KEY: &str = "settings/head";
+/// Prefix of the row keys of nodes.
+pub const NODE_PREFIX: &str = "settings/node/";
+/// Prefix of the row keys of changes.
+pub const LOG_PREFIX: &str = "settings/log/";
+/// Maximum number of changes that are fetched one by one; beyond it the whole tree is read.
+const MAX_REPLAYED_CHANGES: u64 = 64;
+/// Number of daemons per data centre that poll the head row at the full rate; the others learn of new
+/// versions through heartbeats and poll less often.
+const POLLERS_PER_DATA_CENTRE: usize = 2;
+const NON_POLLER_INTERVAL_FACTOR: u32 = 5;
+/// Timeout for fetching a whole tree from a peer. The largest one measured, 5.6 MB with 45,000 groups,
+/// takes this long at 2 Mbit/s. A call to a peer that stops responding fails sooner, see `super::members`.
+const FETCH_TIMEOUT: Duration = Duration::from_secs(25);
+
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Head {
-    /// The newest version.
     pub version: u64,
-    /// The token of the change that made it.
+    /// The token of the change that created this version.
     pub token: u64,
 }
 
-/// Polls the head as long as the process lives.
-pub async fn keep(process: Arc<Process>) {
-    let pause: Duration = process.settings.control.settings_poll.into();
-    let mut slow_until = Instant::now();
+/// Polls for new versions of the settings.
+pub async fn run(process: Arc<Process>) {
+    let interval: Duration = process.settings.control.settings_poll.into();
+    let mut next_slow_poll = Instant::now();
     let mut registration = process.registration.subscribe();
-    // a daemon dispatches only after it has registered, or else on what its peers tell it
+    // a daemon dispatches only after it has registered or, if the table is unavailable, on what its peers
+    // report
     let _ = registration
-        .wait_for(|state| *state != registration::State::Trying)
+        .wait_for(|state| *state != registration::State::Registering)
         .await;
     loop {
         let first = process.current.get().is_none();
         let registered = *process.registration.borrow() == registration::State::Registered;
         match () {
-            () if first && !registered => from_peers(&process).await,
-            () if !first && !is_poller(&process) && Instant::now() < slow_until => {}
+            () if first && !registered => update_from_peers(&process).await,
+            () if !first && !is_poller(&process) && Instant::now() < next_slow_poll => {}
             () => {
-                slow_until = Instant::now() + pause * SLOW_FACTOR;
-                from_table(&process).await;
+                next_slow_poll = Instant::now() + interval * NON_POLLER_INTERVAL_FACTOR;
+                update_from_table(&process).await;
             }
         }
         let jitter = rand::random_range(0.8..1.2);
-        tokio::time::sleep(pause.mul_f64(jitter)).await;
+        tokio::time::sleep(interval.mul_f64(jitter)).await;
     }
 }
 
-/// Whether this daemon is among the first of its data centre by incarnation.
+/// Whether this daemon is one of its data centre's pollers: those with the lowest incarnations.
 pub fn is_poller(process: &Process) -> bool {
     let before = process
         .members
-        .live()
+        .reachable()
         .iter()
         .filter(|member| member.data_centre == process.settings.daemon.data_centre)
-        .filter(|member| member.incarnation < process.me)
+        .filter(|member| member.incarnation < process.incarnation)
         .count();
-    before < POLLERS
+    before < POLLERS_PER_DATA_CENTRE
 }
 
-/// Brings the newest version from the table; says whether the table answered.
-pub async fn from_table(process: &Arc<Process>) -> bool {
-    let Ok(head) = process.store.read(rows(&[HEAD])).await else {
+/// Applies the newest version in the table. Returns whether the table answered.
+pub async fn update_from_table(process: &Arc<Process>) -> bool {
+    let Ok(head) = process.store.read(by_keys(&[HEAD_KEY])).await else {
         return false;
     };
-    let head: Head = store::value(store::find(&head, HEAD)).unwrap_or_default();
+    let head: Head = store::parse(store::find(&head, HEAD_KEY)).unwrap_or_default();
     match process.current.get() {
         Some(current) if head.version <= current.tree.version => true,
-        Some(current) if head.version - current.tree.version <= MOST_CHANGES => {
+        Some(current) if head.version - current.tree.version <= MAX_REPLAYED_CHANGES => {
             match replay(process, &current.tree, head.version).await {
                 Some(tree) => {
                     apply(process, tree);
                     true
                 }
-                None => whole(process).await,
+                None => read_whole_tree(process).await,
             }
         }
-        _ => whole(process).await,
+        _ => read_whole_tree(process).await,
     }
 }
 
-/// The tree after the changes up to a version; none when one of them can't be had.
+/// Applies the changes up to a version to `tree`; `None` if one of them cannot be read or applied.
 async fn replay(process: &Process, tree: &Tree, to: u64) -> Option<Tree> {
     let keys: Vec<String> = (tree.version + 1..=to).map(log_key).collect();
     let read = Read {
@@ -112,41 +111,43 @@
     let rows = process.store.read(read).await.ok()?;
     let mut tree = tree.clone();
     for key in keys {
-        let change: Change = store::value(store::find(&rows, &key))?;
+        let change: Change = store::parse(store::find(&rows, &key))?;
         tree = tree.apply(&change.edits).ok()?;
     }
     Some(tree)
 }
 
-async fn whole(process: &Arc<Process>) -> bool {
+async fn read_whole_tree(process: &Arc<Process>) -> bool {
     let read = Read {
-        keys: vec![HEAD.to_owned()],
-        prefixes: vec![NODES.to_owned()],
+        keys: vec![HEAD_KEY.to_owned()],
+        prefixes: vec![NODE_PREFIX.to_owned()],
     };
     let Ok(rows) = process.store.read(read).await else {
         return false;
     };
-    let head: Head = store::value(store::find(&rows, HEAD)).unwrap_or_default();
-    let nodes: Vec<Node> = rows.iter().filter_map(node).collect();
+    let head: Head = store::parse(store::find(&rows, HEAD_KEY)).unwrap_or_default();
+    let nodes: Vec<Node> = rows.iter().filter_map(parse_node).collect();
     apply(process, Tree::new(head.version, nodes));
     true
 }
 
-fn node(row: &Row) -> Option<Node> {
-    row.key.strip_prefix(NODES)?;
-    store::value(Some(row))
+fn parse_node(row: &Row) -> Option<Node> {
+    row.key.strip_prefix(NODE_PREFIX)?;
+    store::parse(Some(row))
 }
 
-/// The key of a change's row.
+/// The row key of a change.
 pub fn log_key(version: u64) -> String {
-    format!("{LOG}{version:012}")
+    format!("{LOG_PREFIX}{version:012}")
 }
 
-/// While the table is down a new daemon takes the highest version of its peers.
-async fn from_peers(process: &Arc<Process>) {
+/// Applies the highest version among the peers. Used by a new daemon while the table is unavailable.
+async fn update_from_peers(process: &Arc<Process>) {
     let addresses = process.members.addresses(process.addresses.peers);
-    let asked = addresses.into_iter().map(|address| fetch(process, address));
-    let trees = futures::future::join_all(asked).await;
+    let fetches = addresses
+        .into_iter()
+        .map(|address| fetch_from_peer(process, address));
+    let trees = futures::future::join_all(fetches).await;
     let trees: Vec<wire::Tree> = trees.into_iter().flatten().collect();
     for closed in trees.iter().flat_map(|tree| &tree.closed) {
         let id = Id {
@@ -160,26 +161,26 @@
     }
 }
 
-/// Fetches the settings of a peer; none when it has none or doesn't answer.
-pub async fn fetch(process: &Process, address: SocketAddr) -> Option<wire::Tree> {
+/// Fetches the settings of a peer; `None` if it has none or the call fails.
+pub async fn fetch_from_peer(process: &Process, address: SocketAddr) -> Option<wire::Tree> {
     let mut client = process.members.client(address)?;
     let call = client.fetch(wire::FetchRequest {});
-    let tree = match tokio::time::timeout(FETCH, call).await {
+    let tree = match tokio::time::timeout(FETCH_TIMEOUT, call).await {
         Ok(Ok(reply)) => reply.into_inner(),
         Ok(Err(status)) => {
-            log::warn!(peer:% = address, status:%; "a peer's settings were not read");
+            log::warn!(peer:% = address, status:%; "could not fetch the settings from a peer");
             return None;
         }
         Err(_) => {
-            log::warn!(peer:% = address; "a peer's settings did not come in time");
+            log::warn!(peer:% = address; "fetching the settings from a peer timed out");
             return None;
         }
     };
-    // a daemon that isn't ready answers with no nodes and version 0
+    // a daemon that is not ready replies with version 0 and no nodes
     (tree.version > 0 || !tree.nodes.is_empty()).then_some(tree)
 }
 
-/// Puts a version in force.
+/// Puts a version into force, unless the current one is at least as new.
 pub fn apply(process: &Arc<Process>, tree: Tree) {
     let version = tree.version;
     let Some(snapshot) = process.current.apply(tree) else {
@@ -191,7 +192,7 @@
         for service in &snapshot.typed.services {
             if let Err(at) = pools.binary_search_by(|pool| pool.service.as_str().cmp(&service.name))
             {
-                pools.insert(at, open_pool(process, &service.name));
+                pools.insert(at, start_pool(process, &service.name));
             }
         }
     }
@@ -208,19 +209,18 @@
     log::info!("settings version {version} is in force");
 }
 
-fn open_pool(process: &Process, service: &str) -> Arc<Pool> {
+fn start_pool(process: &Process, service: &str) -> Arc<Pool> {
     let pool = Arc::new(Pool::new(
         service,
         process.gates.clone(),
         &process.settings.daemon.data_centre,
         process.settings.limits.queue_requests,
     ));
-    // ends by itself when the pool is gone
-    tokio::spawn(Pool::pump(Arc::downgrade(&pool)));
+    // returns once the pool has been dropped
+    tokio::spawn(Pool::run_queue(Arc::downgrade(&pool)));
     pool
 }
 
-/// A tree as it came from a peer.
 pub fn from_wire(tree: wire::Tree) -> Tree {
     let nodes = tree
         .nodes
@@ -233,7 +233,6 @@
     Tree::new(tree.version, nodes)
 }
 
-/// A tree as it is sent.
 pub fn to_wire(tree: &Tree) -> wire::Tree {
     wire::Tree {
         version: tree.version,
