--- a/components/daemon/src/process/claims.rs
+++ b/components/daemon/src/process/claims.rs
@@ -8,7 +8,7 @@
 };
 
 use cloud::table::{self, Outcome, Read, Transaction};
-use protocol::claim::{self, Recorded, Row, Stage, Write};
+use protocol::claim::{self, Recorded, Row, Stage, WriteOutcome};
 use tokio::sync::{Notify, oneshot};
 
 use super::{
@@ -32,7 +32,7 @@
     key: String,
     row: Row,
     over: u64,
-    done: oneshot::Sender<(Write, u64)>,
+    done: oneshot::Sender<(WriteOutcome, u64)>,
 }
 
 /// What is to be written of a claim that this daemon made.
@@ -94,7 +94,7 @@
     }
 
     /// Writes a claim; the row's version comes with what is known of the write.
-    pub async fn write(&self, key: String, row: Row, over: u64) -> (Write, u64) {
+    pub async fn write(&self, key: String, row: Row, over: u64) -> (WriteOutcome, u64) {
         let (done, written) = oneshot::channel();
         lock(&self.jobs).push(Job {
             key,
@@ -103,7 +103,7 @@
             done,
         });
         self.wake.notify_one();
-        written.await.unwrap_or((Write::Unclear, 0))
+        written.await.unwrap_or((WriteOutcome::Unclear, 0))
     }
 
     /// Notes how a claim of this daemon ended; the table is told as soon as it can be.
@@ -154,21 +154,21 @@
         });
         match process.store.commit(transaction).await {
             Ok(Outcome::Committed(version)) => {
-                return answer(jobs, |_| (Write::Written, version));
+                return answer(jobs, |_| (WriteOutcome::Written, version));
             }
             Ok(Outcome::Conflict(lost)) => {
                 let has_lost = |job: &Job| lost.iter().any(|row| row.key == job.key);
                 let (out, left) = jobs.into_iter().partition(has_lost);
-                answer(out, |_| (Write::Taken, 0));
+                answer(out, |_| (WriteOutcome::Taken, 0));
                 jobs = left;
             }
-            Err(table::Error::NotApplied) => return answer(jobs, |_| (Write::Refused, 0)),
+            Err(table::Error::NotApplied) => return answer(jobs, |_| (WriteOutcome::Refused, 0)),
             Err(table::Error::OutcomeUnknown) => return read_back(process, jobs).await,
         }
     }
 }
 
-fn answer(jobs: Vec<Job>, outcome: impl Fn(&Job) -> (Write, u64)) {
+fn answer(jobs: Vec<Job>, outcome: impl Fn(&Job) -> (WriteOutcome, u64)) {
     for job in jobs {
         let outcome = outcome(&job);
         // a caller that hung up needs no answer; its claim is ended by the guard that made it
@@ -186,10 +186,12 @@
     answer(jobs, |job| {
         let found = store::find(&rows, &job.key);
         match store::value::<Row>(found) {
-            Some(row) if row.token == job.row.token => (Write::Written, store::version(found)),
+            Some(row) if row.token == job.row.token => {
+                (WriteOutcome::Written, store::version(found))
+            }
             // absent now, it may come yet; another's row means that ours never will
-            Some(_) if store::version(found) != job.over => (Write::Taken, 0),
-            _ => (Write::Unclear, 0),
+            Some(_) if store::version(found) != job.over => (WriteOutcome::Taken, 0),
+            _ => (WriteOutcome::Unclear, 0),
         }
     });
 }
--- a/components/daemon/src/process/gates.rs
+++ b/components/daemon/src/process/gates.rs
@@ -47,7 +47,7 @@
 impl Gates {
     /// Takes a hold; none when the endpoint is closed.
     pub fn hold(&self, id: &Id) -> Option<Hold> {
-        self.with(id, Gate::hold).then(|| Hold {
+        self.with(id, Gate::acquire).then(|| Hold {
             gates: self.clone(),
             id: id.clone(),
         })
@@ -77,7 +77,7 @@
                 tokio::pin!(changed);
                 // registered before the look, so that no release falls between the two
                 changed.as_mut().enable();
-                if self.with(id, |gate| gate.is_closed(number)) {
+                if self.with(id, |gate| gate.is_drained(number)) {
                     return;
                 }
                 changed.await;
--- a/components/daemon/src/process/orders/mod.rs
+++ b/components/daemon/src/process/orders/mod.rs
@@ -6,7 +6,7 @@
 
 use cloud::table::{Outcome, Read, Transaction};
 use endpoint::{Failure, engine::Order};
-use protocol::order::{self, Ended, Row, Stage, Wanted};
+use protocol::order::{self, CallOutcome, Row, Stage, Wanted};
 use telemetry::timeline::Kind;
 
 use super::{
@@ -107,7 +107,7 @@
         }
         return;
     }
-    let intent = order::intend(&row);
+    let intent = order::intent_row(&row);
     if let Some(version) = commit(process, held, &wish.id, &intent, version).await {
         send(process, held, &wish, &intent, version).await;
     }
@@ -169,14 +169,14 @@
         return;
     }
     let ended = match process.engine.order(address, &order, ANSWER).await {
-        Ok(()) => Ended::Reached,
-        Err(Failure::NotSent | Failure::Refused(_)) => Ended::NotReached,
+        Ok(()) => CallOutcome::Reached,
+        Err(Failure::NotSent | Failure::Refused(_)) => CallOutcome::NotReached,
         Err(Failure::Lost) => look(process, address, row, boot).await,
     };
-    if ended == Ended::Lost {
+    if ended == CallOutcome::Lost {
         process.lose_order(&wish.id, row.number);
     }
-    let next = order::finish(row, ended);
+    let next = order::outcome_row(row, ended);
     let mut pause = LOOK_PAUSE;
     // the outcome is known for certain, so it is worth telling when the table is back
     let mut known = false;
@@ -190,14 +190,14 @@
         tokio::time::sleep(pause).await;
         pause *= 2;
     }
-    if !known && ended != Ended::Lost {
+    if !known && ended != CallOutcome::Lost {
         withdraw(process, &wish.id, row.number).await;
     }
-    if !next.closes(ended == Ended::Reached) {
+    if !next.blocks_dispatch(ended == CallOutcome::Reached) {
         announce(process, &wish.id, row.number).await;
     }
     // a former steward's order is finished first; a later wish stays for the next one
-    if ended == Ended::Reached && row.wanted == wish.wanted {
+    if ended == CallOutcome::Reached && row.wanted == wish.wanted {
         fulfilled(process, held, wish).await;
     }
 }
@@ -242,21 +242,23 @@
 /// Looks for the effect of an order whose answer was lost. It was sent once; when the engine's
 /// report shows its number, that one copy has arrived. When the engine has started anew, the copy
 /// is lost with the connection.
-async fn look(process: &Process, address: SocketAddr, row: &Row, boot: Option<u64>) -> Ended {
+async fn look(process: &Process, address: SocketAddr, row: &Row, boot: Option<u64>) -> CallOutcome {
     let until = tokio::time::Instant::now() + LOOK;
     while tokio::time::Instant::now() < until {
         if let Ok(report) = process.engine.report(address, LOOK_PAUSE).await {
             let taken = report.number >= row.number && !report.changing;
             match () {
-                () if boot.is_some_and(|boot| boot != report.boot) => return Ended::NotReached,
-                () if taken && report.holds == row.wanted => return Ended::Reached,
-                () if taken => return Ended::NotReached,
+                () if boot.is_some_and(|boot| boot != report.boot) => {
+                    return CallOutcome::NotReached;
+                }
+                () if taken && report.holds == row.wanted => return CallOutcome::Reached,
+                () if taken => return CallOutcome::NotReached,
                 () => {}
             }
         }
         tokio::time::sleep(LOOK_PAUSE).await;
     }
-    Ended::Lost
+    CallOutcome::Lost
 }
 
 /// Takes the operator's row away when its wish holds.
@@ -320,7 +322,7 @@
             let reached = registration::reached(&process, &id, &row);
             match () {
                 () if row.number < number => {}
-                () if row.closes(reached) => process.gates.close(&id, row.number),
+                () if row.blocks_dispatch(reached) => process.gates.close(&id, row.number),
                 () => {
                     process.gates.open(&id, row.number);
                     process
--- a/components/daemon/src/process/registration.rs
+++ b/components/daemon/src/process/registration.rs
@@ -104,7 +104,7 @@
         ) else {
             continue;
         };
-        if order.closes(reached(process, &id, &order)) {
+        if order.blocks_dispatch(reached(process, &id, &order)) {
             process.gates.close(&id, order.number);
         }
     }
--- a/components/daemon/src/process/steward/mod.rs
+++ b/components/daemon/src/process/steward/mod.rs
@@ -196,8 +196,8 @@
     let watch = seat
         .watch
         .get_or_insert_with(|| Watch::new(renewal, now_ms));
-    watch.see(renewal, now_ms);
-    let lapsed = watch.lapsed(lease.as_ref(), now_ms, millis(term));
+    watch.observe(renewal, now_ms);
+    let lapsed = watch.is_expired(lease.as_ref(), now_ms, millis(term));
     (seat.held.clone(), lapsed)
 }
 
@@ -225,7 +225,7 @@
 
 fn renewed(process: &Process, service: &str, asked: Instant) {
     let term = millis(process.settings.control.lease_term.into());
-    let until = asked + Duration::from_millis(lease::until(0, term));
+    let until = asked + Duration::from_millis(lease::valid_until(0, term));
     with(process, service, |seat| seat.until = until);
 }
 
@@ -236,7 +236,7 @@
     lease: Option<Lease>,
     (lease_version, renewal_version): (u64, u64),
 ) {
-    let next = lease::take(lease.as_ref(), process.me);
+    let next = lease::acquire(lease.as_ref(), process.me);
     let text = store::text(&next);
     let renewal = Renewal {
         epoch: next.epoch,
--- a/components/daemon/src/process/steward/roles.rs
+++ b/components/daemon/src/process/steward/roles.rs
@@ -218,7 +218,7 @@
     let gone = |other: Incarnation| !registered.contains(&other);
     let number = old.as_ref().map_or(0, |old| old.number);
     let clean = !process.is_lost(&wish.id, number);
-    let next = order::next(
+    let next = order::next_step(
         old.as_ref(),
         &wish.wanted,
         process.me,
--- a/components/daemon/src/request/body.rs
+++ b/components/daemon/src/request/body.rs
@@ -18,29 +18,29 @@
 };
 
 /// When a caller should come back if bodies fill the memory meant for them.
-const COME_BACK: Duration = Duration::from_secs(1);
+const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Bytes of bodies held by requests under way; given back by `Drop`.
 #[derive(Debug)]
-pub struct Held {
-    all: Arc<AtomicUsize>,
+pub struct Reservation {
+    total: Arc<AtomicUsize>,
     bytes: usize,
 }
 
-impl Held {
-    fn take(all: &Arc<AtomicUsize>, bytes: usize, most: usize) -> Option<Self> {
-        let before = all.fetch_add(bytes, Ordering::Relaxed);
-        let held = Self {
-            all: Arc::clone(all),
+impl Reservation {
+    fn reserve(total: &Arc<AtomicUsize>, bytes: usize, limit: usize) -> Option<Self> {
+        let before = total.fetch_add(bytes, Ordering::Relaxed);
+        let reservation = Self {
+            total: Arc::clone(total),
             bytes,
         };
-        (before + bytes <= most).then_some(held)
+        (before + bytes <= limit).then_some(reservation)
     }
 }
 
-impl Drop for Held {
+impl Drop for Reservation {
     fn drop(&mut self) {
-        self.all.fetch_sub(self.bytes, Ordering::Relaxed);
+        self.total.fetch_sub(self.bytes, Ordering::Relaxed);
     }
 }
 
@@ -49,18 +49,18 @@
     let process = Arc::clone(&context.process);
     let limits = &process.settings.limits;
     // a length that is announced is believed, so that nothing too large is read
-    let announced = body.size_hint().lower();
-    if usize::try_from(announced).is_ok_and(|bytes| bytes > limits.body_bytes) {
+    let announced_length = body.size_hint().lower();
+    if usize::try_from(announced_length).is_ok_and(|bytes| bytes > limits.body_bytes) {
         return Err(Reason::TooLarge.into());
     }
-    let whole = Limited::new(body, limits.body_bytes).collect();
-    let bytes = match tokio::time::timeout(limits.body_time.into(), whole).await {
-        Ok(Ok(whole)) => whole.to_bytes(),
+    let collected = Limited::new(body, limits.body_bytes).collect();
+    let bytes = match tokio::time::timeout(limits.body_time.into(), collected).await {
+        Ok(Ok(collected)) => collected.to_bytes(),
         Ok(Err(error)) if error.is::<LengthLimitError>() => return Err(Reason::TooLarge.into()),
         _ => return Err(Reason::SlowBody.into()),
     };
-    let held = Held::take(&process.held_bytes, bytes.len(), limits.queue_bytes);
-    context.held = Some(held.ok_or(Reason::Full(COME_BACK))?);
-    context.open.received();
+    let reservation = Reservation::reserve(&process.held_bytes, bytes.len(), limits.queue_bytes);
+    context.body_reservation = Some(reservation.ok_or(Reason::Full(RETRY_AFTER))?);
+    context.exchange.received();
     Ok(bytes)
 }
--- a/components/daemon/src/request/caller.rs
+++ b/components/daemon/src/request/caller.rs
@@ -8,9 +8,9 @@
 use super::refusal::{Reason, Refusal};
 
 /// Names a shorter or longer deadline, in milliseconds.
-const DEADLINE: &str = "x-wrenramp-deadline-ms";
+const DEADLINE_HEADER: &str = "x-wrenramp-deadline-ms";
 /// Names a priority, 0 to 9.
-const PRIORITY: &str = "x-wrenramp-priority";
+const PRIORITY_HEADER: &str = "x-wrenramp-priority";
 
 /// A caller whose key belongs to a group.
 #[derive(Clone, Debug)]
@@ -33,23 +33,23 @@
             .and_then(|value| value.to_str().ok())
             .and_then(|value| value.strip_prefix("Bearer "))
             .ok_or(Reason::WrongKey)?;
-        let at = version.caller(key.trim()).ok_or(Reason::WrongKey)?;
-        let group = &version.groups[at];
-        let asked: Option<u64> = number(headers, DEADLINE)?;
-        let time = asked.map_or(group.deadline.0, Duration::from_millis);
-        let asked: Option<u8> = number(headers, PRIORITY)?;
+        let index = version.caller(key.trim()).ok_or(Reason::WrongKey)?;
+        let group = &version.groups[index];
+        let requested: Option<u64> = parse_header(headers, DEADLINE_HEADER)?;
+        let timeout = requested.map_or(group.deadline.0, Duration::from_millis);
+        let requested: Option<u8> = parse_header(headers, PRIORITY_HEADER)?;
         let now = Instant::now();
-        let time = time.min(group.deadline.1);
+        let timeout = timeout.min(group.deadline.1);
         Ok(Self {
-            group: (at, group.name.clone()),
-            deadline: now + time,
-            start_by: now + time.min(group.first_token),
-            priority: asked.unwrap_or(group.priority.0).min(group.priority.1),
+            group: (index, group.name.clone()),
+            deadline: now + timeout,
+            start_by: now + timeout.min(group.first_token),
+            priority: requested.unwrap_or(group.priority.0).min(group.priority.1),
         })
     }
 }
 
-fn number<T: std::str::FromStr>(
+fn parse_header<T: std::str::FromStr>(
     headers: &HeaderMap,
     name: &'static str,
 ) -> Result<Option<T>, Refusal> {
--- a/components/daemon/src/request/chat.rs
+++ b/components/daemon/src/request/chat.rs
@@ -10,15 +10,15 @@
     Body, Context, body,
     caller::Caller,
     events::Events,
-    generate::{Job, Piece, Stream},
+    generate::{Chunk, Job, Stream},
     refusal::{Reason, Refusal},
-    reply::{self, Shape},
+    reply::{self, Envelope},
 };
 use crate::process::pool::Need;
 
 /// Which of the two paths.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Form {
+pub enum Api {
     /// Messages in, a message out.
     Chat,
     /// A text in, a text out.
@@ -26,11 +26,11 @@
 }
 
 /// Tokens that are written when the caller names no bound.
-const USUAL_TOKENS: u64 = 512;
-const MOST_TOKENS: u64 = 1 << 20;
+const DEFAULT_MAX_TOKENS: u64 = 512;
+const MAX_TOKENS_LIMIT: u64 = 1 << 20;
 
 #[derive(Debug, Deserialize)]
-struct Asked {
+struct CompletionRequest {
     model: String,
     #[serde(default)]
     messages: Vec<Message>,
@@ -63,65 +63,68 @@
 pub async fn serve(
     mut context: Context,
     caller: Caller,
-    form: Form,
+    api: Api,
     request: Request<Incoming>,
 ) -> Result<Response<Body>, Refusal> {
     let bytes = body::read(&mut context, request.into_body()).await?;
-    let asked: Asked = serde_json::from_slice(&bytes).map_err(|error| match error.classify() {
-        serde_json::error::Category::Data => {
-            Reason::BadBody("a field is missing or of a wrong type")
-        }
-        _ => Reason::BadBody("it is not valid JSON"),
-    })?;
-    let model = model(&context.version.typed, &caller, &asked.model)?.clone();
-    let prompt = prompt(&asked, form)?;
-    let most = asked
+    let completion: CompletionRequest =
+        serde_json::from_slice(&bytes).map_err(|error| match error.classify() {
+            serde_json::error::Category::Data => {
+                Reason::BadBody("a field is missing or of a wrong type")
+            }
+            _ => Reason::BadBody("it is not valid JSON"),
+        })?;
+    let model = find_model(&context.version.typed, &caller, &completion.model)?.clone();
+    let prompt = render_prompt(&completion, api)?;
+    let max_tokens = completion
         .max_completion_tokens
-        .or(asked.max_tokens)
-        .unwrap_or(USUAL_TOKENS);
-    if !(1..=MOST_TOKENS).contains(&most) {
+        .or(completion.max_tokens)
+        .unwrap_or(DEFAULT_MAX_TOKENS);
+    if !(1..=MAX_TOKENS_LIMIT).contains(&max_tokens) {
         return Err(Reason::BadBody("max_tokens is out of its range").into());
     }
-    let shape = Shape::new(form, &context.id, &asked.model);
-    let streamed = asked.stream;
-    let job = job(context, caller, &model, prompt, most)?;
+    let envelope = Envelope::new(api, &context.id, &completion.model);
+    let streamed = completion.stream;
+    let job = build_job(context, caller, &model, prompt, max_tokens)?;
     let mut stream = Stream::new(job);
-    let first = stream.next().await.map_err(|broken| broken.refusal())?;
+    let first = stream.next().await.map_err(|aborted| aborted.refusal())?;
     if streamed {
-        let events = Events::new(shape, stream, first);
-        Ok(reply::events(super::streamed(events.parts())))
+        let events = Events::new(envelope, stream, first);
+        Ok(reply::event_stream(super::stream_body(
+            events.into_stream(),
+        )))
     } else {
-        whole_reply(&shape, stream, first).await
+        collect_reply(&envelope, stream, first).await
     }
 }
 
-fn model<'a>(
+fn find_model<'a>(
     version: &'a resolve::Version,
     caller: &Caller,
     name: &str,
 ) -> Result<&'a resolve::Model, Refusal> {
     let allowed = &version.groups[caller.group.0].models;
-    let may = allowed.is_empty() || allowed.iter().any(|other| other == name);
+    let is_allowed = allowed.is_empty() || allowed.iter().any(|allowed_name| allowed_name == name);
     version
         .model(name)
-        .filter(|_| may)
+        .filter(|_| is_allowed)
         .ok_or_else(|| Reason::UnknownModel.into())
 }
 
-fn prompt(asked: &Asked, form: Form) -> Result<String, Refusal> {
-    match form {
-        Form::Text => asked
+fn render_prompt(completion: &CompletionRequest, api: Api) -> Result<String, Refusal> {
+    match api {
+        Api::Text => completion
             .prompt
             .clone()
             .ok_or_else(|| Reason::BadBody("prompt is missing").into()),
-        Form::Chat if asked.messages.is_empty() => {
+        Api::Chat if completion.messages.is_empty() => {
             Err(Reason::BadBody("messages are missing").into())
         }
-        Form::Chat => Ok(asked.messages.iter().map(said).collect()),
+        Api::Chat => Ok(completion.messages.iter().map(render_message).collect()),
     }
 }
 
-fn said(message: &Message) -> String {
+fn render_message(message: &Message) -> String {
     let text = match &message.content {
         Content::Text(text) => text.clone(),
         Content::Parts(parts) => parts.iter().map(|part| part.text.as_str()).collect(),
@@ -129,12 +132,12 @@
     format!("{}: {text}\n", message.role)
 }
 
-fn job(
+fn build_job(
     context: Context,
     caller: Caller,
     model: &resolve::Model,
     prompt: String,
-    most: u64,
+    max_tokens: u64,
 ) -> Result<Job, Refusal> {
     let pool = context
         .process
@@ -155,13 +158,13 @@
             model.version.clone(),
         ),
         prompt: prefix::estimate_tokens(&prompt),
-        most_output: most,
+        most_output: max_tokens,
         priority: caller.priority,
         deadline: caller.deadline,
         start_by: caller.start_by,
         avoid: Vec::new(),
     };
-    context.note(
+    context.record(
         Kind::Admitted,
         format!("{} for {}", model.name, need.group.1),
     );
@@ -174,18 +177,18 @@
     })
 }
 
-async fn whole_reply(
-    shape: &Shape,
+async fn collect_reply(
+    envelope: &Envelope,
     mut stream: Stream,
-    first: Piece,
+    first: Chunk,
 ) -> Result<Response<Body>, Refusal> {
     let mut text = String::new();
-    let mut piece = first;
+    let mut chunk = first;
     loop {
-        text.push_str(&piece.text);
-        if let Some(done) = piece.done {
-            return Ok(shape.whole(&text, done, stream.written()));
+        text.push_str(&chunk.text);
+        if let Some(done) = chunk.done {
+            return Ok(envelope.full_response(&text, done, stream.tokens_delivered()));
         }
-        piece = stream.next().await.map_err(|broken| broken.refusal())?;
+        chunk = stream.next().await.map_err(|aborted| aborted.refusal())?;
     }
 }
--- a/components/daemon/src/request/events.rs
+++ b/components/daemon/src/request/events.rs
@@ -3,60 +3,60 @@
 use bytes::{Bytes, BytesMut};
 
 use super::{
-    generate::{Broken, Piece, Stream},
-    reply::{self, Shape},
+    generate::{Aborted, Chunk, Stream},
+    reply::{self, Envelope},
 };
 
 /// The most parts that are sent together.
-const TOGETHER: usize = 32;
+const MAX_BATCHED_CHUNKS: usize = 32;
 
 /// The events of one answer. Parts that have come together are sent together: each write costs more
 /// than the events in it.
 pub struct Events {
-    shape: Shape,
+    envelope: Envelope,
     /// None after the last part.
     stream: Option<Stream>,
-    first: Option<Piece>,
+    first: Option<Chunk>,
     /// Told after the events before it have gone, and then the transfer breaks.
-    broken: Option<Broken>,
+    aborted: Option<Aborted>,
 }
 
 impl Events {
     /// The events of an answer whose first part has come.
-    pub fn new(shape: Shape, stream: Stream, first: Piece) -> Self {
+    pub fn new(envelope: Envelope, stream: Stream, first: Chunk) -> Self {
         Self {
-            shape,
+            envelope,
             stream: Some(stream),
             first: Some(first),
-            broken: None,
+            aborted: None,
         }
     }
 
     /// The events as a body takes them.
-    pub fn parts(self) -> impl futures::Stream<Item = Result<Bytes, Broken>> + Send {
+    pub fn into_stream(self) -> impl futures::Stream<Item = Result<Bytes, Aborted>> + Send {
         futures::stream::unfold(self, Self::next)
     }
 
-    async fn next(mut self) -> Option<(Result<Bytes, Broken>, Self)> {
-        if let Some(broken) = self.broken.take() {
-            return Some((Err(broken), self));
+    async fn next(mut self) -> Option<(Result<Bytes, Aborted>, Self)> {
+        if let Some(aborted) = self.aborted.take() {
+            return Some((Err(aborted), self));
         }
         let mut bytes = BytesMut::new();
         let mut stream = self.stream.take()?;
-        for _ in 0..TOGETHER {
-            let piece = match self.first.take() {
-                Some(piece) => Ok(piece),
+        for _ in 0..MAX_BATCHED_CHUNKS {
+            let chunk = match self.first.take() {
+                Some(chunk) => Ok(chunk),
                 None => stream.next().await,
             };
-            match piece {
-                Ok(piece) if piece.done.is_some() => {
-                    bytes.extend(self.shape.last_event(&piece, stream.written()));
+            match chunk {
+                Ok(chunk) if chunk.done.is_some() => {
+                    bytes.extend(self.envelope.last_event(&chunk, stream.tokens_delivered()));
                     return Some((Ok(bytes.freeze()), self));
                 }
-                Ok(piece) => bytes.extend(self.shape.event(&piece)),
-                Err(broken) => {
-                    bytes.extend(reply::error_event(&broken));
-                    self.broken = Some(broken);
+                Ok(chunk) => bytes.extend(self.envelope.event(&chunk)),
+                Err(aborted) => {
+                    bytes.extend(reply::error_event(&aborted));
+                    self.aborted = Some(aborted);
                     return Some((Ok(bytes.freeze()), self));
                 }
             }
--- a/components/daemon/src/request/generate/attempt.rs
+++ b/components/daemon/src/request/generate/attempt.rs
@@ -10,35 +10,35 @@
 use crate::process::{gates::Id, pool::Grant};
 
 /// How long a cancellation is tried.
-const CANCEL: Duration = Duration::from_secs(2);
+const CANCEL_TIMEOUT: Duration = Duration::from_secs(2);
 /// An attempt that is running.
-pub(super) struct Live {
+pub(super) struct Attempt {
     pub(super) grant: Grant,
     pub(super) frames: Frames,
-    pub(super) at: (Id, SocketAddr),
-    pub(super) sent: Instant,
-    pub(super) last: Instant,
-    pub(super) cancel: Cancel,
+    pub(super) endpoint: (Id, SocketAddr),
+    pub(super) sent_at: Instant,
+    pub(super) last_frame_at: Instant,
+    pub(super) cancel: CancelGuard,
 }
 
 /// Cancels an attempt at its engine when it is dropped before the attempt has ended.
-pub(super) struct Cancel {
+pub(super) struct CancelGuard {
     pub(super) engine: Engine,
     pub(super) address: SocketAddr,
     pub(super) attempt: u64,
-    pub(super) ended: bool,
+    pub(super) finished: bool,
 }
 
-impl Drop for Cancel {
+impl Drop for CancelGuard {
     fn drop(&mut self) {
-        if self.ended {
+        if self.finished {
             return;
         }
         let engine = self.engine.clone();
         let (address, attempt) = (self.address, self.attempt);
         tokio::spawn(async move {
             // an engine that can't be reached ends the attempt by its broken stream
-            let _ = engine.cancel(address, attempt, CANCEL).await;
+            let _ = engine.cancel(address, attempt, CANCEL_TIMEOUT).await;
         });
     }
 }
--- a/components/daemon/src/request/generate/mod.rs
+++ b/components/daemon/src/request/generate/mod.rs
@@ -14,13 +14,13 @@
 use derive_more::{Display, Error};
 use endpoint::{
     Failure,
-    engine::{Done, FinishReason as End, Frame, Generate, KvSource},
+    engine::{Done, FinishReason, Frame, Generate, KvSource},
 };
 use protocol::stream::{Assembler, Verdict};
 use settings::tree::resolve::Repeat;
 use telemetry::timeline::Kind;
 
-use attempt::{Cancel, Live};
+use attempt::{Attempt, CancelGuard};
 
 use super::{
     Context,
@@ -34,14 +34,14 @@
 /// An answer that can't be finished.
 #[derive(Clone, Debug, Display, Error)]
 #[display("request {request}: {reason}")]
-pub struct Broken {
+pub struct Aborted {
     /// The request's number.
     pub request: String,
     /// Why.
     pub reason: Reason,
 }
 
-impl Broken {
+impl Aborted {
     /// What the caller is told.
     pub fn refusal(&self) -> Refusal {
         self.reason.into()
@@ -50,7 +50,7 @@
 
 /// A part of an answer.
 #[derive(Clone, Debug)]
-pub struct Piece {
+pub struct Chunk {
     /// Its text.
     pub text: String,
     /// Set on the last part.
@@ -75,14 +75,14 @@
 pub struct Stream {
     job: Job,
     assembler: Assembler,
-    live: Option<Live>,
+    current: Option<Attempt>,
     attempts: u32,
     /// What was delivered; kept only while another engine might have to go on from it.
     text: String,
-    began: Instant,
+    started: Instant,
     /// Whether an attempt may have run that gave no answer.
-    may_have_run: bool,
-    whole: bool,
+    may_have_executed: bool,
+    complete: bool,
 }
 
 impl Stream {
@@ -91,87 +91,87 @@
         Self {
             job,
             assembler: Assembler::new(0),
-            live: None,
+            current: None,
             attempts: 0,
             text: String::new(),
-            began: Instant::now(),
-            may_have_run: false,
-            whole: false,
+            started: Instant::now(),
+            may_have_executed: false,
+            complete: false,
         }
     }
 
     /// Tokens delivered so far.
-    pub fn written(&self) -> u64 {
+    pub fn tokens_delivered(&self) -> u64 {
         self.assembler.offset()
     }
 
     /// Whether the next part has come already.
     pub fn is_ready(&self) -> bool {
-        let live = self.live.as_ref();
-        live.is_some_and(|live| live.frames.is_ready())
+        let current = self.current.as_ref();
+        current.is_some_and(|current| current.frames.is_ready())
     }
 
     /// The next part. After the last part, the one with `done`, it isn't called again.
-    pub async fn next(&mut self) -> Result<Piece, Broken> {
+    pub async fn next(&mut self) -> Result<Chunk, Aborted> {
         loop {
-            let Some(live) = self.live.as_mut() else {
-                self.start().await?;
+            let Some(current) = self.current.as_mut() else {
+                self.start_attempt().await?;
                 continue;
             };
             let deadline = self.job.need.deadline;
-            let frame = tokio::time::timeout_at(deadline.into(), live.frames.next()).await;
+            let frame = tokio::time::timeout_at(deadline.into(), current.frames.next()).await;
             match frame {
                 Ok(Ok(Some(frame))) => {
-                    if let Some(piece) = self.take(frame).await? {
-                        return Ok(piece);
+                    if let Some(chunk) = self.accept_frame(frame).await? {
+                        return Ok(chunk);
                     }
                 }
                 // an orderly close before the final frame is a loss all the same
-                Ok(Ok(None)) => self.fail(Failure::Lost)?,
-                Ok(Err(failure)) => self.fail(failure)?,
+                Ok(Ok(None)) => self.fail_attempt(Failure::Lost)?,
+                Ok(Err(failure)) => self.fail_attempt(failure)?,
                 Err(_) => {
-                    self.live = None;
-                    self.may_have_run = true;
-                    return Err(self.broken(Reason::DeadlinePassed));
+                    self.current = None;
+                    self.may_have_executed = true;
+                    return Err(self.abort(Reason::DeadlinePassed));
                 }
             }
         }
     }
 
     /// Finds engines and sends the attempt.
-    async fn start(&mut self) -> Result<(), Broken> {
+    async fn start_attempt(&mut self) -> Result<(), Aborted> {
         self.attempts += 1;
-        let waiting = Instant::now();
+        let queued_at = Instant::now();
         let placed = self.job.pool.place(self.job.need.clone()).await;
         let metrics = &self.job.context.process.metrics;
         metrics
             .queue_time
-            .with_label_values(&self.labels())
-            .observe(waiting.elapsed().as_secs_f64());
+            .with_label_values(&self.metric_labels())
+            .observe(queued_at.elapsed().as_secs_f64());
         let grant = placed.map_err(|unplaced| {
             // what has run in part and can't go on isn't "not run"
-            let reason = if self.may_have_run {
+            let reason = if self.may_have_executed {
                 Reason::AnswerLost
             } else {
                 unplaced.into()
             };
-            self.broken(reason)
+            self.abort(reason)
         })?;
         let export = grant.second().is_some();
         let first = grant.first();
         match first {
-            Some(at) => self.send(grant, at, None, export).await,
-            None => Err(self.broken(Reason::NotTaken)),
+            Some(endpoint) => self.send(grant, endpoint, None, export).await,
+            None => Err(self.abort(Reason::NotTaken)),
         }
     }
 
     async fn send(
         &mut self,
         grant: Grant,
-        at: (Id, SocketAddr),
+        endpoint: (Id, SocketAddr),
         import: Option<KvSource>,
         export: bool,
-    ) -> Result<(), Broken> {
+    ) -> Result<(), Aborted> {
         let attempt: u64 = rand::random();
         let need = &self.job.need;
         let (model, adapter, version) = need.weights.clone();
@@ -190,81 +190,83 @@
         };
         let engine = self.job.context.process.engine.clone();
         self.assembler.resume(attempt);
-        self.job.context.note(
+        self.job.context.record(
             Kind::Dispatched,
-            format!("attempt {attempt:016x} to {}", at.0),
+            format!("attempt {attempt:016x} to {}", endpoint.0),
         );
-        let sent = Instant::now();
+        let sent_at = Instant::now();
         let deadline = self.job.need.deadline;
-        let answer = engine.generate(at.1, &generate);
+        let answer = engine.generate(endpoint.1, &generate);
         match tokio::time::timeout_at(deadline.into(), answer).await {
             Ok(Ok(frames)) => {
-                self.live = Some(Live {
+                self.current = Some(Attempt {
                     grant,
                     frames,
-                    sent,
-                    last: sent,
-                    cancel: Cancel {
+                    sent_at,
+                    last_frame_at: sent_at,
+                    cancel: CancelGuard {
                         engine,
-                        address: at.1,
+                        address: endpoint.1,
                         attempt,
-                        ended: false,
+                        finished: false,
                     },
-                    at,
+                    endpoint,
                 });
                 Ok(())
             }
             Ok(Err(failure)) => {
                 drop(grant);
-                self.again(&at.0, failure)
+                self.retry_or_abort(&endpoint.0, failure)
             }
-            Err(_) => Err(self.broken(Reason::DeadlinePassed)),
+            Err(_) => Err(self.abort(Reason::DeadlinePassed)),
         }
     }
 
     /// Takes a frame; none when it brings nothing for the caller.
-    async fn take(&mut self, frame: Frame) -> Result<Option<Piece>, Broken> {
-        let exported = frame.done.is_some_and(|done| done.reason == End::Exported);
-        let enough = self.assembler.offset() + frame.tokens >= self.job.need.most_output;
-        let last = frame.done.is_some() && (!exported || enough);
+    async fn accept_frame(&mut self, frame: Frame) -> Result<Option<Chunk>, Aborted> {
+        let exported = frame
+            .done
+            .is_some_and(|done| done.reason == FinishReason::Exported);
+        let at_limit = self.assembler.offset() + frame.tokens >= self.job.need.most_output;
+        let last = frame.done.is_some() && (!exported || at_limit);
         let verdict = self
             .assembler
-            .take(frame.attempt, frame.offset, frame.tokens, last);
+            .accept(frame.attempt, frame.offset, frame.tokens, last);
         match verdict {
             Ok(Verdict::Deliver) => {}
             Ok(verdict) => {
-                self.drop_frame(verdict);
+                self.count_dropped_frame(verdict);
                 return Ok(None);
             }
-            Err(broken) => {
-                log::warn!("request {}: {broken}", self.job.context.id);
-                self.fail(Failure::Lost)?;
+            Err(error) => {
+                log::warn!("request {}: {error}", self.job.context.id);
+                self.fail_attempt(Failure::Lost)?;
                 return Ok(None);
             }
         }
-        self.learn(&frame);
-        self.may_have_run = true;
+        self.record_latency(&frame);
+        self.may_have_executed = true;
         if self.job.repeat == Repeat::Allowed {
             self.text.push_str(&frame.text);
         }
         let done = frame.done.filter(|_| last);
         match () {
             () if last => self.finish(),
-            () if exported => self.hand_over().await?,
+            () if exported => self.start_decode().await?,
             () => {}
         }
-        Ok(Some(Piece {
+        Ok(Some(Chunk {
             text: frame.text,
             done,
         }))
     }
 
     /// Service and group, the labels of this answer's metrics.
-    fn labels(&self) -> [&str; 2] {
+    fn metric_labels(&self) -> [&str; 2] {
         [&self.job.pool.service, &self.job.need.group.1]
     }
 
-    fn drop_frame(&self, verdict: Verdict) {
+    fn count_dropped_frame(&self, verdict: Verdict) {
         let label = match verdict {
             Verdict::Foreign => "foreign",
             Verdict::Duplicate | Verdict::Deliver => "duplicate",
@@ -274,22 +276,22 @@
     }
 
     /// Goes on at the engine that writes, after another one has read.
-    async fn hand_over(&mut self) -> Result<(), Broken> {
-        let Some(mut live) = self.live.take() else {
+    async fn start_decode(&mut self) -> Result<(), Aborted> {
+        let Some(mut current) = self.current.take() else {
             return Ok(());
         };
-        live.cancel.ended = true;
+        current.cancel.finished = true;
         let kv = KvSource {
-            address: live.at.1,
-            attempt: live.cancel.attempt,
+            address: current.endpoint.1,
+            attempt: current.cancel.attempt,
             tokens: self.job.need.prompt,
         };
-        let Some(second) = live.grant.second() else {
+        let Some(second) = current.grant.second() else {
             return Ok(());
         };
-        self.send(live.grant, second, Some(kv), false).await?;
-        if let Some(live) = self.live.as_mut() {
-            live.grant.hand_over();
+        self.send(current.grant, second, Some(kv), false).await?;
+        if let Some(current) = self.current.as_mut() {
+            current.grant.hand_over();
         }
         Ok(())
     }
@@ -297,8 +299,10 @@
 
 impl Drop for Stream {
     fn drop(&mut self) {
-        if !self.whole && self.live.is_some() {
-            self.job.context.note(Kind::Cancelled, "the caller hung up");
+        if !self.complete && self.current.is_some() {
+            self.job
+                .context
+                .record(Kind::Cancelled, "the caller hung up");
         }
     }
 }
--- a/components/daemon/src/request/generate/outcome.rs
+++ b/components/daemon/src/request/generate/outcome.rs
@@ -7,33 +7,33 @@
 use settings::tree::resolve::Repeat;
 use telemetry::timeline::Kind;
 
-use super::{Broken, Reason, Stream, micros};
+use super::{Aborted, Reason, Stream, micros};
 use crate::process::{gates::Id, lock, pool};
 
 /// One in so many gaps between tokens is learnt from, so that a token costs no lock.
-const SAMPLE: u64 = 8;
+const SAMPLE_INTERVAL_TOKENS: u64 = 8;
 
 impl Stream {
-    pub(super) fn learn(&mut self, frame: &Frame) {
-        let Some(live) = self.live.as_mut() else {
+    pub(super) fn record_latency(&mut self, frame: &Frame) {
+        let Some(current) = self.current.as_mut() else {
             return;
         };
         let now = Instant::now();
-        let first = live.last == live.sent;
-        let gap = micros(now - live.last);
-        let since = micros(now - live.sent);
-        live.last = now;
-        if first {
-            live.grant.read();
+        let is_first = current.last_frame_at == current.sent_at;
+        let gap_us = micros(now - current.last_frame_at);
+        let since_sent_us = micros(now - current.sent_at);
+        current.last_frame_at = now;
+        if is_first {
+            current.grant.read();
             let prompt = self.job.need.prompt;
             let blocks = &self.job.need.blocks;
-            self.job.pool.with(&live.at.0, |entry| {
+            self.job.pool.with(&current.endpoint.0, |entry| {
                 // with others in between the time is not this prompt's alone
                 if entry.reading.iter().all(|tokens| *tokens == 0) {
                     let cached = frame.done.map_or(0, |done| done.cached_tokens);
                     entry
                         .rates
-                        .observe_first_token(prompt - cached.min(prompt), since);
+                        .observe_first_token(prompt - cached.min(prompt), since_sent_us);
                 }
                 entry.read(blocks);
             });
@@ -41,34 +41,34 @@
                 let metrics = &self.job.context.process.metrics;
                 metrics
                     .time_to_first_token
-                    .with_label_values(&self.labels())
-                    .observe(self.began.elapsed().as_secs_f64());
+                    .with_label_values(&self.metric_labels())
+                    .observe(self.started.elapsed().as_secs_f64());
             }
-        } else if frame.offset.is_multiple_of(SAMPLE) {
-            self.job.pool.with(&live.at.0, |entry| {
-                entry.written += SAMPLE;
-                let seen = entry.bare(0);
-                if seen.prefill_tokens == 0 {
-                    entry.rates.observe_step(seen.decode_requests, gap);
+        } else if frame.offset.is_multiple_of(SAMPLE_INTERVAL_TOKENS) {
+            self.job.pool.with(&current.endpoint.0, |entry| {
+                entry.written += SAMPLE_INTERVAL_TOKENS;
+                let load = entry.bare(0);
+                if load.prefill_tokens == 0 {
+                    entry.rates.observe_step(load.decode_requests, gap_us);
                 }
             });
         }
     }
 
     pub(super) fn finish(&mut self) {
-        if let Some(live) = self.live.as_mut() {
-            live.cancel.ended = true;
+        if let Some(current) = self.current.as_mut() {
+            current.cancel.finished = true;
         }
-        self.live = None;
-        self.whole = true;
+        self.current = None;
+        self.complete = true;
         let context = &self.job.context;
-        let written = self.assembler.offset();
+        let tokens = self.assembler.offset();
         let service = &self.job.pool.service;
         let group = &self.job.need.group.1;
-        context.note(Kind::Finished, format!("{written} tokens"));
-        self.job.pool.finished(group, written);
+        context.record(Kind::Finished, format!("{tokens} tokens"));
+        self.job.pool.finished(group, tokens);
         let process = &context.process;
-        process.used(group, pool::work(self.job.need.prompt, written));
+        process.used(group, pool::work(self.job.need.prompt, tokens));
         lock(&process.budget).record_success();
         let metrics = &process.metrics;
         let labels = [service.as_str(), group.as_str()];
@@ -76,36 +76,36 @@
             .requests
             .with_label_values(&[service, group, "whole"])
             .inc();
-        metrics.goodput.with_label_values(&labels).inc_by(written);
+        metrics.goodput.with_label_values(&labels).inc_by(tokens);
         metrics
             .request_duration
             .with_label_values(&labels)
-            .observe(self.began.elapsed().as_secs_f64());
+            .observe(self.started.elapsed().as_secs_f64());
     }
 
     /// Ends the running attempt after a failure; another one follows if it may.
-    pub(super) fn fail(&mut self, failure: Failure) -> Result<(), Broken> {
-        let Some(live) = self.live.take() else {
+    pub(super) fn fail_attempt(&mut self, failure: Failure) -> Result<(), Aborted> {
+        let Some(current) = self.current.take() else {
             return Ok(());
         };
-        let id = live.at.0.clone();
-        drop(live);
-        self.may_have_run = true;
-        self.again(&id, failure)
+        let id = current.endpoint.0.clone();
+        drop(current);
+        self.may_have_executed = true;
+        self.retry_or_abort(&id, failure)
     }
 
-    pub(super) fn again(&mut self, failed: &Id, failure: Failure) -> Result<(), Broken> {
+    pub(super) fn retry_or_abort(&mut self, failed: &Id, failure: Failure) -> Result<(), Aborted> {
         let class = if failure.not_executed() {
             FailureClass::NotExecuted
         } else {
-            self.may_have_run = true;
+            self.may_have_executed = true;
             FailureClass::MaybeExecuted
         };
         self.job.pool.with(failed, pool::Entry::failed);
         self.job.need.avoid.push(failed.clone());
         // what has begun has until its deadline to go on
         self.job.need.start_by = self.job.need.deadline;
-        let left = self
+        let time_left = self
             .job
             .need
             .deadline
@@ -113,33 +113,35 @@
         let process = &self.job.context.process;
         // an attempt that may have run is the only one of a request that may not be repeated
         let repeatable = self.job.repeat == Repeat::Allowed;
-        let class = if self.may_have_run && !repeatable {
+        let class = if self.may_have_executed && !repeatable {
             FailureClass::MaybeExecuted
         } else {
             class
         };
-        let more = retry::allow_retry(
+        let may_retry = retry::allow_retry(
             class,
             repeatable,
             self.attempts,
-            micros(left),
+            micros(time_left),
             0,
             &mut lock(&process.budget),
         );
-        if !more {
-            let reason = if self.may_have_run {
+        if !may_retry {
+            let reason = if self.may_have_executed {
                 Reason::AnswerLost
             } else {
                 Reason::NotTaken
             };
-            return Err(self.broken(reason));
+            return Err(self.abort(reason));
         }
         let kind = if self.assembler.offset() > 0 {
             Kind::Resumed
         } else {
             Kind::Retried
         };
-        self.job.context.note(kind, format!("{failed}: {failure}"));
+        self.job
+            .context
+            .record(kind, format!("{failed}: {failure}"));
         let reason = if failure.not_executed() {
             "not-run"
         } else {
@@ -149,9 +151,9 @@
         Ok(())
     }
 
-    pub(super) fn broken(&self, reason: Reason) -> Broken {
+    pub(super) fn abort(&self, reason: Reason) -> Aborted {
         let context = &self.job.context;
-        context.note(Kind::Broken, reason.to_string());
+        context.record(Kind::Broken, reason.to_string());
         let labels = [
             self.job.pool.service.as_str(),
             self.job.need.group.1.as_str(),
@@ -159,7 +161,7 @@
         ];
         let metrics = &context.process.metrics;
         metrics.requests.with_label_values(&labels).inc();
-        Broken {
+        Aborted {
             request: context.id.clone(),
             reason,
         }
--- a/components/daemon/src/request/keyed.rs
+++ b/components/daemon/src/request/idempotency.rs
@@ -10,28 +10,27 @@
     Response, StatusCode,
     header::{self, HeaderValue},
 };
-use protocol::claim::{self, Decision, Recorded, Row, Stage, Write};
+use protocol::claim::{self, Decision, Recorded, Row, Stage, WriteOutcome};
 use telemetry::timeline::Kind;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_128};
 
 use super::{
-    Body,
-    plain::{Answered, Call},
+    Body, full_body,
+    plain::{Call, EndpointResponse},
     refusal::{Reason, Refusal},
-    whole,
 };
 use crate::process::claims::{self, Claim};
 
 /// The largest answer that is kept with a claim, in bytes; of a larger one only the status is.
-const KEPT_BYTES: usize = 8 << 10;
+const MAX_RECORDED_BODY_BYTES: usize = 8 << 10;
 /// Says that an answer was given before.
-const REPLAYED: &str = "x-wrenramp-replayed";
+const REPLAYED_HEADER: &str = "x-wrenramp-replayed";
 
 /// Serves a request with a key. It goes on to its end even if the caller hangs up, so that the
 /// outcome is recorded.
 pub async fn serve(call: Call, key: &str) -> Result<Response<Body>, Refusal> {
     let row_key = row_key(&call, key);
-    let digest = digest(&call);
+    let digest = request_digest(&call);
     let process = Arc::clone(&call.context.process);
     let found = process
         .claims
@@ -52,43 +51,47 @@
         at_ms: telemetry::logs::wall_ms(),
         stage: Stage::Claimed,
     };
-    let run = tokio::spawn(claim_and_run(call, row_key, row, found.version));
-    run.await.unwrap_or_else(|_| Err(Reason::AnswerLost.into()))
+    let task = tokio::spawn(claim_and_send(call, row_key, row, found.version));
+    task.await
+        .unwrap_or_else(|_| Err(Reason::AnswerLost.into()))
 }
 
-async fn claim_and_run(
+async fn claim_and_send(
     call: Call,
     key: String,
     row: Row,
-    over: u64,
+    expected_version: u64,
 ) -> Result<Response<Body>, Refusal> {
     let process = Arc::clone(&call.context.process);
-    let (write, version) = process.claims.write(key.clone(), row.clone(), over).await;
-    let known = (write == Write::Written).then_some(version);
+    let (write, version) = process
+        .claims
+        .write(key.clone(), row.clone(), expected_version)
+        .await;
+    let written_version = (write == WriteOutcome::Written).then_some(version);
     match write {
-        Write::Taken => return Err(Reason::InProgress.into()),
+        WriteOutcome::Taken => return Err(Reason::InProgress.into()),
         // another's claim of this key may stand by now
-        Write::Refused => return Err(Reason::KeyUnread.into()),
-        Write::Unclear => {
+        WriteOutcome::Refused => return Err(Reason::KeyUnread.into()),
+        WriteOutcome::Unclear => {
             // it is not sent, and the table is told so when it is back; until then nobody knows
             // whether another's claim of this key was first
             Claim::new(Arc::clone(&process), key, row, None).not_run();
             return Err(Reason::KeyUnread.into());
         }
-        Write::Written => {}
+        WriteOutcome::Written => {}
     }
-    let claim = Claim::new(Arc::clone(&process), key, row, known);
+    let claim = Claim::new(Arc::clone(&process), key, row, written_version);
     if !claim::may_dispatch(write) {
         claim.not_run();
         return Err(Reason::KeyUnread.into());
     }
-    call.context.note(Kind::Claimed, "written");
+    call.context.record(Kind::Claimed, "written");
     match call.send().await {
-        Ok(answered) => finish(&call, claim, answered).await,
+        Ok(answer) => record_and_respond(&call, claim, answer).await,
         Err(refusal) => {
-            match refusal.reason.run() {
-                super::refusal::Run::NotRun => claim.not_run(),
-                super::refusal::Run::Unknown => drop(claim),
+            match refusal.reason.execution() {
+                super::refusal::Execution::NotRun => claim.not_run(),
+                super::refusal::Execution::Unknown => drop(claim),
             }
             Err(refusal)
         }
@@ -96,8 +99,12 @@
 }
 
 /// Takes the whole answer, records it and passes it on.
-async fn finish(call: &Call, claim: Claim, answered: Answered) -> Result<Response<Body>, Refusal> {
-    let Answered { response, hold } = answered;
+async fn record_and_respond(
+    call: &Call,
+    claim: Claim,
+    answer: EndpointResponse,
+) -> Result<Response<Body>, Refusal> {
+    let EndpointResponse { response, hold } = answer;
     let (head, incoming) = response.into_parts();
     let collected = tokio::time::timeout_at(call.caller.deadline.into(), incoming.collect()).await;
     drop(hold);
@@ -106,16 +113,20 @@
         return Err(Reason::AnswerLost.into());
     };
     let bytes = collected.to_bytes();
-    claim.done(record(head.status, &head.headers, &bytes));
-    call.count("answered");
-    let mut response = Response::new(whole(bytes));
+    claim.done(recorded_response(head.status, &head.headers, &bytes));
+    call.record_outcome("answered");
+    let mut response = Response::new(full_body(bytes));
     *response.status_mut() = head.status;
     *response.headers_mut() = endpoint::service::end_to_end(&head.headers);
     Ok(response)
 }
 
-fn record(status: StatusCode, headers: &hyper::HeaderMap, bytes: &Bytes) -> Option<Recorded> {
-    if bytes.len() > KEPT_BYTES {
+fn recorded_response(
+    status: StatusCode,
+    headers: &hyper::HeaderMap,
+    bytes: &Bytes,
+) -> Option<Recorded> {
+    if bytes.len() > MAX_RECORDED_BODY_BYTES {
         return None;
     }
     let content_type = headers
@@ -138,28 +149,30 @@
 /// the request ran.
 fn replay(recorded: Option<&Recorded>) -> Response<Body> {
     let bytes: Vec<u8> = recorded
-        .map(|recorded| from_hex(&recorded.body_hex))
+        .map(|recorded| decode_hex(&recorded.body_hex))
         .unwrap_or_default();
-    let mut response = Response::new(whole(bytes));
-    let word = match recorded {
+    let mut response = Response::new(full_body(bytes));
+    let replay_value = match recorded {
         Some(recorded) => {
             *response.status_mut() =
                 StatusCode::from_u16(recorded.status).unwrap_or(StatusCode::OK);
-            if let Ok(kind) = HeaderValue::from_str(&recorded.content_type)
-                && !kind.is_empty()
+            if let Ok(content_type) = HeaderValue::from_str(&recorded.content_type)
+                && !content_type.is_empty()
             {
-                response.headers_mut().insert(header::CONTENT_TYPE, kind);
+                response
+                    .headers_mut()
+                    .insert(header::CONTENT_TYPE, content_type);
             }
             "whole"
         }
         None => "answer-not-kept",
     };
-    let word = HeaderValue::from_static(word);
-    response.headers_mut().insert(REPLAYED, word);
+    let replay_value = HeaderValue::from_static(replay_value);
+    response.headers_mut().insert(REPLAYED_HEADER, replay_value);
     response
 }
 
-fn from_hex(hex: &str) -> Vec<u8> {
+fn decode_hex(hex: &str) -> Vec<u8> {
     (0..hex.len() / 2)
         .filter_map(|at| u8::from_str_radix(hex.get(2 * at..2 * at + 2)?, 16).ok())
         .collect()
@@ -175,7 +188,7 @@
     )
 }
 
-fn digest(call: &Call) -> u64 {
+fn request_digest(call: &Call) -> u64 {
     let mut bytes = format!("{} {}\n", call.method, call.path).into_bytes();
     bytes.extend_from_slice(&call.body);
     xxh3_64(&bytes)
--- a/components/daemon/src/request/mod.rs
+++ b/components/daemon/src/request/mod.rs
@@ -5,7 +5,7 @@
 mod chat;
 mod events;
 mod generate;
-mod keyed;
+mod idempotency;
 mod plain;
 mod refusal;
 mod reply;
@@ -25,7 +25,7 @@
 use telemetry::timeline::Kind;
 
 use crate::{
-    connection::Counted,
+    connection::CountGuard,
     process::{Phase, Process},
     version::Snapshot,
 };
@@ -33,7 +33,7 @@
 use refusal::{Reason, Refusal};
 
 /// A body towards a caller. Its error breaks the transfer, so that a part never looks whole.
-pub type Body = UnsyncBoxBody<Bytes, generate::Broken>;
+pub type Body = UnsyncBoxBody<Bytes, generate::Aborted>;
 
 /// What belongs to one request.
 pub struct Context {
@@ -44,35 +44,35 @@
     /// Its number, in hexadecimal.
     pub id: String,
     /// The bytes of its body.
-    held: Option<body::Held>,
+    body_reservation: Option<body::Reservation>,
     /// Its place on the caller's connection.
-    open: ExchangeGuard,
+    exchange: ExchangeGuard,
     /// Counts it as under way.
-    _under_way: Counted,
+    _in_flight: CountGuard,
 }
 
 impl Context {
     /// Notes an event of this request.
-    pub fn note(&self, kind: Kind, detail: impl Into<String>) {
+    pub fn record(&self, kind: Kind, detail: impl Into<String>) {
         let subject = format!("request/{}", self.id);
         self.process.timeline.record(kind, subject, detail);
     }
 }
 
 /// Answers a request. A refusal is sent at once.
-pub async fn answer(
+pub async fn handle(
     process: Arc<Process>,
     exchange: Arc<Exchange>,
     request: Request<Incoming>,
 ) -> Response<Body> {
     let id = format!("{:016x}", rand::random::<u64>());
-    let open = exchange.begin(&id, request.version(), Instant::now());
-    let mut response = match route(&process, &id, open, request).await {
+    let exchange_guard = exchange.begin(&id, request.version(), Instant::now());
+    let mut response = match route(&process, &id, exchange_guard, request).await {
         Ok(response) => response,
         Err(refusal) => {
             let reason = refusal.reason.code();
             process.metrics.refusals.with_label_values(&[reason]).inc();
-            let detail = format!("{reason}, {}", refusal.reason.run());
+            let detail = format!("{reason}, {}", refusal.reason.execution());
             process
                 .timeline
                 .record(Kind::Refused, format!("request/{id}"), detail);
@@ -93,7 +93,7 @@
 async fn route(
     process: &Arc<Process>,
     id: &str,
-    open: ExchangeGuard,
+    exchange: ExchangeGuard,
     request: Request<Incoming>,
 ) -> Result<Response<Body>, Refusal> {
     if *process.phase.borrow() >= Phase::Draining {
@@ -104,21 +104,21 @@
         process: Arc::clone(process),
         version,
         id: id.to_owned(),
-        held: None,
-        open,
-        _under_way: Counted::new(&process.under_way),
+        body_reservation: None,
+        exchange,
+        _in_flight: CountGuard::new(&process.under_way),
     };
     let path = request.uri().path().to_owned();
     let caller = Caller::identify(&context.version.typed, request.headers())?;
     match (request.method(), path.as_str()) {
         (&Method::GET, "/v1/models") => Ok(reply::models(&context.version.typed, &caller)),
         (&Method::POST, "/v1/chat/completions") => {
-            chat::serve(context, caller, chat::Form::Chat, request).await
+            chat::serve(context, caller, chat::Api::Chat, request).await
         }
         (&Method::POST, "/v1/completions") => {
-            chat::serve(context, caller, chat::Form::Text, request).await
+            chat::serve(context, caller, chat::Api::Text, request).await
         }
-        (_, path) if path.starts_with(plain::PREFIX) => {
+        (_, path) if path.starts_with(plain::PATH_PREFIX) => {
             plain::serve(context, caller, request).await
         }
         _ => Err(Reason::NoSuchRoute.into()),
@@ -126,16 +126,16 @@
 }
 
 /// A body that is whole.
-pub fn whole(bytes: impl Into<Bytes>) -> Body {
+pub fn full_body(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into())
         .map_err(|never| match never {})
         .boxed_unsync()
 }
 
 /// A body that comes in parts; an error breaks the transfer.
-pub fn streamed<S>(parts: S) -> Body
+pub fn stream_body<S>(chunks: S) -> Body
 where
-    S: Stream<Item = Result<Bytes, generate::Broken>> + Send + 'static,
+    S: Stream<Item = Result<Bytes, generate::Aborted>> + Send + 'static,
 {
-    StreamBody::new(parts.map_ok(Frame::data)).boxed_unsync()
+    StreamBody::new(chunks.map_ok(Frame::data)).boxed_unsync()
 }
--- a/components/daemon/src/request/plain.rs
+++ b/components/daemon/src/request/plain.rs
@@ -14,8 +14,8 @@
 use super::{
     Body, Context, body,
     caller::Caller,
-    generate::Broken,
-    keyed,
+    generate::Aborted,
+    idempotency,
     refusal::{Reason, Refusal},
 };
 use crate::process::{
@@ -25,11 +25,11 @@
 };
 
 /// Prefix of the paths.
-pub const PREFIX: &str = "/services/";
+pub const PATH_PREFIX: &str = "/services/";
 /// Names a request, so that asking again does not run it again.
-const KEY: &str = "idempotency-key";
+const KEY_HEADER: &str = "idempotency-key";
 /// The longest such name, in bytes.
-const KEY_BYTES: usize = 256;
+const MAX_KEY_BYTES: usize = 256;
 
 /// A request to a plain service, read whole.
 pub struct Call {
@@ -52,7 +52,7 @@
 }
 
 /// An answer's head, its body still coming, and the hold on the endpoint.
-pub struct Answered {
+pub struct EndpointResponse {
     /// Head and body.
     pub response: Response<Incoming>,
     /// Held until the body has come.
@@ -66,7 +66,11 @@
     request: Request<Incoming>,
 ) -> Result<Response<Body>, Refusal> {
     let (head, incoming) = request.into_parts();
-    let rest = head.uri.path().strip_prefix(PREFIX).unwrap_or_default();
+    let rest = head
+        .uri
+        .path()
+        .strip_prefix(PATH_PREFIX)
+        .unwrap_or_default();
     let (name, path) = rest.split_once('/').unwrap_or((rest, ""));
     let service = context
         .version
@@ -77,10 +81,10 @@
     let query = head.uri.query().map(|query| format!("?{query}"));
     let path = format!("/{path}{}", query.unwrap_or_default());
     let repeat = service.repeat_of(&path);
-    let key = key(&head.headers)?;
+    let key = idempotency_key(&head.headers)?;
     let service = service.name.clone();
     let body = body::read(&mut context, incoming).await?;
-    context.note(Kind::Admitted, format!("{} {name}{path}", head.method));
+    context.record(Kind::Admitted, format!("{} {name}{path}", head.method));
     let call = Call {
         service,
         caller,
@@ -92,20 +96,20 @@
         context,
     };
     match key {
-        Some(key) if repeat == Repeat::Never => keyed::serve(call, &key).await,
+        Some(key) if repeat == Repeat::Never => idempotency::serve(call, &key).await,
         _ => {
-            let answered = call.send().await?;
-            Ok(call.pass_on(answered))
+            let answer = call.send().await?;
+            Ok(call.forward(answer))
         }
     }
 }
 
-fn key(headers: &HeaderMap) -> Result<Option<String>, Refusal> {
+fn idempotency_key(headers: &HeaderMap) -> Result<Option<String>, Refusal> {
     headers
-        .get(KEY)
+        .get(KEY_HEADER)
         .map(|value| match value.to_str() {
-            Ok(key) if !key.is_empty() && key.len() <= KEY_BYTES => Ok(key.to_owned()),
-            _ => Err(Reason::BadHeader(KEY).into()),
+            Ok(key) if !key.is_empty() && key.len() <= MAX_KEY_BYTES => Ok(key.to_owned()),
+            _ => Err(Reason::BadHeader(KEY_HEADER).into()),
         })
         .transpose()
 }
@@ -113,17 +117,17 @@
 impl Call {
     /// Sends the request to an endpoint; to another one if it certainly did not run, or may run
     /// twice.
-    pub async fn send(&self) -> Result<Answered, Refusal> {
+    pub async fn send(&self) -> Result<EndpointResponse, Refusal> {
         let mut avoid: Vec<Id> = Vec::new();
         for attempt in 1.. {
-            let Some((entry, hold)) = self.choose(&avoid) else {
+            let Some((entry, hold)) = self.select_endpoint(&avoid) else {
                 break;
             };
-            match self.attempt(&entry).await {
-                Ok(response) => return Ok(Answered { response, hold }),
+            match self.send_attempt(&entry).await {
+                Ok(response) => return Ok(EndpointResponse { response, hold }),
                 Err(failure) => {
                     drop(hold);
-                    self.may_go_on(&entry.id, failure, attempt)?;
+                    self.check_retry(&entry.id, failure, attempt)?;
                     avoid.push(entry.id);
                 }
             }
@@ -136,7 +140,7 @@
     }
 
     /// The open endpoint with the fewest requests in flight from here; local ones first.
-    fn choose(&self, avoid: &[Id]) -> Option<(Entry, Hold)> {
+    fn select_endpoint(&self, avoid: &[Id]) -> Option<(Entry, Hold)> {
         let process = &self.context.process;
         let pool = process.pool(&self.service)?;
         let mut entries = pool.snapshot();
@@ -153,10 +157,10 @@
         })
     }
 
-    async fn attempt(&self, entry: &Entry) -> Result<Response<Incoming>, Failure> {
+    async fn send_attempt(&self, entry: &Entry) -> Result<Response<Incoming>, Failure> {
         let process = &self.context.process;
         self.context
-            .note(Kind::Dispatched, format!("to {}", entry.id));
+            .record(Kind::Dispatched, format!("to {}", entry.id));
         let send = process.service.send(
             entry.endpoint.address,
             &self.method,
@@ -169,7 +173,7 @@
             .unwrap_or(Err(Failure::Lost))
     }
 
-    fn may_go_on(&self, id: &Id, failure: Failure, attempt: u32) -> Result<(), Refusal> {
+    fn check_retry(&self, id: &Id, failure: Failure, attempt: u32) -> Result<(), Refusal> {
         let process = &self.context.process;
         if let Some(pool) = process.pool(&self.service) {
             pool.with(id, Entry::failed);
@@ -179,21 +183,23 @@
         } else {
             FailureClass::MaybeExecuted
         };
-        let left = self
+        let time_left = self
             .caller
             .deadline
             .saturating_duration_since(Instant::now());
-        let left = u64::try_from(left.as_micros()).unwrap_or(u64::MAX);
+        let left_us = u64::try_from(time_left.as_micros()).unwrap_or(u64::MAX);
         let repeatable = self.repeat == Repeat::Allowed;
         let budget = &mut lock(&process.budget);
-        if retry::allow_retry(class, repeatable, attempt, left, 0, budget) {
-            self.context.note(Kind::Retried, format!("{id}: {failure}"));
+        if retry::allow_retry(class, repeatable, attempt, left_us, 0, budget) {
+            self.context
+                .record(Kind::Retried, format!("{id}: {failure}"));
             return Ok(());
         }
-        self.context.note(Kind::Broken, format!("{id}: {failure}"));
+        self.context
+            .record(Kind::Broken, format!("{id}: {failure}"));
         Err(match class {
             FailureClass::NotExecuted => Reason::NotTaken.into(),
-            FailureClass::MaybeExecuted | FailureClass::Permanent if left == 0 => {
+            FailureClass::MaybeExecuted | FailureClass::Permanent if left_us == 0 => {
                 Reason::DeadlinePassed.into()
             }
             FailureClass::MaybeExecuted | FailureClass::Permanent => Reason::AnswerLost.into(),
@@ -201,31 +207,31 @@
     }
 
     /// Passes an answer on as it comes; a break on the way breaks the caller's transfer.
-    pub fn pass_on(self, answered: Answered) -> Response<Body> {
-        let Answered { response, hold } = answered;
+    pub fn forward(self, answer: EndpointResponse) -> Response<Body> {
+        let EndpointResponse { response, hold } = answer;
         let (head, body) = response.into_parts();
-        self.count("answered");
-        let lost = Broken {
+        self.record_outcome("answered");
+        let aborted = Aborted {
             request: self.context.id.clone(),
             reason: Reason::AnswerLost,
         };
         // the request is under way, and the endpoint held, until the last part has gone
-        let kept = (self, hold);
-        let parts = BodyDataStream::new(body).map(move |part| {
-            let _ = &kept;
-            part.map_err(|_| lost.clone())
+        let guards = (self, hold);
+        let chunks = BodyDataStream::new(body).map(move |chunk| {
+            let _ = &guards;
+            chunk.map_err(|_| aborted.clone())
         });
-        let mut response = Response::new(super::streamed(parts));
+        let mut response = Response::new(super::stream_body(chunks));
         *response.status_mut() = head.status;
         *response.headers_mut() = end_to_end(&head.headers);
         response
     }
 
     /// Counts the request by its outcome.
-    pub fn count(&self, outcome: &str) {
+    pub fn record_outcome(&self, outcome: &str) {
         let process = &self.context.process;
         lock(&process.budget).record_success();
-        self.context.note(Kind::Finished, outcome);
+        self.context.record(Kind::Finished, outcome);
         process
             .metrics
             .requests
--- a/components/daemon/src/request/refusal.rs
+++ b/components/daemon/src/request/refusal.rs
@@ -12,16 +12,16 @@
 };
 use serde::Serialize;
 
-use super::{Body, whole};
+use super::{Body, full_body};
 use crate::process::pool::Unplaced;
 
 /// The header that carries the word.
-pub const RUN: &str = "x-wrenramp-run";
+pub const RUN_HEADER: &str = "x-wrenramp-run";
 
 /// Whether the request ran.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Run {
+pub enum Execution {
     /// It certainly did not.
     #[display("not-run")]
     NotRun,
@@ -96,8 +96,8 @@
 }
 
 /// When a caller should try again if nothing better is known.
-const SOON: Duration = Duration::from_secs(1);
-const AFTER_OUTAGE: Duration = Duration::from_secs(5);
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
+const OUTAGE_RETRY_AFTER: Duration = Duration::from_secs(5);
 
 impl Reason {
     /// The name that callers and metrics see.
@@ -127,14 +127,14 @@
     }
 
     /// Whether the request ran.
-    pub fn run(self) -> Run {
+    pub fn execution(self) -> Execution {
         match self {
             Self::AnswerLost
             | Self::DeadlinePassed
             | Self::KeyUnread
             | Self::InProgress
-            | Self::OutcomeUnknown => Run::Unknown,
-            _ => Run::NotRun,
+            | Self::OutcomeUnknown => Execution::Unknown,
+            _ => Execution::NotRun,
         }
     }
 
@@ -167,8 +167,8 @@
             | Self::NotTaken
             | Self::InProgress
             | Self::AnswerLost
-            | Self::DeadlinePassed => Some(SOON),
-            Self::KeyUnread => Some(AFTER_OUTAGE),
+            | Self::DeadlinePassed => Some(DEFAULT_RETRY_AFTER),
+            Self::KeyUnread => Some(OUTAGE_RETRY_AFTER),
             _ => None,
         }
     }
@@ -198,16 +198,16 @@
 }
 
 #[derive(Serialize)]
-struct Document<'a> {
-    error: Details<'a>,
+struct ErrorBody<'a> {
+    error: ErrorDetails<'a>,
 }
 
 #[derive(Serialize)]
-struct Details<'a> {
+struct ErrorDetails<'a> {
     message: String,
     #[serde(rename = "type")]
     code: &'a str,
-    run: Run,
+    run: Execution,
     request: &'a str,
     #[serde(skip_serializing_if = "Option::is_none")]
     retry_after_seconds: Option<u64>,
@@ -216,38 +216,38 @@
 impl Refusal {
     /// The body of the refusal as JSON.
     pub fn json(&self, request: &str) -> Vec<u8> {
-        let document = Document {
-            error: Details {
+        let body = ErrorBody {
+            error: ErrorDetails {
                 message: self.reason.to_string(),
                 code: self.reason.code(),
-                run: self.reason.run(),
+                run: self.reason.execution(),
                 request,
-                retry_after_seconds: self.seconds(),
+                retry_after_seconds: self.retry_after_seconds(),
             },
         };
         // plain fields always have a JSON form
-        serde_json::to_vec(&document).unwrap_or_default()
+        serde_json::to_vec(&body).unwrap_or_default()
     }
 
     /// The answer that a caller gets.
     pub fn response(&self, request: &str) -> Response<Body> {
-        let mut response = Response::new(whole(self.json(request)));
+        let mut response = Response::new(full_body(self.json(request)));
         *response.status_mut() = self.reason.status();
         let headers = response.headers_mut();
         let json = HeaderValue::from_static("application/json");
         headers.insert(header::CONTENT_TYPE, json);
-        let run = match self.reason.run() {
-            Run::NotRun => HeaderValue::from_static("not-run"),
-            Run::Unknown => HeaderValue::from_static("unknown"),
+        let execution = match self.reason.execution() {
+            Execution::NotRun => HeaderValue::from_static("not-run"),
+            Execution::Unknown => HeaderValue::from_static("unknown"),
         };
-        headers.insert(RUN, run);
-        if let Some(seconds) = self.seconds() {
+        headers.insert(RUN_HEADER, execution);
+        if let Some(seconds) = self.retry_after_seconds() {
             headers.insert(header::RETRY_AFTER, seconds.into());
         }
         response
     }
 
-    fn seconds(&self) -> Option<u64> {
+    fn retry_after_seconds(&self) -> Option<u64> {
         let after = self.reason.retry_after()?;
         Some(after.as_secs() + u64::from(after.subsec_nanos() > 0))
     }
--- a/components/daemon/src/request/reply.rs
+++ b/components/daemon/src/request/reply.rs
@@ -12,19 +12,19 @@
 use super::{
     Body,
     caller::Caller,
-    chat::Form,
-    generate::{Broken, Piece},
-    whole,
+    chat::Api,
+    full_body,
+    generate::{Aborted, Chunk},
 };
 
 #[derive(Serialize)]
-struct Models<'a> {
+struct ModelList<'a> {
     object: &'a str,
-    data: Vec<Model<'a>>,
+    data: Vec<ModelEntry<'a>>,
 }
 
 #[derive(Serialize)]
-struct Model<'a> {
+struct ModelEntry<'a> {
     id: &'a str,
     object: &'a str,
     owned_by: &'a str,
@@ -37,13 +37,13 @@
         .models
         .iter()
         .filter(|model| allowed.is_empty() || allowed.contains(&model.name))
-        .map(|model| Model {
+        .map(|model| ModelEntry {
             id: &model.name,
             object: "model",
             owned_by: &model.service,
         })
         .collect();
-    json(&Models {
+    json_response(&ModelList {
         object: "list",
         data,
     })
@@ -51,15 +51,15 @@
 
 /// What all parts of one answer have in common.
 #[derive(Debug)]
-pub struct Shape {
-    form: Form,
+pub struct Envelope {
+    api: Api,
     id: String,
     model: String,
     created: u64,
 }
 
 #[derive(Serialize)]
-struct Answer<'a> {
+struct Completion<'a> {
     id: &'a str,
     object: &'a str,
     created: u64,
@@ -92,23 +92,23 @@
     prompt_tokens: u64,
     completion_tokens: u64,
     total_tokens: u64,
-    prompt_tokens_details: Details,
+    prompt_tokens_details: PromptTokensDetails,
 }
 
 #[derive(Serialize)]
-struct Details {
+struct PromptTokensDetails {
     cached_tokens: u64,
 }
 
-impl Shape {
+impl Envelope {
     /// The shape of one answer.
-    pub fn new(form: Form, request: &str, model: &str) -> Self {
-        let prefix = match form {
-            Form::Chat => "chatcmpl",
-            Form::Text => "cmpl",
+    pub fn new(api: Api, request: &str, model: &str) -> Self {
+        let prefix = match api {
+            Api::Chat => "chatcmpl",
+            Api::Text => "cmpl",
         };
         Self {
-            form,
+            api,
             id: format!("{prefix}-{request}"),
             model: model.to_owned(),
             created: telemetry::logs::wall_ms() / 1_000,
@@ -116,70 +116,74 @@
     }
 
     /// One part of a streamed answer.
-    pub fn event(&self, piece: &Piece) -> Bytes {
-        event(&self.part(&piece.text, None, None))
+    pub fn event(&self, chunk: &Chunk) -> Bytes {
+        sse_event(&self.chunk(&chunk.text, None, None))
     }
 
     /// The last part of a streamed answer, with its usage and the mark of a whole stream.
-    pub fn last_event(&self, piece: &Piece, written: u64) -> Bytes {
+    pub fn last_event(&self, chunk: &Chunk, completion_tokens: u64) -> Bytes {
         let mut bytes = Vec::new();
-        if let Some(done) = piece.done {
-            let usage = Some(usage(done, written));
-            bytes.extend_from_slice(&event(&self.part(&piece.text, Some(finish(done)), usage)));
+        if let Some(done) = chunk.done {
+            let usage = Some(usage(done, completion_tokens));
+            bytes.extend_from_slice(&sse_event(&self.chunk(
+                &chunk.text,
+                Some(finish_reason(done)),
+                usage,
+            )));
         }
         bytes.extend_from_slice(b"data: [DONE]\n\n");
         bytes.into()
     }
 
     /// A whole answer.
-    pub fn whole(&self, text: &str, done: Done, written: u64) -> Response<Body> {
-        let (object, message, plain) = match self.form {
-            Form::Chat => ("chat.completion", Some(message(text)), None),
-            Form::Text => ("text_completion", None, Some(text)),
+    pub fn full_response(&self, text: &str, done: Done, completion_tokens: u64) -> Response<Body> {
+        let (object, message, completion_text) = match self.api {
+            Api::Chat => ("chat.completion", Some(message(text)), None),
+            Api::Text => ("text_completion", None, Some(text)),
         };
-        json(&self.answer(
+        json_response(&self.completion(
             object,
             Choice {
                 index: 0,
                 message,
                 delta: None,
-                text: plain,
-                finish_reason: Some(finish(done)),
+                text: completion_text,
+                finish_reason: Some(finish_reason(done)),
             },
-            Some(usage(done, written)),
+            Some(usage(done, completion_tokens)),
         ))
     }
 
-    fn part<'a>(
+    fn chunk<'a>(
         &'a self,
         text: &'a str,
         finish_reason: Option<&'a str>,
         usage: Option<Usage>,
-    ) -> Answer<'a> {
-        let (object, delta, plain) = match self.form {
-            Form::Chat => ("chat.completion.chunk", Some(message(text)), None),
-            Form::Text => ("text_completion", None, Some(text)),
+    ) -> Completion<'a> {
+        let (object, delta, completion_text) = match self.api {
+            Api::Chat => ("chat.completion.chunk", Some(message(text)), None),
+            Api::Text => ("text_completion", None, Some(text)),
         };
-        self.answer(
+        self.completion(
             object,
             Choice {
                 index: 0,
                 message: None,
                 delta,
-                text: plain,
+                text: completion_text,
                 finish_reason,
             },
             usage,
         )
     }
 
-    fn answer<'a>(
+    fn completion<'a>(
         &'a self,
         object: &'a str,
         choice: Choice<'a>,
         usage: Option<Usage>,
-    ) -> Answer<'a> {
-        Answer {
+    ) -> Completion<'a> {
+        Completion {
             id: &self.id,
             object,
             created: self.created,
@@ -197,25 +201,25 @@
     }
 }
 
-fn finish(done: Done) -> &'static str {
+fn finish_reason(done: Done) -> &'static str {
     match done.reason {
         FinishReason::Stop => "stop",
         FinishReason::Length | FinishReason::Exported => "length",
     }
 }
 
-fn usage(done: Done, written: u64) -> Usage {
+fn usage(done: Done, completion_tokens: u64) -> Usage {
     Usage {
         prompt_tokens: done.prompt_tokens,
-        completion_tokens: written,
-        total_tokens: done.prompt_tokens + written,
-        prompt_tokens_details: Details {
+        completion_tokens,
+        total_tokens: done.prompt_tokens + completion_tokens,
+        prompt_tokens_details: PromptTokensDetails {
             cached_tokens: done.cached_tokens,
         },
     }
 }
 
-fn event<T: Serialize>(value: &T) -> Bytes {
+fn sse_event<T: Serialize>(value: &T) -> Bytes {
     let mut bytes = b"data: ".to_vec();
     // plain fields always have a JSON form, and memory takes any length
     let _ = serde_json::to_writer(&mut bytes, value);
@@ -224,29 +228,31 @@
 }
 
 /// The event that tells of an answer that can't be finished.
-pub fn error_event(broken: &Broken) -> Bytes {
+pub fn error_event(aborted: &Aborted) -> Bytes {
     let mut bytes = b"data: ".to_vec();
-    bytes.extend_from_slice(&broken.refusal().json(&broken.request));
+    bytes.extend_from_slice(&aborted.refusal().json(&aborted.request));
     bytes.extend_from_slice(b"\n\n");
     bytes.into()
 }
 
 /// An answer of events.
-pub fn events(body: Body) -> Response<Body> {
+pub fn event_stream(body: Body) -> Response<Body> {
     let mut response = Response::new(body);
     let headers = response.headers_mut();
-    let kind = HeaderValue::from_static("text/event-stream");
-    headers.insert(header::CONTENT_TYPE, kind);
+    let content_type = HeaderValue::from_static("text/event-stream");
+    headers.insert(header::CONTENT_TYPE, content_type);
     let no_cache = HeaderValue::from_static("no-cache");
     headers.insert(header::CACHE_CONTROL, no_cache);
     response
 }
 
-fn json<T: Serialize>(value: &T) -> Response<Body> {
+fn json_response<T: Serialize>(value: &T) -> Response<Body> {
     // plain fields always have a JSON form
     let bytes = serde_json::to_vec(value).unwrap_or_default();
-    let mut response = Response::new(whole(bytes));
-    let kind = HeaderValue::from_static("application/json");
-    response.headers_mut().insert(header::CONTENT_TYPE, kind);
+    let mut response = Response::new(full_body(bytes));
+    let content_type = HeaderValue::from_static("application/json");
+    response
+        .headers_mut()
+        .insert(header::CONTENT_TYPE, content_type);
     response
 }
--- a/components/gateway/src/steward/lease.rs
+++ b/components/gateway/src/steward/lease.rs
@@ -176,12 +176,12 @@
             .unwrap_or_default();
         let now_ms = millis(started.elapsed());
         match &mut self.watch {
-            Some(watch) => watch.see(renewal, now_ms),
+            Some(watch) => watch.observe(renewal, now_ms),
             None => self.watch = Some(Watch::new(renewal, now_ms)),
         }
         let lapsed = self
             .watch
-            .is_some_and(|watch| watch.lapsed(lease.as_ref(), now_ms, millis(term)));
+            .is_some_and(|watch| watch.is_expired(lease.as_ref(), now_ms, millis(term)));
         let epoch = lease.map_or(0, |lease| lease.epoch);
         let released = epoch > 0 && ceded >= epoch;
         if lapsed || released {
@@ -204,7 +204,7 @@
         pause: Duration,
     ) {
         let sent = Instant::now();
-        let next = lease::take(lease.as_ref(), Incarnation(gateway.incarnation));
+        let next = lease::acquire(lease.as_ref(), Incarnation(gateway.incarnation));
         let renewal = Renewal {
             epoch: next.epoch,
             count: 0,
@@ -243,7 +243,8 @@
 fn order_delay(gateway: &Gateway, lease: Option<&Lease>, term: Duration) -> Duration {
     // the very first steward has no predecessor
     lease.map_or(Duration::ZERO, |_| {
-        let margin = term.saturating_sub(Duration::from_millis(lease::until(0, millis(term))));
+        let margin =
+            term.saturating_sub(Duration::from_millis(lease::valid_until(0, millis(term))));
         (gateway.settings.bounds.lease_ms + MAX_ORDER_TRANSIT).saturating_sub(margin)
     })
 }
@@ -258,7 +259,7 @@
 
 fn until(sent: Instant, term: Duration) -> Instant {
     // the same margin as in the model-checked protocol
-    sent + Duration::from_millis(lease::until(0, millis(term)))
+    sent + Duration::from_millis(lease::valid_until(0, millis(term)))
 }
 
 fn json<T: Serialize>(value: &T) -> String {
--- a/components/protocol/src/claim.rs
+++ b/components/protocol/src/claim.rs
@@ -81,7 +81,7 @@
 
 /// What is known of a claim's write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Write {
+pub enum WriteOutcome {
     /// The table said that it took effect, or a read showed its token.
     Written,
     /// Another claim of the key was first.
@@ -95,6 +95,6 @@
 /// Whether a request may be dispatched after its claim's write. Only a claim that certainly stands
 /// under the own token allows it.
 #[must_use]
-pub fn may_dispatch(write: Write) -> bool {
-    matches!(write, Write::Written)
+pub fn may_dispatch(outcome: WriteOutcome) -> bool {
+    matches!(outcome, WriteOutcome::Written)
 }
--- a/components/protocol/src/lease.rs
+++ b/components/protocol/src/lease.rs
@@ -32,7 +32,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Watch {
     renewal: Renewal,
-    since_ms: u64,
+    unchanged_since_ms: u64,
 }
 
 impl Watch {
@@ -41,12 +41,12 @@
     pub fn new(renewal: Renewal, now_ms: u64) -> Self {
         Self {
             renewal,
-            since_ms: now_ms,
+            unchanged_since_ms: now_ms,
         }
     }
 
     /// Takes a fresh read of the renewal row; a change starts the wait anew.
-    pub fn see(&mut self, renewal: Renewal, now_ms: u64) {
+    pub fn observe(&mut self, renewal: Renewal, now_ms: u64) {
         if renewal != self.renewal {
             *self = Self::new(renewal, now_ms);
         }
@@ -54,17 +54,17 @@
 
     /// Whether the holder may be replaced: it released, or a whole term passed without a renewal.
     #[must_use]
-    pub fn lapsed(&self, lease: Option<&Lease>, now_ms: u64, term_ms: u64) -> bool {
+    pub fn is_expired(&self, lease: Option<&Lease>, now_ms: u64, term_ms: u64) -> bool {
         match lease {
             None | Some(Lease { holder: None, .. }) => true,
-            Some(_) => now_ms.saturating_sub(self.since_ms) >= term_ms,
+            Some(_) => now_ms.saturating_sub(self.unchanged_since_ms) >= term_ms,
         }
     }
 }
 
 /// The lease row that a daemon writes to take a stewardship over.
 #[must_use]
-pub fn take(lease: Option<&Lease>, me: Incarnation) -> Lease {
+pub fn acquire(lease: Option<&Lease>, me: Incarnation) -> Lease {
     Lease {
         epoch: lease.map_or(1, |lease| lease.epoch + 1),
         holder: Some(me),
@@ -83,9 +83,9 @@
 /// Until when the holder may act without another renewal. Counted from before the request was
 /// sent, so that a slow answer shortens the term and never lengthens it.
 #[must_use]
-pub fn until(sent_ms: u64, term_ms: u64) -> u64 {
+pub fn valid_until(sent_ms: u64, term_ms: u64) -> u64 {
     // the margin leaves time for a step already begun
-    sent_ms + term_ms - term_ms / MARGIN
+    sent_ms + term_ms - term_ms / MARGIN_DIVISOR
 }
 
-const MARGIN: u64 = 4;
+const MARGIN_DIVISOR: u64 = 4;
--- a/components/protocol/src/order.rs
+++ b/components/protocol/src/order.rs
@@ -110,7 +110,7 @@
     /// While an intent is open the order may strike at any moment, unless the engine already has
     /// the wanted end: an order is idempotent.
     #[must_use]
-    pub fn closes(&self, reached: bool) -> bool {
+    pub fn blocks_dispatch(&self, reached: bool) -> bool {
         match self.stage {
             Stage::Closing => true,
             Stage::Intent => !reached,
@@ -145,17 +145,17 @@
 /// It is asked only while `me` carries no order to this endpoint out, so a row of its own that is
 /// still open was left behind by a lost answer of the table.
 #[must_use]
-pub fn next(
+pub fn next_step(
     row: Option<&Row>,
     wanted: &Wanted,
     me: Incarnation,
     epoch: u64,
     fences: bool,
-    clean: bool,
-    gone: impl Fn(Incarnation) -> bool,
+    no_copy_in_flight: bool,
+    is_gone: impl Fn(Incarnation) -> bool,
 ) -> Step {
     let Some(row) = row else {
-        return Step::Close(close(None, wanted, me, epoch));
+        return Step::Close(closing_row(None, wanted, me, epoch));
     };
     match row.stage {
         // the former steward can't commit its intent any more, so nothing of it can be sent
@@ -164,24 +164,24 @@
             epoch,
             ..row.clone()
         }),
-        Stage::Intent => Step::Resend(adopt(row, me, epoch, clean, gone)),
+        Stage::Intent => Step::Resend(adopted_row(row, me, epoch, no_copy_in_flight, is_gone)),
         Stage::Done if row.wanted == *wanted => Step::Nothing,
         Stage::Done | Stage::Failed | Stage::Reopened => {
-            let open = (!fences)
-                .then(|| row.earlier.iter().find(|other| !gone(**other)))
+            let possible_sender = (!fences)
+                .then(|| row.earlier.iter().find(|other| !is_gone(**other)))
                 .flatten();
-            match open {
+            match possible_sender {
                 Some(_) if row.wanted == *wanted && row.stage == Stage::Failed => {
-                    Step::Resend(adopt(row, me, epoch, clean, gone))
+                    Step::Resend(adopted_row(row, me, epoch, no_copy_in_flight, is_gone))
                 }
                 Some(other) => Step::Wait(*other),
-                None => Step::Close(close(Some(row), wanted, me, epoch)),
+                None => Step::Close(closing_row(Some(row), wanted, me, epoch)),
             }
         }
     }
 }
 
-fn close(row: Option<&Row>, wanted: &Wanted, me: Incarnation, epoch: u64) -> Row {
+fn closing_row(row: Option<&Row>, wanted: &Wanted, me: Incarnation, epoch: u64) -> Row {
     Row {
         number: row.map_or(1, |row| row.number + 1),
         epoch,
@@ -192,20 +192,20 @@
     }
 }
 
-fn adopt(
+fn adopted_row(
     row: &Row,
     me: Incarnation,
     epoch: u64,
-    clean: bool,
-    gone: impl Fn(Incarnation) -> bool,
+    no_copy_in_flight: bool,
+    is_gone: impl Fn(Incarnation) -> bool,
 ) -> Row {
-    let may_strike = row.stage == Stage::Intent && (row.sender != me || !clean);
+    let may_take_effect = row.stage == Stage::Intent && (row.sender != me || !no_copy_in_flight);
     let mut earlier: Vec<Incarnation> = row
         .earlier
         .iter()
         .copied()
-        .chain(may_strike.then_some(row.sender))
-        .filter(|other| !gone(*other))
+        .chain(may_take_effect.then_some(row.sender))
+        .filter(|other| !is_gone(*other))
         .collect();
     earlier.sort_unstable();
     earlier.dedup();
@@ -220,7 +220,7 @@
 
 /// The row that commits an intent after all daemons have closed.
 #[must_use]
-pub fn intend(row: &Row) -> Row {
+pub fn intent_row(row: &Row) -> Row {
     Row {
         stage: Stage::Intent,
         ..row.clone()
@@ -229,7 +229,7 @@
 
 /// How a sender's call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Ended {
+pub enum CallOutcome {
     /// The engine has what was wanted.
     Reached,
     /// The engine refused, or the order never left; it can't strike later.
@@ -240,12 +240,12 @@
 
 /// The row that commits an outcome, after the sender's call has ended.
 #[must_use]
-pub fn finish(row: &Row, ended: Ended) -> Row {
+pub fn outcome_row(row: &Row, outcome: CallOutcome) -> Row {
     let mut next = row.clone();
-    match ended {
-        Ended::Reached => next.stage = Stage::Done,
-        Ended::NotReached => next.stage = Stage::Failed,
-        Ended::Lost => {
+    match outcome {
+        CallOutcome::Reached => next.stage = Stage::Done,
+        CallOutcome::NotReached => next.stage = Stage::Failed,
+        CallOutcome::Lost => {
             next.stage = Stage::Failed;
             next.earlier.push(row.sender);
             next.earlier.sort_unstable();
@@ -257,6 +257,6 @@
 
 /// Whether an engine that checks fencing numbers takes an order.
 #[must_use]
-pub fn fenced(highest: u64, number: u64) -> bool {
+pub fn passes_fencing(highest: u64, number: u64) -> bool {
     number >= highest
 }
--- a/components/protocol/src/stream.rs
+++ b/components/protocol/src/stream.rs
@@ -22,7 +22,7 @@
 
 /// Why a stream can't go on.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
-pub enum Broken {
+pub enum FrameError {
     /// A part between was lost.
     #[display("tokens {expected} to {got} are missing")]
     Gap {
@@ -41,7 +41,7 @@
 pub struct Assembler {
     attempt: Attempt,
     offset: u64,
-    ended: bool,
+    finished: bool,
 }
 
 impl Assembler {
@@ -51,7 +51,7 @@
         Self {
             attempt,
             offset: 0,
-            ended: false,
+            finished: false,
         }
     }
 
@@ -74,8 +74,8 @@
 
     /// Whether the final frame was delivered.
     #[must_use]
-    pub fn ended(&self) -> bool {
-        self.ended
+    pub fn finished(&self) -> bool {
+        self.finished
     }
 
     /// Takes a frame of so many tokens.
@@ -83,26 +83,28 @@
     /// # Errors
     ///
     /// [`Broken`] when the frame shows that a part was lost; the attempt must be given up.
-    pub fn take(
+    pub fn accept(
         &mut self,
         attempt: Attempt,
         offset: u64,
         tokens: u64,
         last: bool,
-    ) -> Result<Verdict, Broken> {
+    ) -> Result<Verdict, FrameError> {
         match () {
             () if attempt != self.attempt => Ok(Verdict::Foreign),
-            () if offset < self.offset || (self.ended && offset == self.offset && tokens == 0) => {
+            () if offset < self.offset
+                || (self.finished && offset == self.offset && tokens == 0) =>
+            {
                 Ok(Verdict::Duplicate)
             }
-            () if self.ended => Err(Broken::AfterEnd),
-            () if offset > self.offset => Err(Broken::Gap {
+            () if self.finished => Err(FrameError::AfterEnd),
+            () if offset > self.offset => Err(FrameError::Gap {
                 expected: self.offset,
                 got: offset,
             }),
             () => {
                 self.offset += tokens;
-                self.ended = last;
+                self.finished = last;
                 Ok(Verdict::Deliver)
             }
         }
--- a/components/spec/src/answers.rs
+++ b/components/spec/src/answers.rs
@@ -117,9 +117,9 @@
         _ => offset,
     };
     let last = named + 1 == TOKENS;
-    if state.assembler.take(attempt, named, 1, last) == Ok(Verdict::Deliver) {
+    if state.assembler.accept(attempt, named, 1, last) == Ok(Verdict::Deliver) {
         state.delivered.push(content);
-        if state.assembler.ended() {
+        if state.assembler.finished() {
             end(state);
         }
     }
--- a/components/spec/src/claims.rs
+++ b/components/spec/src/claims.rs
@@ -3,7 +3,7 @@
 
 use protocol::{
     Incarnation,
-    claim::{self, Decision, Row, Stage, Write},
+    claim::{self, Decision, Row, Stage, WriteOutcome},
 };
 
 use crate::{
@@ -268,34 +268,34 @@
 fn write(state: &State, nth: usize, row: &Row, over: u64, variant: Variant, steps: &mut Steps) {
     let mut done = state.clone();
     if commit(&mut done, over, row, variant) {
-        after(&mut done, nth, row, Write::Written, variant);
+        after(&mut done, nth, row, WriteOutcome::Written, variant);
         steps.push((Label::WriteIsAnswered { nth }, done.clone()));
         // it took effect, its answer was lost, and a read shows the token
         steps.push((Label::ReadsBack { nth }, done.clone()));
         // it took effect, and neither the answer nor the read came
         let mut lost = state.clone();
         commit(&mut lost, over, row, variant);
-        after(&mut lost, nth, row, Write::Unclear, variant);
+        after(&mut lost, nth, row, WriteOutcome::Unclear, variant);
         steps.push((Label::WriteAnswerIsLost { nth }, lost));
     } else {
-        after(&mut done, nth, row, Write::Taken, variant);
+        after(&mut done, nth, row, WriteOutcome::Taken, variant);
         steps.push((Label::WriteIsRefused { nth }, done));
     }
     // it is late: it takes effect after the daemon has given up, or never
     let mut late = state.clone();
     late.late.push((over, row.clone()));
-    after(&mut late, nth, row, Write::Unclear, variant);
+    after(&mut late, nth, row, WriteOutcome::Unclear, variant);
     steps.push((Label::WriteAnswerIsLost { nth }, late));
 }
 
-fn after(state: &mut State, nth: usize, row: &Row, write: Write, variant: Variant) {
+fn after(state: &mut State, nth: usize, row: &Row, write: WriteOutcome, variant: Variant) {
     let dispatch = claim::may_dispatch(write)
-        || (variant == Variant::UnclearIsWritten && write == Write::Unclear);
+        || (variant == Variant::UnclearIsWritten && write == WriteOutcome::Unclear);
     if dispatch {
         state.tries[nth].doing = Doing::Claimed(row.clone());
         return;
     }
-    if write == Write::Unclear {
+    if write == WriteOutcome::Unclear {
         // it was not sent, and the claimant says so in the table
         let not_run = Row {
             stage: Stage::NotRun,
--- a/components/spec/src/closing.rs
+++ b/components/spec/src/closing.rs
@@ -233,7 +233,7 @@
     let daemon = state.daemons[at];
     if daemon.start == Start::Serving && daemon.dispatched < DISPATCHES {
         let mut next = state.clone();
-        if next.daemons[at].gate.hold() {
+        if next.daemons[at].gate.acquire() {
             next.daemons[at].dispatched += 1;
             steps.push((Label::Dispatches(at), next));
         }
@@ -264,7 +264,7 @@
         next.daemons[at].gate.close(number);
         steps.push((Label::DaemonIsAsked(at), next));
     }
-    let empty = daemon.gate.is_closed(number)
+    let empty = daemon.gate.is_drained(number)
         || (variant == Variant::AnswerWithHolds && daemon.gate.closed_for() == Some(number));
     if daemon.asked == Some(number) && empty && !answers[at] {
         let mut next = state.clone();
--- a/components/spec/src/orders/mod.rs
+++ b/components/spec/src/orders/mod.rs
@@ -6,7 +6,7 @@
 
 use protocol::{
     Incarnation, lease,
-    order::{self, Ended, Role, Row, Stage, Step},
+    order::{self, CallOutcome, Role, Row, Stage, Step},
 };
 
 use state::{Daemon, Doing, Label, Message, Setup, State, Variant, name, start, wanted};
@@ -39,7 +39,7 @@
 }
 
 fn take(state: &State, at: usize, steps: &mut Vec<(Label, State)>) {
-    let next_lease = lease::take(state.lease.as_ref(), name(at));
+    let next_lease = lease::acquire(state.lease.as_ref(), name(at));
     let holds = state.lease.and_then(|lease| lease.holder) == Some(name(at));
     if holds || next_lease.epoch > EPOCHS {
         return;
@@ -74,7 +74,7 @@
     let clean = !daemon.lost.contains(&number);
     for role in [Role::Prefill, Role::Decode] {
         let wish = wanted(role);
-        let row = match order::next(
+        let row = match order::next_step(
             state.row.as_ref(),
             &wish,
             name(at),
@@ -84,7 +84,7 @@
             gone,
         ) {
             // closing is a model of its own; here all daemons have closed
-            Step::Close(row) => order::intend(&row),
+            Step::Close(row) => order::intent_row(&row),
             Step::Resend(row) | Step::Reopen(row) => row,
             Step::Wait(_) | Step::Nothing => continue,
         };
@@ -188,11 +188,11 @@
             // the call is cut; the order may still arrive
             let mut next = state.clone();
             let ended = if variant == Variant::LostIsEnded {
-                Ended::NotReached
+                CallOutcome::NotReached
             } else {
-                Ended::Lost
+                CallOutcome::Lost
             };
-            if ended == Ended::Lost && !next.daemons[at].lost.contains(&row.number) {
+            if ended == CallOutcome::Lost && !next.daemons[at].lost.contains(&row.number) {
                 next.daemons[at].lost.push(row.number);
             }
             next.daemons[at].doing = Doing::Finish(row, ended);
@@ -206,13 +206,13 @@
     state: &State,
     at: usize,
     row: &Row,
-    ended: Ended,
+    ended: CallOutcome,
     variant: Variant,
     steps: &mut Vec<(Label, State)>,
 ) {
     let mut next = state.clone();
     next.daemons[at].doing = Doing::Nothing;
-    let outcome = order::finish(row, ended);
+    let outcome = order::outcome_row(row, ended);
     let stands = state
         .row
         .as_ref()
@@ -230,7 +230,7 @@
     let mut withdrawn = next.clone();
     steps.push((Label::OutcomeRefused { daemon: at }, next));
     // a former sender whose call has ended takes its name out
-    if let (Some(now), true) = (withdrawn.row.as_mut(), ended != Ended::Lost)
+    if let (Some(now), true) = (withdrawn.row.as_mut(), ended != CallOutcome::Lost)
         && now.number == row.number
         && now.earlier.contains(&name(at))
         && !state.daemons[at].lost.contains(&row.number)
@@ -261,13 +261,13 @@
     for (nth, message) in state.network.iter().enumerate() {
         let mut next = state.clone();
         next.network.remove(nth);
-        let refused = setup.fences && !order::fenced(state.highest, message.number);
+        let refused = setup.fences && !order::passes_fencing(state.highest, message.number);
         let (label, ended) = if refused {
             let label = Label::EngineRefuses {
                 number: message.number,
                 from: message.from,
             };
-            (label, Ended::NotReached)
+            (label, CallOutcome::NotReached)
         } else {
             strike(&mut next, message, setup);
             let label = Label::EngineTakes {
@@ -275,7 +275,7 @@
                 role: message.wanted.role,
                 from: message.from,
             };
-            (label, Ended::Reached)
+            (label, CallOutcome::Reached)
         };
         // the answer reaches a sender that still waits for it
         if let Doing::Await(row) = &state.daemons[message.from].doing
@@ -293,7 +293,10 @@
 /// that was committed may take effect, but only while the row keeps the endpoint closed.
 fn strike(state: &mut State, message: &Message, setup: Setup) {
     let changes = state.holds != message.wanted.role;
-    let closed = state.row.as_ref().is_some_and(|row| row.closes(false));
+    let closed = state
+        .row
+        .as_ref()
+        .is_some_and(|row| row.blocks_dispatch(false));
     let overtaken = setup.fences && closed;
     let intended = state
         .row
--- a/components/spec/src/orders/state.rs
+++ b/components/spec/src/orders/state.rs
@@ -3,7 +3,7 @@
 use protocol::{
     Incarnation,
     lease::Lease,
-    order::{Ended, Role, Row, Stage, Wanted},
+    order::{CallOutcome, Role, Row, Stage, Wanted},
 };
 
 use super::DAEMONS;
@@ -41,7 +41,7 @@
     /// The order is on its way.
     Await(Row),
     /// The call has ended.
-    Finish(Row, Ended),
+    Finish(Row, CallOutcome),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
--- a/components/standin/src/engine/state.rs
+++ b/components/standin/src/engine/state.rs
@@ -173,7 +173,7 @@
     }
 
     pub(super) fn begin(&mut self, order: &Order) -> Begun {
-        if self.setup.fences && !order::fenced(self.number, order.number) {
+        if self.setup.fences && !order::passes_fencing(self.number, order.number) {
             self.counts.stale += 1;
             return Begun::Stale;
         }
