--- a/components/daemon/src/request/chat.rs
+++ b/components/daemon/src/request/chat.rs
@@ -3,7 +3,7 @@
 use endpoint::engine::prefix;
 use hyper::{Request, Response, body::Incoming};
 use serde::Deserialize;
-use settings::tree::resolve::{self, Repeat};
+use settings::tree::resolve::{self, RetryPolicy};
 use telemetry::timeline::Kind;
 
 use super::{
@@ -99,7 +99,7 @@
 }
 
 fn find_model<'a>(
-    version: &'a resolve::Version,
+    version: &'a resolve::ResolvedTree,
     caller: &Caller,
     name: &str,
 ) -> Result<&'a resolve::Model, Refusal> {
@@ -147,7 +147,7 @@
         .version
         .typed
         .service(&model.service)
-        .map_or(Repeat::Never, |service| service.repeat);
+        .map_or(RetryPolicy::Never, |service| service.retry_policy);
     let weights = format!("{}/{}/{}", model.name, model.adapter, model.version);
     let need = Need {
         group: caller.group,
--- a/components/daemon/src/request/generate/mod.rs
+++ b/components/daemon/src/request/generate/mod.rs
@@ -17,7 +17,7 @@
     engine::{Done, FinishReason, Frame, Generate, KvSource},
 };
 use protocol::stream::{Assembler, Verdict};
-use settings::tree::resolve::Repeat;
+use settings::tree::resolve::RetryPolicy;
 use telemetry::timeline::Kind;
 
 use attempt::{Attempt, CancelGuard};
@@ -68,7 +68,7 @@
     /// Its prompt.
     pub prompt: String,
     /// Whether it may run twice.
-    pub repeat: Repeat,
+    pub repeat: RetryPolicy,
 }
 
 /// An answer as it comes.
@@ -246,7 +246,7 @@
         }
         self.record_latency(&frame);
         self.may_have_executed = true;
-        if self.job.repeat == Repeat::Allowed {
+        if self.job.repeat == RetryPolicy::Allowed {
             self.text.push_str(&frame.text);
         }
         let done = frame.done.filter(|_| last);
--- a/components/daemon/src/request/plain.rs
+++ b/components/daemon/src/request/plain.rs
@@ -8,7 +8,7 @@
 use http_body_util::BodyDataStream;
 use hyper::{HeaderMap, Method, Request, Response, body::Incoming};
 use policy::retry::{self, FailureClass};
-use settings::tree::resolve::{Kind as ServiceKind, Repeat};
+use settings::tree::resolve::{RetryPolicy, ServiceKind};
 use telemetry::timeline::Kind;
 
 use super::{
@@ -48,7 +48,7 @@
     /// Its body.
     pub body: Bytes,
     /// Whether it may run twice.
-    pub repeat: Repeat,
+    pub repeat: RetryPolicy,
 }
 
 /// An answer's head, its body still coming, and the hold on the endpoint.
@@ -80,7 +80,7 @@
         .ok_or(Reason::UnknownService)?;
     let query = head.uri.query().map(|query| format!("?{query}"));
     let path = format!("/{path}{}", query.unwrap_or_default());
-    let repeat = service.repeat_of(&path);
+    let repeat = service.retry_policy_for(&path);
     let key = idempotency_key(&head.headers)?;
     let service = service.name.clone();
     let body = body::read(&mut context, incoming).await?;
@@ -96,7 +96,7 @@
         context,
     };
     match key {
-        Some(key) if repeat == Repeat::Never => idempotency::serve(call, &key).await,
+        Some(key) if repeat == RetryPolicy::Never => idempotency::serve(call, &key).await,
         _ => {
             let answer = call.send().await?;
             Ok(call.forward(answer))
@@ -188,7 +188,7 @@
             .deadline
             .saturating_duration_since(Instant::now());
         let left_us = u64::try_from(time_left.as_micros()).unwrap_or(u64::MAX);
-        let repeatable = self.repeat == Repeat::Allowed;
+        let repeatable = self.repeat == RetryPolicy::Allowed;
         let budget = &mut lock(&process.budget);
         if retry::allow_retry(class, repeatable, attempt, left_us, 0, budget) {
             self.context
