--- a/components/daemon/src/process/claims.rs
+++ b/components/daemon/src/process/claims.rs
@@ -267,7 +267,7 @@
             continue;
         };
         if super::sync::is_poller(process) {
-            for service in &current.typed.services {
+            for service in &current.resolved.services {
                 expire_service(process, &service.name, service.retention).await;
             }
         }
--- a/components/daemon/src/process/health.rs
+++ b/components/daemon/src/process/health.rs
@@ -55,7 +55,7 @@
         return Vec::new();
     };
     let with_engines = |pool: &Arc<Pool>| {
-        let service = current.typed.service(&pool.service);
+        let service = current.resolved.service(&pool.service);
         service.is_some_and(|service| service.kind == ServiceKind::Engines)
     };
     process
--- a/components/daemon/src/process/operators.rs
+++ b/components/daemon/src/process/operators.rs
@@ -131,7 +131,7 @@
             .map_err(|error| Status::invalid_argument(format!("{}: {error}", request.role)))?;
         let current = self.tree()?;
         if current
-            .typed
+            .resolved
             .endpoint(&request.data_centre, request.endpoint)
             .is_none()
         {
--- a/components/daemon/src/process/steward/mod.rs
+++ b/components/daemon/src/process/steward/mod.rs
@@ -103,11 +103,11 @@
     };
     let here = &process.settings.daemon.data_centre;
     let engines = |name: &str| {
-        let mut endpoints = current.typed.endpoints.iter();
+        let mut endpoints = current.resolved.endpoints.iter();
         endpoints.any(|e| e.service == name && e.data_centre == *here)
     };
     current
-        .typed
+        .resolved
         .services
         .iter()
         .filter(|service| service.kind == ServiceKind::Engines && engines(&service.name))
--- a/components/daemon/src/process/steward/roles.rs
+++ b/components/daemon/src/process/steward/roles.rs
@@ -96,7 +96,7 @@
 
     /// A change of role that pays, if there is one.
     fn mix(&mut self, process: &Process, held: &Held, rows: &[Row]) -> Option<Task> {
-        let fleet = process.current.get()?.typed.fleet;
+        let fleet = process.current.get()?.resolved.fleet;
         let period: Duration = process.settings.control.role_period.into();
         if !fleet.adaptive || self.decided.elapsed() < period {
             return None;
--- a/components/daemon/src/process/sync.rs
+++ b/components/daemon/src/process/sync.rs
@@ -187,8 +187,8 @@
     };
     {
         let mut pools = process.pools();
-        pools.retain(|pool| snapshot.typed.service(&pool.service).is_some());
-        for service in &snapshot.typed.services {
+        pools.retain(|pool| snapshot.resolved.service(&pool.service).is_some());
+        for service in &snapshot.resolved.services {
             if let Err(at) = pools.binary_search_by(|pool| pool.service.as_str().cmp(&service.name))
             {
                 pools.insert(at, open_pool(process, &service.name));
@@ -196,7 +196,7 @@
         }
     }
     for pool in process.all_pools() {
-        pool.apply(&snapshot.typed);
+        pool.apply(&snapshot.resolved);
     }
     process
         .metrics
--- a/components/daemon/src/request/chat.rs
+++ b/components/daemon/src/request/chat.rs
@@ -74,7 +74,7 @@
             }
             _ => Reason::BadBody("it is not valid JSON"),
         })?;
-    let model = find_model(&context.version.typed, &caller, &completion.model)?.clone();
+    let model = find_model(&context.version.resolved, &caller, &completion.model)?.clone();
     let prompt = render_prompt(&completion, api)?;
     let max_tokens = completion
         .max_completion_tokens
@@ -143,9 +143,9 @@
         .process
         .pool(&model.service)
         .ok_or(Reason::UnknownService)?;
-    let repeat = context
+    let retry_policy = context
         .version
-        .typed
+        .resolved
         .service(&model.service)
         .map_or(RetryPolicy::Never, |service| service.retry_policy);
     let weights = format!("{}/{}/{}", model.name, model.adapter, model.version);
@@ -173,7 +173,7 @@
         pool,
         need,
         prompt,
-        repeat,
+        retry_policy,
     })
 }
 
--- a/components/daemon/src/request/generate/mod.rs
+++ b/components/daemon/src/request/generate/mod.rs
@@ -68,7 +68,7 @@
     /// Its prompt.
     pub prompt: String,
     /// Whether it may run twice.
-    pub repeat: RetryPolicy,
+    pub retry_policy: RetryPolicy,
 }
 
 /// An answer as it comes.
@@ -246,7 +246,7 @@
         }
         self.record_latency(&frame);
         self.may_have_executed = true;
-        if self.job.repeat == RetryPolicy::Allowed {
+        if self.job.retry_policy == RetryPolicy::Allowed {
             self.text.push_str(&frame.text);
         }
         let done = frame.done.filter(|_| last);
--- a/components/daemon/src/request/generate/outcome.rs
+++ b/components/daemon/src/request/generate/outcome.rs
@@ -112,15 +112,15 @@
             .saturating_duration_since(Instant::now());
         let process = &self.job.context.process;
         // an attempt that may have run is the only one of a request that may not be repeated
-        let repeatable = self.job.repeat == RetryPolicy::Allowed;
-        let class = if self.may_have_executed && !repeatable {
+        let idempotent = self.job.retry_policy == RetryPolicy::Allowed;
+        let class = if self.may_have_executed && !idempotent {
             FailureClass::MaybeExecuted
         } else {
             class
         };
         let may_retry = retry::allow_retry(
             class,
-            repeatable,
+            idempotent,
             self.attempts,
             micros(time_left),
             0,
--- a/components/daemon/src/request/mod.rs
+++ b/components/daemon/src/request/mod.rs
@@ -109,9 +109,9 @@
         _in_flight: CountGuard::new(&process.under_way),
     };
     let path = request.uri().path().to_owned();
-    let caller = Caller::identify(&context.version.typed, request.headers())?;
+    let caller = Caller::identify(&context.version.resolved, request.headers())?;
     match (request.method(), path.as_str()) {
-        (&Method::GET, "/v1/models") => Ok(reply::models(&context.version.typed, &caller)),
+        (&Method::GET, "/v1/models") => Ok(reply::models(&context.version.resolved, &caller)),
         (&Method::POST, "/v1/chat/completions") => {
             chat::serve(context, caller, chat::Api::Chat, request).await
         }
--- a/components/daemon/src/request/plain.rs
+++ b/components/daemon/src/request/plain.rs
@@ -48,7 +48,7 @@
     /// Its body.
     pub body: Bytes,
     /// Whether it may run twice.
-    pub repeat: RetryPolicy,
+    pub retry_policy: RetryPolicy,
 }
 
 /// An answer's head, its body still coming, and the hold on the endpoint.
@@ -74,13 +74,13 @@
     let (name, path) = rest.split_once('/').unwrap_or((rest, ""));
     let service = context
         .version
-        .typed
+        .resolved
         .service(name)
         .filter(|service| service.kind == ServiceKind::Plain)
         .ok_or(Reason::UnknownService)?;
     let query = head.uri.query().map(|query| format!("?{query}"));
     let path = format!("/{path}{}", query.unwrap_or_default());
-    let repeat = service.retry_policy_for(&path);
+    let retry_policy = service.retry_policy_for(&path);
     let key = idempotency_key(&head.headers)?;
     let service = service.name.clone();
     let body = body::read(&mut context, incoming).await?;
@@ -92,11 +92,11 @@
         path,
         headers: head.headers,
         body,
-        repeat,
+        retry_policy,
         context,
     };
     match key {
-        Some(key) if repeat == RetryPolicy::Never => idempotency::serve(call, &key).await,
+        Some(key) if retry_policy == RetryPolicy::Never => idempotency::serve(call, &key).await,
         _ => {
             let answer = call.send().await?;
             Ok(call.forward(answer))
@@ -188,9 +188,9 @@
             .deadline
             .saturating_duration_since(Instant::now());
         let left_us = u64::try_from(time_left.as_micros()).unwrap_or(u64::MAX);
-        let repeatable = self.repeat == RetryPolicy::Allowed;
+        let idempotent = self.retry_policy == RetryPolicy::Allowed;
         let budget = &mut lock(&process.budget);
-        if retry::allow_retry(class, repeatable, attempt, left_us, 0, budget) {
+        if retry::allow_retry(class, idempotent, attempt, left_us, 0, budget) {
             self.context
                 .record(Kind::Retried, format!("{id}: {failure}"));
             return Ok(());
--- a/components/daemon/src/version/mod.rs
+++ b/components/daemon/src/version/mod.rs
@@ -10,13 +10,13 @@
     /// The tree.
     pub tree: Tree,
     /// The typed form.
-    pub typed: resolve::ResolvedTree,
+    pub resolved: resolve::ResolvedTree,
 }
 
 impl Snapshot {
     fn new(tree: Tree) -> Self {
-        let typed = resolve::ResolvedTree::new(&tree);
-        Self { tree, typed }
+        let resolved = resolve::ResolvedTree::new(&tree);
+        Self { tree, resolved }
     }
 }
 
