--- a/components/daemon/src/connection/mod.rs
+++ b/components/daemon/src/connection/mod.rs
@@ -17,8 +17,8 @@
     request,
 };
 
-/// Response on connections beyond the limit. It is sent without reading the request, to save the cost
-/// of a parser.
+/// Response on connections beyond the limit. It is sent without reading the request, which saves
+/// the cost of a parser.
 const BUSY_RESPONSE: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nx-wrenramp-run: not-run\r\n\
 retry-after: 1\r\ncontent-length: 0\r\nconnection: close\r\n\r\n";
 /// Time limit for writing that response.
