--- a/components/daemon/src/process/claims.rs
+++ b/components/daemon/src/process/claims.rs
@@ -8,7 +8,7 @@
 };
 
 use cloud::table::{self, Outcome, Read, Transaction};
-use protocol::claim::{self, Recorded, Row, Stage, Write};
+use protocol::claim::{self, Recorded, Row, Stage, WriteOutcome};
 use tokio::sync::{Notify, oneshot};
 
 use super::{
@@ -31,7 +31,7 @@
     key: String,
     row: Row,
     expected_version: u64,
-    result: oneshot::Sender<(Write, u64)>,
+    result: oneshot::Sender<(WriteOutcome, u64)>,
 }
 
 /// The outcome of a claim of this daemon, to be written.
@@ -92,7 +92,7 @@
     }
 
     /// Writes a claim. Returns what is known of the write, and the version of the row.
-    pub async fn write(&self, key: String, row: Row, expected_version: u64) -> (Write, u64) {
+    pub async fn write(&self, key: String, row: Row, expected_version: u64) -> (WriteOutcome, u64) {
         let (result, written) = oneshot::channel();
         lock(&self.queue).push(PendingClaim {
             key,
@@ -101,7 +101,7 @@
             result,
         });
         self.queued.notify_one();
-        written.await.unwrap_or((Write::Unclear, 0))
+        written.await.unwrap_or((WriteOutcome::Unclear, 0))
     }
 
     /// Records the outcome of a claim of this daemon, to be written as soon as the table is available.
@@ -154,22 +154,24 @@
         });
         match process.store.commit(transaction).await {
             Ok(Outcome::Committed(version)) => {
-                return send_results(claims, |_| (Write::Written, version));
+                return send_results(claims, |_| (WriteOutcome::Written, version));
             }
             Ok(Outcome::Conflict(conflicts)) => {
                 let lost_race =
                     |claim: &PendingClaim| conflicts.iter().any(|row| row.key == claim.key);
                 let (lost, remaining) = claims.into_iter().partition(lost_race);
-                send_results(lost, |_| (Write::Taken, 0));
+                send_results(lost, |_| (WriteOutcome::Taken, 0));
                 claims = remaining;
             }
-            Err(table::Error::NotApplied) => return send_results(claims, |_| (Write::Refused, 0)),
+            Err(table::Error::NotApplied) => {
+                return send_results(claims, |_| (WriteOutcome::Refused, 0));
+            }
             Err(table::Error::OutcomeUnknown) => return read_results(process, claims).await,
         }
     }
 }
 
-fn send_results(claims: Vec<PendingClaim>, outcome: impl Fn(&PendingClaim) -> (Write, u64)) {
+fn send_results(claims: Vec<PendingClaim>, outcome: impl Fn(&PendingClaim) -> (WriteOutcome, u64)) {
     for claim in claims {
         let outcome = outcome(&claim);
         // if the request was cancelled there is no receiver; the claim's outcome is recorded by its guard
@@ -187,10 +189,14 @@
     send_results(claims, |claim| {
         let found = store::find(&rows, &claim.key);
         match store::parse::<Row>(found) {
-            Some(row) if row.token == claim.row.token => (Write::Written, store::version_of(found)),
+            Some(row) if row.token == claim.row.token => {
+                (WriteOutcome::Written, store::version_of(found))
+            }
             // without a row the write may still take effect; another claim's row means that it never will
-            Some(_) if store::version_of(found) != claim.expected_version => (Write::Taken, 0),
-            _ => (Write::Unclear, 0),
+            Some(_) if store::version_of(found) != claim.expected_version => {
+                (WriteOutcome::Taken, 0)
+            }
+            _ => (WriteOutcome::Unclear, 0),
         }
     });
 }
@@ -269,7 +275,7 @@
             continue;
         };
         if super::settings_sync::is_poller(process) {
-            for service in &current.typed.services {
+            for service in &current.resolved.services {
                 expire_service(process, &service.name, service.retention).await;
             }
         }
--- a/components/daemon/src/process/gates.rs
+++ b/components/daemon/src/process/gates.rs
@@ -46,7 +46,7 @@
 impl Gates {
     /// Registers a request in flight at an endpoint; `None` if the endpoint is closed.
     pub fn try_acquire(&self, id: &Id) -> Option<RequestGuard> {
-        self.with_gate(id, Gate::hold).then(|| RequestGuard {
+        self.with_gate(id, Gate::acquire).then(|| RequestGuard {
             gates: self.clone(),
             id: id.clone(),
         })
@@ -77,7 +77,7 @@
                 tokio::pin!(changed);
                 // enabled before the check, so that a release between the check and the wait is not missed
                 changed.as_mut().enable();
-                if self.with_gate(id, |gate| gate.is_closed(number)) {
+                if self.with_gate(id, |gate| gate.is_drained(number)) {
                     return;
                 }
                 changed.await;
--- a/components/daemon/src/process/orders/mod.rs
+++ b/components/daemon/src/process/orders/mod.rs
@@ -7,7 +7,7 @@
 
 use cloud::table::{Outcome, Read, Transaction};
 use endpoint::{Failure, engine::Order};
-use protocol::order::{self, Ended, Row, Stage, Wanted};
+use protocol::order::{self, CallOutcome, Row, Stage, Wanted};
 use telemetry::timeline::Kind;
 
 use super::{
@@ -115,7 +115,7 @@
         }
         return;
     }
-    let intent = order::intend(&row);
+    let intent = order::intent_row(&row);
     if let Some(version) = commit(process, held, &request.id, &intent, version).await {
         send(process, held, &request, &intent, version).await;
     }
@@ -197,14 +197,14 @@
         return;
     }
     let ended = match process.engine.order(address, &order, ORDER_TIMEOUT).await {
-        Ok(()) => Ended::Reached,
-        Err(Failure::NotSent | Failure::Refused(_)) => Ended::NotReached,
+        Ok(()) => CallOutcome::Reached,
+        Err(Failure::NotSent | Failure::Refused(_)) => CallOutcome::NotReached,
         Err(Failure::Lost) => find_outcome(process, address, row, boot).await,
     };
-    if ended == Ended::Lost {
+    if ended == CallOutcome::Lost {
         process.record_lost_order(&request.id, row.number);
     }
-    let next = order::finish(row, ended);
+    let next = order::outcome_row(row, ended);
     let mut backoff = REPORT_POLL_INTERVAL;
     // the outcome is certain, so it is worth retrying the commit until the table recovers
     let mut committed = false;
@@ -218,14 +218,14 @@
         tokio::time::sleep(backoff).await;
         backoff *= 2;
     }
-    if !committed && ended != Ended::Lost {
+    if !committed && ended != CallOutcome::Lost {
         withdraw_sender(process, &request.id, row.number).await;
     }
-    if !next.closes(ended == Ended::Reached) {
+    if !next.blocks_dispatch(ended == CallOutcome::Reached) {
         announce_outcome(process, &request.id, row.number).await;
     }
     // an order of a former steward is completed first; a different request is handled by the next task
-    if ended == Ended::Reached && row.wanted == request.wanted {
+    if ended == CallOutcome::Reached && row.wanted == request.wanted {
         remove_request(process, held, request).await;
     }
 }
@@ -275,21 +275,23 @@
     address: SocketAddr,
     row: &Row,
     boot: Option<u64>,
-) -> Ended {
+) -> CallOutcome {
     let deadline = tokio::time::Instant::now() + LOST_ORDER_TIMEOUT;
     while tokio::time::Instant::now() < deadline {
         if let Ok(report) = process.engine.report(address, REPORT_POLL_INTERVAL).await {
             let received = report.number >= row.number && !report.changing;
             match () {
-                () if boot.is_some_and(|boot| boot != report.boot) => return Ended::NotReached,
-                () if received && report.holds == row.wanted => return Ended::Reached,
-                () if received => return Ended::NotReached,
+                () if boot.is_some_and(|boot| boot != report.boot) => {
+                    return CallOutcome::NotReached;
+                }
+                () if received && report.holds == row.wanted => return CallOutcome::Reached,
+                () if received => return CallOutcome::NotReached,
                 () => {}
             }
         }
         tokio::time::sleep(REPORT_POLL_INTERVAL).await;
     }
-    Ended::Lost
+    CallOutcome::Lost
 }
 
 /// Removes the operator's row once the requested state is reached.
@@ -353,7 +355,7 @@
             let reached = registration::is_fulfilled(&process, &id, &row);
             match () {
                 () if row.number < number => {}
-                () if row.closes(reached) => process.gates.close(&id, row.number),
+                () if row.blocks_dispatch(reached) => process.gates.close(&id, row.number),
                 () => {
                     process.gates.open(&id, row.number);
                     process
--- a/components/daemon/src/process/registration.rs
+++ b/components/daemon/src/process/registration.rs
@@ -104,7 +104,7 @@
         ) else {
             continue;
         };
-        if order.closes(is_fulfilled(process, &id, &order)) {
+        if order.blocks_dispatch(is_fulfilled(process, &id, &order)) {
             process.gates.close(&id, order.number);
         }
     }
--- a/components/daemon/src/process/steward/mod.rs
+++ b/components/daemon/src/process/steward/mod.rs
@@ -99,11 +99,11 @@
     };
     let data_centre = &process.settings.daemon.data_centre;
     let has_engines = |name: &str| {
-        let mut endpoints = current.typed.endpoints.iter();
+        let mut endpoints = current.resolved.endpoints.iter();
         endpoints.any(|e| e.service == name && e.data_centre == *data_centre)
     };
     current
-        .typed
+        .resolved
         .services
         .iter()
         .filter(|service| service.kind == ServiceKind::Engines && has_engines(&service.name))
@@ -195,8 +195,8 @@
     let watch = stewardship
         .watch
         .get_or_insert_with(|| Watch::new(renewal, now_ms));
-    watch.see(renewal, now_ms);
-    let lapsed = watch.lapsed(lease.as_ref(), now_ms, millis(term));
+    watch.observe(renewal, now_ms);
+    let lapsed = watch.is_expired(lease.as_ref(), now_ms, millis(term));
     (stewardship.held.clone(), lapsed)
 }
 
@@ -228,7 +228,7 @@
 
 fn extend(process: &Process, service: &str, sent_at: Instant) {
     let term = millis(process.settings.control.lease_term.into());
-    let until = sent_at + Duration::from_millis(lease::until(0, term));
+    let until = sent_at + Duration::from_millis(lease::valid_until(0, term));
     with_stewardship(process, service, |stewardship| {
         stewardship.valid_until = until;
     });
@@ -241,7 +241,7 @@
     lease: Option<Lease>,
     (lease_version, renewal_version): (u64, u64),
 ) {
-    let next = lease::take(lease.as_ref(), process.incarnation);
+    let next = lease::acquire(lease.as_ref(), process.incarnation);
     let text = store::to_json(&next);
     let renewal = Renewal {
         epoch: next.epoch,
--- a/components/daemon/src/process/steward/planner.rs
+++ b/components/daemon/src/process/steward/planner.rs
@@ -105,7 +105,7 @@
         held: &HeldLease,
         rows: &[Row],
     ) -> Option<Task> {
-        let fleet = process.current.get()?.typed.fleet;
+        let fleet = process.current.get()?.resolved.fleet;
         let period: Duration = process.settings.control.role_period.into();
         if !fleet.adaptive || self.last_decision.elapsed() < period {
             return None;
@@ -235,7 +235,7 @@
     let gone = |other: Incarnation| !registered.contains(&other);
     let number = previous.as_ref().map_or(0, |previous| previous.number);
     let settled = !process.is_lost_order(&request.id, number);
-    let next = order::next(
+    let next = order::next_step(
         previous.as_ref(),
         &request.wanted,
         process.incarnation,
--- a/components/daemon/src/request/plain.rs
+++ b/components/daemon/src/request/plain.rs
@@ -1,4 +1,4 @@
-//! `/services/NAME/…`: requests to plain services, passed through whole.
+//! `/services/NAME/…`: requests that are forwarded to plain services.
 
 use std::time::Instant;
 
@@ -14,8 +14,8 @@
 use super::{
     Body, Context, body,
     caller::Caller,
-    generate::Broken,
-    keyed,
+    generate::Aborted,
+    idempotency,
     refusal::{Reason, Refusal},
 };
 use crate::process::{
@@ -24,38 +24,39 @@
     pool::Entry,
 };
 
-/// Prefix of the paths.
-pub const PREFIX: &str = "/services/";
-/// Names a request, so that asking again does not run it again.
-const KEY: &str = "idempotency-key";
-/// The longest such name, in bytes.
-const KEY_BYTES: usize = 256;
+/// Prefix of the paths of plain services.
+pub const PATH_PREFIX: &str = "/services/";
+/// Request header with an idempotency key: a retry by the caller with the same key does not execute
+/// the request again.
+const KEY_HEADER: &str = "idempotency-key";
+/// Maximum length of an idempotency key.
+const MAX_KEY_BYTES: usize = 256;
 
-/// A request to a plain service, read whole.
+/// A request to a plain service, with its body received.
 pub struct Call {
-    /// The request.
+    /// State of the request.
     pub context: Context,
-    /// Who calls.
+    /// Authenticated caller.
     pub caller: Caller,
-    /// The service's name.
+    /// Name of the service.
     pub service: String,
-    /// Its method.
+    /// HTTP method.
     pub method: Method,
-    /// The path behind the service's name, with its query.
+    /// Path after the service's name, with the query.
     pub path: String,
-    /// Its headers.
+    /// Request headers.
     pub headers: HeaderMap,
-    /// Its body.
+    /// Request body.
     pub body: Bytes,
-    /// Whether it may run twice.
-    pub repeat: RetryPolicy,
+    /// Whether a failed attempt may be retried.
+    pub retry_policy: RetryPolicy,
 }
 
-/// An answer's head, its body still coming, and the hold on the endpoint.
-pub struct Answered {
-    /// Head and body.
+/// An answer of which the headers have been received, and the guard of the request at its endpoint.
+pub struct EndpointResponse {
+    /// Headers, and the body as it is received.
     pub response: Response<Incoming>,
-    /// Held until the body has come.
+    /// Counts the request at its endpoint until the body has been received.
     pub hold: RequestGuard,
 }
 
@@ -66,21 +67,25 @@
     request: Request<Incoming>,
 ) -> Result<Response<Body>, Refusal> {
     let (head, incoming) = request.into_parts();
-    let rest = head.uri.path().strip_prefix(PREFIX).unwrap_or_default();
+    let rest = head
+        .uri
+        .path()
+        .strip_prefix(PATH_PREFIX)
+        .unwrap_or_default();
     let (name, path) = rest.split_once('/').unwrap_or((rest, ""));
     let service = context
         .version
-        .typed
+        .resolved
         .service(name)
         .filter(|service| service.kind == ServiceKind::Plain)
         .ok_or(Reason::UnknownService)?;
     let query = head.uri.query().map(|query| format!("?{query}"));
     let path = format!("/{path}{}", query.unwrap_or_default());
-    let repeat = service.retry_policy_for(&path);
-    let key = key(&head.headers)?;
+    let retry_policy = service.retry_policy_for(&path);
+    let key = idempotency_key(&head.headers)?;
     let service = service.name.clone();
     let body = body::read(&mut context, incoming).await?;
-    context.note(Kind::Admitted, format!("{} {name}{path}", head.method));
+    context.record(Kind::Admitted, format!("{} {name}{path}", head.method));
     let call = Call {
         service,
         caller,
@@ -88,42 +93,42 @@
         path,
         headers: head.headers,
         body,
-        repeat,
+        retry_policy,
         context,
     };
     match key {
-        Some(key) if repeat == RetryPolicy::Never => keyed::serve(call, &key).await,
+        Some(key) if retry_policy == RetryPolicy::Never => idempotency::serve(call, &key).await,
         _ => {
-            let answered = call.send().await?;
-            Ok(call.pass_on(answered))
+            let answer = call.send().await?;
+            Ok(call.forward(answer))
         }
     }
 }
 
-fn key(headers: &HeaderMap) -> Result<Option<String>, Refusal> {
+fn idempotency_key(headers: &HeaderMap) -> Result<Option<String>, Refusal> {
     headers
-        .get(KEY)
+        .get(KEY_HEADER)
         .map(|value| match value.to_str() {
-            Ok(key) if !key.is_empty() && key.len() <= KEY_BYTES => Ok(key.to_owned()),
-            _ => Err(Reason::BadHeader(KEY).into()),
+            Ok(key) if !key.is_empty() && key.len() <= MAX_KEY_BYTES => Ok(key.to_owned()),
+            _ => Err(Reason::BadHeader(KEY_HEADER).into()),
         })
         .transpose()
 }
 
 impl Call {
-    /// Sends the request to an endpoint; to another one if it certainly did not run, or may run
-    /// twice.
-    pub async fn send(&self) -> Result<Answered, Refusal> {
+    /// Sends the request to an endpoint. A failed attempt is retried at another endpoint if the
+    /// request was certainly not executed or is idempotent.
+    pub async fn send(&self) -> Result<EndpointResponse, Refusal> {
         let mut avoid: Vec<Id> = Vec::new();
         for attempt in 1.. {
-            let Some((entry, hold)) = self.choose(&avoid) else {
+            let Some((entry, hold)) = self.select_endpoint(&avoid) else {
                 break;
             };
-            match self.attempt(&entry).await {
-                Ok(response) => return Ok(Answered { response, hold }),
+            match self.send_attempt(&entry).await {
+                Ok(response) => return Ok(EndpointResponse { response, hold }),
                 Err(failure) => {
                     drop(hold);
-                    self.may_go_on(&entry.id, failure, attempt)?;
+                    self.check_retry(&entry.id, failure, attempt)?;
                     avoid.push(entry.id);
                 }
             }
@@ -135,8 +140,9 @@
         })
     }
 
-    /// The open endpoint with the fewest requests in flight from here; local ones first.
-    fn choose(&self, avoid: &[Id]) -> Option<(Entry, RequestGuard)> {
+    /// Selects the open endpoint with the fewest requests in flight from this daemon, those in the
+    /// own data centre first.
+    fn select_endpoint(&self, avoid: &[Id]) -> Option<(Entry, RequestGuard)> {
         let process = &self.context.process;
         let pool = process.pool(&self.service)?;
         let mut entries = pool.snapshot();
@@ -153,10 +159,10 @@
         })
     }
 
-    async fn attempt(&self, entry: &Entry) -> Result<Response<Incoming>, Failure> {
+    async fn send_attempt(&self, entry: &Entry) -> Result<Response<Incoming>, Failure> {
         let process = &self.context.process;
         self.context
-            .note(Kind::Dispatched, format!("to {}", entry.id));
+            .record(Kind::Dispatched, format!("to {}", entry.id));
         let send = process.service.send(
             entry.endpoint.address,
             &self.method,
@@ -169,7 +175,7 @@
             .unwrap_or(Err(Failure::Lost))
     }
 
-    fn may_go_on(&self, id: &Id, failure: Failure, attempt: u32) -> Result<(), Refusal> {
+    fn check_retry(&self, id: &Id, failure: Failure, attempt: u32) -> Result<(), Refusal> {
         let process = &self.context.process;
         if let Some(pool) = process.pool(&self.service) {
             pool.with_entry(id, Entry::quarantine);
@@ -179,53 +185,56 @@
         } else {
             FailureClass::MaybeExecuted
         };
-        let left = self
+        let time_left = self
             .caller
             .deadline
             .saturating_duration_since(Instant::now());
-        let left = u64::try_from(left.as_micros()).unwrap_or(u64::MAX);
-        let repeatable = self.repeat == RetryPolicy::Allowed;
+        let left_us = u64::try_from(time_left.as_micros()).unwrap_or(u64::MAX);
+        let idempotent = self.retry_policy == RetryPolicy::Allowed;
         let budget = &mut lock(&process.retry_budget);
-        if retry::allow_retry(class, repeatable, attempt, left, 0, budget) {
-            self.context.note(Kind::Retried, format!("{id}: {failure}"));
+        if retry::allow_retry(class, idempotent, attempt, left_us, 0, budget) {
+            self.context
+                .record(Kind::Retried, format!("{id}: {failure}"));
             return Ok(());
         }
-        self.context.note(Kind::Broken, format!("{id}: {failure}"));
+        self.context
+            .record(Kind::Broken, format!("{id}: {failure}"));
         Err(match class {
             FailureClass::NotExecuted => Reason::NotTaken.into(),
-            FailureClass::MaybeExecuted | FailureClass::Permanent if left == 0 => {
+            FailureClass::MaybeExecuted | FailureClass::Permanent if left_us == 0 => {
                 Reason::DeadlinePassed.into()
             }
             FailureClass::MaybeExecuted | FailureClass::Permanent => Reason::AnswerLost.into(),
         })
     }
 
-    /// Passes an answer on as it comes; a break on the way breaks the caller's transfer.
-    pub fn pass_on(self, answered: Answered) -> Response<Body> {
-        let Answered { response, hold } = answered;
+    /// Streams an answer to the caller. If the endpoint's transfer breaks off, so does the
+    /// caller's.
+    pub fn forward(self, answer: EndpointResponse) -> Response<Body> {
+        let EndpointResponse { response, hold } = answer;
         let (head, body) = response.into_parts();
-        self.count("answered");
-        let lost = Broken {
+        self.record_outcome("answered");
+        let aborted = Aborted {
             request: self.context.id.clone(),
             reason: Reason::AnswerLost,
         };
-        // the request is under way, and the endpoint held, until the last part has gone
-        let kept = (self, hold);
-        let parts = BodyDataStream::new(body).map(move |part| {
-            let _ = &kept;
-            part.map_err(|_| lost.clone())
+        // the request counts as in flight, here and at the endpoint, until its last chunk is sent
+        let guards = (self, hold);
+        let chunks = BodyDataStream::new(body).map(move |chunk| {
+            let _ = &guards;
+            chunk.map_err(|_| aborted.clone())
         });
-        let mut response = Response::new(super::streamed(parts));
+        let mut response = Response::new(super::stream_body(chunks));
         *response.status_mut() = head.status;
         *response.headers_mut() = end_to_end(&head.headers);
         response
     }
 
-    /// Counts the request by its outcome.
-    pub fn count(&self, outcome: &str) {
+    /// Records the outcome of the request in the timeline, the metrics and the retry budget.
+    pub fn record_outcome(&self, outcome: &str) {
         let process = &self.context.process;
         lock(&process.retry_budget).record_success();
-        self.context.note(Kind::Finished, outcome);
+        self.context.record(Kind::Finished, outcome);
         process
             .metrics
             .requests
