--- a/components/daemon/src/connection/mod.rs
+++ b/components/daemon/src/connection/mod.rs
@@ -1,4 +1,4 @@
-//! What lives as long as a caller's connection: its bounds and its end in a planned stop.
+//! Connections of callers: limits on them, and how they end in a graceful shutdown.
 
 use std::{convert::Infallible, sync::Arc, time::Duration};
 
@@ -17,40 +17,42 @@
     request,
 };
 
-/// What a connection over the bound is told; it is not worth a parser.
-const BUSY: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nx-wrenramp-run: not-run\r\n\
+/// Response on connections beyond the limit. It is sent without reading the request, which saves
+/// the cost of a parser.
+const BUSY_RESPONSE: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nx-wrenramp-run: not-run\r\n\
 retry-after: 1\r\ncontent-length: 0\r\nconnection: close\r\n\r\n";
-const BUSY_WAIT: Duration = Duration::from_secs(1);
-/// A failing accept, as when descriptors run out, is tried again after this.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Time limit for writing that response.
+const BUSY_WRITE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Delay before the next accept after one failed, as when no file descriptors are left.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Accepts callers as long as the process lives.
+/// Accepts connections of callers as long as the process runs.
 pub async fn accept(process: Arc<Process>, listener: TcpListener) {
     let mut connections = JoinSet::new();
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         while connections.try_join_next().is_some() {}
         let open = i64::try_from(connections.len()).unwrap_or(i64::MAX);
         process.metrics.connections.set(open);
         if connections.len() >= process.settings.limits.connections {
-            connections.spawn(turn_away(stream));
+            connections.spawn(reject(stream));
         } else {
-            let open = Counted::new(&process.connections);
-            connections.spawn(serve(Arc::clone(&process), stream, open));
+            let count_guard = CountGuard::new(&process.connections);
+            connections.spawn(serve(Arc::clone(&process), stream, count_guard));
         }
     }
 }
 
-async fn turn_away(mut stream: TcpStream) {
-    // a caller that does not read its answer loses it
-    let _ = tokio::time::timeout(BUSY_WAIT, stream.write_all(BUSY)).await;
+async fn reject(mut stream: TcpStream) {
+    // a caller that doesn't read the response in time loses it
+    let _ = tokio::time::timeout(BUSY_WRITE_TIMEOUT, stream.write_all(BUSY_RESPONSE)).await;
 }
 
-async fn serve(process: Arc<Process>, stream: TcpStream, open: Counted) {
-    // a socket that is gone already needs no option
+async fn serve(process: Arc<Process>, stream: TcpStream, count_guard: CountGuard) {
+    // fails only on a socket that is closed already
     let _ = stream.set_nodelay(true);
     let limits = &process.settings.limits;
     let mut builder = http1::Builder::new();
@@ -61,41 +63,41 @@
     let exchange = Arc::new(Exchange::new());
     let service = service_fn(|request| {
         let (process, exchange) = (Arc::clone(&process), Arc::clone(&exchange));
-        async move { Ok::<_, Infallible>(request::answer(process, exchange, request).await) }
+        async move { Ok::<_, Infallible>(request::handle(process, exchange, request).await) }
     });
     let socket = TokioIo::new(Socket::new(stream, Arc::clone(&exchange)));
     let connection = builder.serve_connection(socket, service);
     tokio::pin!(connection);
     let mut phase = process.phase.subscribe();
     tokio::select! {
-        // a broken connection is the caller's business
+        // errors of the connection are ignored: only the caller is affected
         _ = &mut connection => {}
-        () = draining(&mut phase) => {
+        () = wait_for_drain(&mut phase) => {
             connection.as_mut().graceful_shutdown();
             let _ = connection.await;
         }
     }
-    drop(open);
+    drop(count_guard);
 }
 
-async fn draining(phase: &mut watch::Receiver<Phase>) {
+async fn wait_for_drain(phase: &mut watch::Receiver<Phase>) {
     // the sender lives as long as the process
     let _ = phase.wait_for(|phase| *phase >= Phase::Draining).await;
 }
 
-/// Counts one more as long as it lives.
+/// Increments a counter and decrements it on drop.
 #[derive(Debug)]
-pub struct Counted(watch::Sender<usize>);
+pub struct CountGuard(watch::Sender<usize>);
 
-impl Counted {
-    /// Counts one more.
+impl CountGuard {
+    /// Increments the counter.
     pub fn new(count: &watch::Sender<usize>) -> Self {
         count.send_modify(|count| *count += 1);
         Self(count.clone())
     }
 }
 
-impl Drop for Counted {
+impl Drop for CountGuard {
     fn drop(&mut self) {
         self.0.send_modify(|count| *count -= 1);
     }
--- a/components/daemon/src/process/members.rs
+++ b/components/daemon/src/process/members.rs
@@ -1,5 +1,5 @@
-//! The daemons that this one knows, with what they last said. Soft state: only the quality of
-//! choices suffers when it is lost.
+//! The other daemons that this one knows, with what they last reported. This is soft state: losing it only
+//! makes decisions less accurate.
 
 use std::{
     net::SocketAddr,
@@ -12,22 +12,20 @@
 use tonic::transport::{Channel, Endpoint};
 use wire::{Heartbeat, Load, Usage, peer_client::PeerClient};
 
-/// A daemon that this one has heard of.
+/// A known daemon.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// Its incarnation.
     pub incarnation: Incarnation,
-    /// Where peers and operators reach it.
+    /// The address for peers and operators.
     pub address: SocketAddr,
-    /// Its data centre.
     pub data_centre: String,
-    /// When it was last heard; none when others only told of it.
-    pub heard: Option<Instant>,
-    /// When this daemon first knew it.
-    pub known: Instant,
-    /// The settings version it said is in force there.
-    pub version: u64,
-    /// Whether it said that it is stopping.
+    /// When the last heartbeat was received; `None` if the daemon is only known from others.
+    pub last_heartbeat: Option<Instant>,
+    /// When the last heartbeat was received or, if there was none, when this daemon learnt of the member.
+    pub known_since: Instant,
+    /// The settings version that it reported as in force.
+    pub settings_version: u64,
+    /// Whether it reported that it is shutting down.
     pub leaving: bool,
     /// Its dispatches, by endpoint.
     pub loads: Vec<Load>,
@@ -37,54 +35,59 @@
 struct State {
     /// Sorted by incarnation.
     members: Vec<Member>,
-    /// Entry VMs of the last list that was read.
+    /// Entry VMs in the last VM list.
     vms: Vec<Vm>,
-    /// Every address that was on the list at some time, sorted.
-    listed: Vec<SocketAddr>,
-    /// The highest usage counters heard, by member and group.
+    /// All addresses that have ever been in the VM list, sorted.
+    ever_listed: Vec<SocketAddr>,
+    /// The highest usage counters received, sorted by member and group.
     usages: Vec<((Incarnation, String), u64)>,
     channels: Vec<(SocketAddr, Channel)>,
 }
 
-/// The members that a daemon knows.
 #[derive(Debug)]
 pub struct Members {
-    me: Incarnation,
+    incarnation: Incarnation,
     seeds: Vec<SocketAddr>,
-    silent_after: Duration,
+    unreachable_after: Duration,
     state: Mutex<State>,
 }
 
-/// How many peers get a heartbeat in one round; with more members the rounds rotate.
+/// Maximum number of peers that get a heartbeat per round; with more members the rounds rotate.
 pub const FAN_OUT: usize = 8;
-/// How long an unheard member that no list names is kept.
-const FORGET: Duration = Duration::from_secs(600);
-const CONNECT: Duration = Duration::from_millis(500);
-/// A peer that owes an answer is asked for a sign of life so often, and given up when none comes for as long: silence
-/// ends a call, as how long an answer takes is up to its size and the link.
-const PROBE: Duration = Duration::from_secs(1);
+/// How long a member is kept that sends no heartbeats and is not in the VM list.
+const FORGET_AFTER: Duration = Duration::from_secs(600);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Interval and timeout of keep-alive probes while a call to a peer is pending. A call fails when its peer
+/// stops responding rather than after a fixed time, because the duration of a call depends on the size of
+/// the response and on the link.
+const KEEP_ALIVE: Duration = Duration::from_secs(1);
 
 impl Members {
-    /// Knows only the seeds.
-    pub fn new(me: Incarnation, seeds: Vec<SocketAddr>, silent_after: Duration) -> Self {
+    /// Members of which only the seeds' addresses are known.
+    pub fn new(
+        incarnation: Incarnation,
+        seeds: Vec<SocketAddr>,
+        unreachable_after: Duration,
+    ) -> Self {
         Self {
-            me,
+            incarnation,
             seeds,
-            silent_after,
+            unreachable_after,
             state: Mutex::default(),
         }
     }
 
-    /// Takes a heartbeat that came, or the answer to one, and gives the usage that is new in it.
-    pub fn receive(&self, beat: &Heartbeat) -> Vec<Usage> {
-        let Some((incarnation, address, data_centre)) = parts(beat.member.as_ref()) else {
+    /// Records a heartbeat or the reply to one. Returns the usage that is new in it.
+    pub fn receive_heartbeat(&self, heartbeat: &Heartbeat) -> Vec<Usage> {
+        let Some((incarnation, address, data_centre)) = parse_member(heartbeat.member.as_ref())
+        else {
             return Vec::new();
         };
-        if incarnation == self.me {
+        if incarnation == self.incarnation {
             return Vec::new();
         }
         let mut state = self.lock();
-        // an address that answers as another incarnation says that the old one is gone
+        // an address that answers as another incarnation shows that the old process is gone
         state
             .members
             .retain(|other| other.address != address || other.incarnation == incarnation);
@@ -93,33 +96,33 @@
             incarnation,
             address,
             data_centre,
-            heard: Some(now),
-            known: now,
-            version: beat.settings_version,
-            leaving: beat.leaving,
-            loads: beat.loads.clone(),
+            last_heartbeat: Some(now),
+            known_since: now,
+            settings_version: heartbeat.settings_version,
+            leaving: heartbeat.leaving,
+            loads: heartbeat.loads.clone(),
         };
         match find(&state.members, incarnation) {
             Ok(at) => state.members[at] = member,
             Err(at) => state.members.insert(at, member),
         }
-        for known in &beat.known {
-            self.learn_into(&mut state, known);
+        for known in &heartbeat.known {
+            self.add_to(&mut state, known);
         }
-        fresh_usage(&mut state, incarnation, &beat.usages)
+        take_new_usage(&mut state, incarnation, &heartbeat.usages)
     }
 
-    /// Takes what another daemon said of a member.
-    pub fn learn(&self, member: &wire::Member) {
-        self.learn_into(&mut self.lock(), member);
+    /// Adds a member that another daemon has advertised.
+    pub fn add_advertised(&self, member: &wire::Member) {
+        self.add_to(&mut self.lock(), member);
     }
 
-    fn learn_into(&self, state: &mut State, member: &wire::Member) {
-        let Some((incarnation, address, data_centre)) = parts(Some(member)) else {
+    fn add_to(&self, state: &mut State, member: &wire::Member) {
+        let Some((incarnation, address, data_centre)) = parse_member(Some(member)) else {
             return;
         };
-        let taken = state.members.iter().any(|other| other.address == address);
-        if incarnation == self.me || taken {
+        let address_known = state.members.iter().any(|other| other.address == address);
+        if incarnation == self.incarnation || address_known {
             return;
         }
         if let Err(at) = find(&state.members, incarnation) {
@@ -127,9 +130,9 @@
                 incarnation,
                 address,
                 data_centre,
-                heard: None,
-                known: Instant::now(),
-                version: 0,
+                last_heartbeat: None,
+                known_since: Instant::now(),
+                settings_version: 0,
                 leaving: false,
                 loads: Vec::new(),
             };
@@ -137,68 +140,69 @@
         }
     }
 
-    /// Takes a VM list and forgets members that nobody names any more.
-    pub fn list(&self, vms: Vec<Vm>) {
+    /// Records a VM list. Removes members that are not in it and have not sent a heartbeat for a while.
+    pub fn update_vms(&self, vms: Vec<Vm>) {
         let mut state = self.lock();
         let listed = |address| vms.iter().any(|vm| vm.address == address);
         state.members.retain(|member| {
-            let last = member.heard.unwrap_or(member.known);
-            listed(member.address) || last.elapsed() < FORGET
+            let last_seen = member.last_heartbeat.unwrap_or(member.known_since);
+            listed(member.address) || last_seen.elapsed() < FORGET_AFTER
         });
         let State {
             members, usages, ..
         } = &mut *state;
         usages.retain(|((incarnation, _), _)| find(members, *incarnation).is_ok());
         for vm in &vms {
-            if let Err(at) = state.listed.binary_search(&vm.address) {
-                state.listed.insert(at, vm.address);
+            if let Err(at) = state.ever_listed.binary_search(&vm.address) {
+                state.ever_listed.insert(at, vm.address);
             }
         }
         state.vms = vms;
     }
 
-    /// All members, heard or not.
+    /// All members, reachable or not.
     pub fn all(&self) -> Vec<Member> {
         self.lock().members.clone()
     }
 
-    /// The members heard lately.
-    pub fn live(&self) -> Vec<Member> {
+    /// The members with a recent heartbeat.
+    pub fn reachable(&self) -> Vec<Member> {
         let mut members = self.all();
-        members.retain(|member| self.is_live(member));
+        members.retain(|member| self.is_reachable(member));
         members
     }
 
-    /// Whether a member was heard lately.
-    pub fn is_live(&self, member: &Member) -> bool {
+    /// Whether a member has sent a recent heartbeat.
+    pub fn is_reachable(&self, member: &Member) -> bool {
         member
-            .heard
-            .is_some_and(|heard| heard.elapsed() < self.silent_after)
+            .last_heartbeat
+            .is_some_and(|last_heartbeat| last_heartbeat.elapsed() < self.unreachable_after)
     }
 
-    /// Whether an incarnation was heard lately.
-    pub fn lives(&self, incarnation: Incarnation) -> bool {
-        incarnation == self.me
+    /// Whether an incarnation is this daemon or has sent a recent heartbeat.
+    pub fn is_incarnation_reachable(&self, incarnation: Incarnation) -> bool {
+        incarnation == self.incarnation
             || self
-                .live()
+                .reachable()
                 .iter()
                 .any(|member| member.incarnation == incarnation)
     }
 
-    /// Whether a daemon's VM is certainly gone: the list, which lags, doesn't name it, although it
-    /// did, or although the list's whole lag has passed since this daemon knew of it.
+    /// Whether a daemon's VM is known to be gone: it is not in the VM list, and either it was there before,
+    /// or the last heartbeat (or, without any, the first mention of it) is longer ago than the list may lag
+    /// behind.
     pub fn is_gone(&self, address: SocketAddr, lag: Duration) -> bool {
         let state = self.lock();
         let known = state.members.iter().find(|m| m.address == address);
-        // a list that names nobody was never read
+        // an empty list means that none has been read yet
         !state.vms.is_empty()
             && state.vms.iter().all(|vm| vm.address != address)
-            && (state.listed.binary_search(&address).is_ok()
-                || known.is_some_and(|member| member.known.elapsed() > lag))
+            && (state.ever_listed.binary_search(&address).is_ok()
+                || known.is_some_and(|member| member.known_since.elapsed() > lag))
     }
 
-    /// The addresses for a round of heartbeats: all when they are few, else a part that rotates.
-    pub fn targets(&self, own: SocketAddr, round: usize) -> Vec<SocketAddr> {
+    /// The addresses for a round of heartbeats: all if they are few, else a section that rotates.
+    pub fn heartbeat_targets(&self, own: SocketAddr, round: usize) -> Vec<SocketAddr> {
         let mut targets = self.addresses(own);
         if targets.len() > FAN_OUT {
             let start = (round * FAN_OUT) % targets.len();
@@ -208,7 +212,7 @@
         targets
     }
 
-    /// Every address at which a daemon may be: members, seeds and entry VMs.
+    /// All addresses at which a daemon may be: those of members, seeds and entry VMs, without `own`.
     pub fn addresses(&self, own: SocketAddr) -> Vec<SocketAddr> {
         let state = self.lock();
         let mut addresses: Vec<SocketAddr> = state
@@ -224,7 +228,7 @@
         addresses
     }
 
-    /// A client to a daemon, over a connection that is kept.
+    /// A client for a daemon, over a connection that is kept open.
     pub fn client(&self, address: SocketAddr) -> Option<PeerClient<Channel>> {
         let mut state = self.lock();
         let at = match state
@@ -235,9 +239,9 @@
             Err(at) => {
                 let endpoint = Endpoint::from_shared(format!("http://{address}")).ok()?;
                 let channel = endpoint
-                    .connect_timeout(CONNECT)
-                    .http2_keep_alive_interval(PROBE)
-                    .keep_alive_timeout(PROBE)
+                    .connect_timeout(CONNECT_TIMEOUT)
+                    .http2_keep_alive_interval(KEEP_ALIVE)
+                    .keep_alive_timeout(KEEP_ALIVE)
                     .connect_lazy();
                 state.channels.insert(at, (address, channel));
                 at
@@ -256,7 +260,7 @@
     members.binary_search_by_key(&incarnation, |member| member.incarnation)
 }
 
-fn parts(member: Option<&wire::Member>) -> Option<(Incarnation, SocketAddr, String)> {
+fn parse_member(member: Option<&wire::Member>) -> Option<(Incarnation, SocketAddr, String)> {
     let member = member?;
     Some((
         Incarnation(member.incarnation),
@@ -265,23 +269,24 @@
     ))
 }
 
-/// Counters only go up, so the highest one heard holds, whatever the order of the messages.
-fn fresh_usage(state: &mut State, incarnation: Incarnation, usages: &[Usage]) -> Vec<Usage> {
-    let mut fresh = Vec::new();
+/// Updates the usage counters of a member and returns the increases. Counters never decrease, so the
+/// highest one received is right in whatever order messages arrive.
+fn take_new_usage(state: &mut State, incarnation: Incarnation, usages: &[Usage]) -> Vec<Usage> {
+    let mut new = Vec::new();
     for usage in usages {
         let key = (incarnation, usage.group.clone());
         match state.usages.binary_search_by(|(other, _)| other.cmp(&key)) {
             Ok(at) if usage.work > state.usages[at].1 => {
-                fresh.push(Usage {
+                new.push(Usage {
                     group: usage.group.clone(),
                     work: usage.work - state.usages[at].1,
                 });
                 state.usages[at].1 = usage.work;
             }
             Ok(_) => {}
-            // what a peer did before this daemon knew it is no debt of today
+            // usage from before this daemon knew the peer is not charged
             Err(at) => state.usages.insert(at, (key, usage.work)),
         }
     }
-    fresh
+    new
 }
--- a/components/daemon/src/process/mod.rs
+++ b/components/daemon/src/process/mod.rs
@@ -1,4 +1,5 @@
-//! What lives as long as the process: its identity, what it knows, and its loops.
+//! State with the lifetime of the process: its identity, the data shared by all requests, and its
+//! background tasks.
 
 pub mod claims;
 pub mod gates;
@@ -6,16 +7,16 @@
 pub mod pool;
 pub mod store;
 
-mod beat;
 mod health;
+mod heartbeat;
 mod operators;
 mod orders;
 mod peers;
 mod registration;
+mod settings_sync;
+mod shutdown;
 mod status;
 mod steward;
-mod stop;
-mod sync;
 
 use std::{
     net::SocketAddr,
@@ -46,80 +47,77 @@
 use steward::Stewardships;
 use store::Store;
 
-/// How far a planned stop has come. See `docs/DESIGN.md#planned-stop`.
+/// The phases of a graceful shutdown. See `docs/DESIGN.md#planned-stop`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// Serving.
+    /// Serving normally.
     Serving,
-    /// Not ready any more, but the balancer still sends requests, and they are served.
-    Lag,
-    /// New requests are turned away; those under way go on.
+    /// No longer ready, but requests that the load balancer still sends are served.
+    NotReady,
+    /// New requests are refused; those in flight continue.
     Draining,
-    /// Everything is over.
-    Ended,
+    /// The shutdown is complete.
+    Stopped,
 }
 
-/// Where a daemon listens.
+/// The addresses that a daemon listens on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Addresses {
-    /// Callers.
+    /// For callers.
     pub callers: SocketAddr,
-    /// Peers and operators.
+    /// For peers and operators.
     pub peers: SocketAddr,
-    /// Metrics and health.
+    /// For metrics and health checks.
     pub status: SocketAddr,
 }
 
-/// The state that the parts of a daemon share.
+/// The shared state of a daemon.
 pub struct Process {
-    /// Its settings.
+    /// The settings that the process started with.
     pub settings: Settings,
-    /// Its identity: random at start, never reused.
-    pub me: Incarnation,
-    /// Where it listens.
+    /// The identity of this process: random at start and never reused.
+    pub incarnation: Incarnation,
     pub addresses: Addresses,
-    /// Its events.
+    /// The record of events for operators.
     pub timeline: Timeline,
-    /// Its metrics.
     pub metrics: Metrics,
-    /// The table.
+    /// The table for data that must survive the process.
     pub store: Store,
     vms: Box<dyn vms::List>,
     /// The settings version in force.
     pub current: Current,
-    /// Held while a peer's settings are fetched.
-    fetching: tokio::sync::Mutex<()>,
-    /// The daemons it knows.
+    /// Held while settings are fetched from a peer.
+    fetch_lock: tokio::sync::Mutex<()>,
+    /// The other daemons that are known.
     pub members: Members,
     /// The gates of all endpoints.
     pub gates: Gates,
-    /// One pool a service, sorted by name.
+    /// One pool per service, sorted by the service's name.
     pools: Mutex<Vec<Arc<Pool>>>,
     /// Claims of idempotency keys.
     pub claims: Claims,
-    /// The budget of retries.
-    pub budget: Mutex<Budget>,
-    /// The adapter to engines.
+    pub retry_budget: Mutex<Budget>,
+    /// The client for engines.
     pub engine: Engine,
-    /// The adapter to plain services.
+    /// The client for plain services.
     pub service: Service,
-    /// How far a planned stop has come.
+    /// The phase of a graceful shutdown.
     pub phase: watch::Sender<Phase>,
-    /// Requests under way; a planned stop waits until there are none.
-    pub under_way: watch::Sender<usize>,
-    /// Bytes of bodies held by requests under way.
-    pub held_bytes: Arc<std::sync::atomic::AtomicUsize>,
-    /// Open connections of callers; a planned stop waits until there are none.
+    /// The number of requests in flight; a graceful shutdown waits until it is zero.
+    pub in_flight: watch::Sender<usize>,
+    /// Bytes of request bodies held by requests in flight.
+    pub buffered_bytes: Arc<std::sync::atomic::AtomicUsize>,
+    /// The number of open caller connections; a graceful shutdown waits until it is zero.
     pub connections: watch::Sender<usize>,
-    /// Work given to groups by this daemon, in microseconds, sorted by group.
+    /// Work that this daemon has given to each group, in microseconds, sorted by group.
     usage: Mutex<Vec<(String, u64)>>,
-    /// Orders of this daemon whose answers were lost: they may still strike.
+    /// Orders sent by this daemon whose response was lost, so that they may still take effect.
     lost_orders: Mutex<Vec<(gates::Id, u64)>>,
-    /// How far registration has come.
+    /// The state of this daemon's registration in the table.
     pub registration: watch::Sender<registration::State>,
     stewardships: Stewardships,
-    /// Wakes the heartbeat at once, after a settings change.
-    pub(crate) beat_now: Notify,
+    /// Triggers a heartbeat at once, after a settings change.
+    pub(crate) heartbeat_due: Notify,
     started: std::time::Instant,
 }
 
@@ -131,13 +129,12 @@
         at.ok().map(|at| Arc::clone(&pools[at]))
     }
 
-    /// All pools.
     pub fn all_pools(&self) -> Vec<Arc<Pool>> {
         self.pools().clone()
     }
 
-    /// Counts work given to a group.
-    pub fn used(&self, group: &str, work: u64) {
+    /// Adds work given to a group to its usage.
+    pub fn record_usage(&self, group: &str, work: u64) {
         let mut usage = lock(&self.usage);
         match usage.binary_search_by(|(name, _)| name.as_str().cmp(group)) {
             Ok(at) => usage[at].1 += work,
@@ -145,22 +142,22 @@
         }
     }
 
-    /// This daemon as its peers know it.
+    /// This daemon's entry for heartbeats and replies to peers.
     pub fn member(&self) -> wire::Member {
         wire::Member {
-            incarnation: self.me.0,
+            incarnation: self.incarnation.0,
             address: self.addresses.peers.to_string(),
             data_centre: self.settings.daemon.data_centre.clone(),
         }
     }
 
-    /// Notes that an order's answer was lost.
-    fn lose_order(&self, id: &gates::Id, number: u64) {
+    /// Records that the response to an order was lost.
+    fn record_lost_order(&self, id: &gates::Id, number: u64) {
         lock(&self.lost_orders).push((id.clone(), number));
     }
 
-    /// Whether an order of this daemon may still strike.
-    fn is_lost(&self, id: &gates::Id, number: u64) -> bool {
+    /// Whether an order sent by this daemon may still take effect because its response was lost.
+    fn is_lost_order(&self, id: &gates::Id, number: u64) -> bool {
         let lost = lock(&self.lost_orders);
         lost.iter().any(|(other, n)| other == id && *n == number)
     }
@@ -170,48 +167,48 @@
     }
 }
 
-/// A panic elsewhere leaves the state whole, so the poison is of no concern.
+/// Locks a mutex and ignores poisoning: a panic while a lock is held does not leave the data inconsistent.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// A running daemon. Dropping it ends it hard, as a kill would.
+/// A running daemon. Dropping it terminates it at once, as a kill would.
 pub struct Running {
     process: Arc<Process>,
     tasks: JoinSet<()>,
 }
 
 impl Running {
-    /// Where it listens.
+    /// The addresses that the daemon listens on.
     #[must_use]
     pub fn addresses(&self) -> Addresses {
         self.process.addresses
     }
 
-    /// Begins a planned stop.
+    /// Begins a graceful shutdown.
     pub fn stop(&self) {
-        stop::begin(&self.process);
+        shutdown::begin(&self.process);
     }
 
-    /// Waits for the end of a planned stop and says how many requests it had to cut.
+    /// Waits for the end of a graceful shutdown and returns how many requests were aborted.
     pub async fn ended(&mut self) -> usize {
         let mut phase = self.process.phase.subscribe();
-        // the sender lives in the process, which this handle keeps
-        let _ = phase.wait_for(|phase| *phase == Phase::Ended).await;
-        let cut = *self.process.under_way.borrow();
+        // the sender lives in the process, which this handle keeps alive
+        let _ = phase.wait_for(|phase| *phase == Phase::Stopped).await;
+        let aborted = *self.process.in_flight.borrow();
         self.tasks.abort_all();
-        cut
+        aborted
     }
 
-    /// Ends the daemon at once and says how many requests were cut.
+    /// Terminates the daemon at once and returns how many requests were aborted.
     #[must_use]
-    pub fn end_hard(self) -> usize {
-        let cut = *self.process.under_way.borrow();
+    pub fn abort(self) -> usize {
+        let aborted = *self.process.in_flight.borrow();
         self.process
             .metrics
             .aborted_streams
-            .inc_by(u64::try_from(cut).unwrap_or(0));
-        cut
+            .inc_by(u64::try_from(aborted).unwrap_or(0));
+        aborted
     }
 }
 
@@ -219,80 +216,84 @@
 ///
 /// # Errors
 ///
-/// [`Error`] when an address can't be bound.
+/// [`Error`] if an address cannot be bound.
 pub async fn start(settings: Settings) -> Result<Running, Error> {
     let callers = bind(settings.daemon.callers).await?;
     let peers = bind(settings.daemon.peers).await?;
     let status = bind(settings.daemon.status).await?;
     let addresses = Addresses {
-        callers: address(&callers, settings.daemon.callers)?,
-        peers: address(&peers, settings.daemon.peers)?,
-        status: address(&status, settings.daemon.status)?,
+        callers: local_address(&callers, settings.daemon.callers)?,
+        peers: local_address(&peers, settings.daemon.peers)?,
+        status: local_address(&status, settings.daemon.status)?,
     };
     let process = Arc::new(assemble(settings, addresses)?);
     process.timeline.record(
         Kind::Started,
         "process",
-        format!("incarnation {}", process.me),
+        format!("incarnation {}", process.incarnation),
+    );
+    log::info!(
+        "started as incarnation {} on {:?}",
+        process.incarnation,
+        process.addresses
     );
-    log::info!("started as {} on {:?}", process.me, process.addresses);
     let mut tasks = JoinSet::new();
     tasks.spawn(peers::serve(Arc::clone(&process), peers));
     tasks.spawn(status::serve(Arc::clone(&process), status));
-    tasks.spawn(registration::keep(Arc::clone(&process)));
-    tasks.spawn(sync::keep(Arc::clone(&process)));
-    tasks.spawn(beat::keep(Arc::clone(&process)));
-    tasks.spawn(health::list(Arc::clone(&process)));
-    tasks.spawn(health::reports(Arc::clone(&process)));
-    tasks.spawn(orders::reopen(Arc::clone(&process)));
-    tasks.spawn(steward::keep(Arc::clone(&process)));
-    tasks.spawn(claims::keep(Arc::clone(&process)));
+    tasks.spawn(registration::run(Arc::clone(&process)));
+    tasks.spawn(settings_sync::run(Arc::clone(&process)));
+    tasks.spawn(heartbeat::run(Arc::clone(&process)));
+    tasks.spawn(health::poll_vms(Arc::clone(&process)));
+    tasks.spawn(health::poll_reports(Arc::clone(&process)));
+    tasks.spawn(orders::reopen_endpoints(Arc::clone(&process)));
+    tasks.spawn(steward::run(Arc::clone(&process)));
+    tasks.spawn(claims::run(Arc::clone(&process)));
     tasks.spawn(connection::accept(Arc::clone(&process), callers));
-    tasks.spawn(stop::carry_out(Arc::clone(&process)));
+    tasks.spawn(shutdown::run(Arc::clone(&process)));
     Ok(Running { process, tasks })
 }
 
 fn assemble(settings: Settings, addresses: Addresses) -> Result<Process, Error> {
     let metrics = Metrics::new().map_err(Error::Metrics)?;
     let timeline = Timeline::default();
-    let me = Incarnation(rand::random());
+    let incarnation = Incarnation(rand::random());
     let control = &settings.control;
     let timeout: Duration = control.table_timeout.into();
     let table = table::Http::new(settings.platform.table, timeout);
     let heartbeat: Duration = control.heartbeat.into();
     let seeds = settings.daemon.seeds.clone();
     Ok(Process {
-        me,
+        incarnation,
         addresses,
         store: Store::new(Box::new(table), timeline.clone(), metrics.clone()),
         vms: Box::new(vms::Http::new(settings.platform.vms, timeout)),
         timeline,
         metrics,
         current: Current::new(),
-        fetching: tokio::sync::Mutex::default(),
-        members: Members::new(me, seeds, heartbeat * SILENT_BEATS),
+        fetch_lock: tokio::sync::Mutex::default(),
+        members: Members::new(incarnation, seeds, heartbeat * MAX_MISSED_HEARTBEATS),
         gates: Gates::default(),
         pools: Mutex::default(),
         claims: Claims::default(),
-        budget: Mutex::new(Budget::default()),
+        retry_budget: Mutex::new(Budget::default()),
         engine: Engine::default(),
         service: Service::default(),
         phase: watch::Sender::new(Phase::Serving),
-        under_way: watch::Sender::new(0),
-        held_bytes: Arc::default(),
+        in_flight: watch::Sender::new(0),
+        buffered_bytes: Arc::default(),
         connections: watch::Sender::new(0),
         usage: Mutex::default(),
         lost_orders: Mutex::default(),
-        registration: watch::Sender::new(registration::State::Trying),
+        registration: watch::Sender::new(registration::State::Registering),
         stewardships: Stewardships::default(),
-        beat_now: Notify::new(),
+        heartbeat_due: Notify::new(),
         started: std::time::Instant::now(),
         settings,
     })
 }
 
-/// A member is silent after this many heartbeats have not come.
-const SILENT_BEATS: u32 = 4;
+/// Number of consecutive heartbeats without which a member counts as unreachable.
+const MAX_MISSED_HEARTBEATS: u32 = 4;
 
 async fn bind(address: SocketAddr) -> Result<TcpListener, Error> {
     TcpListener::bind(address)
@@ -300,9 +301,9 @@
         .map_err(|source| Error::Bind { address, source })
 }
 
-fn address(listener: &TcpListener, asked: SocketAddr) -> Result<SocketAddr, Error> {
+fn local_address(listener: &TcpListener, configured: SocketAddr) -> Result<SocketAddr, Error> {
     listener.local_addr().map_err(|source| Error::Bind {
-        address: asked,
+        address: configured,
         source,
     })
 }
--- a/components/daemon/src/process/orders/mod.rs
+++ b/components/daemon/src/process/orders/mod.rs
@@ -1,4 +1,5 @@
-//! Carries orders out: close, intent, send, outcome. See `docs/DESIGN.md#orders-to-engines`.
+//! Carries out orders: close the endpoint, commit the intent, send the order, commit the outcome. See
+//! `docs/DESIGN.md#orders-to-engines`.
 
 mod closing;
 
@@ -6,61 +7,60 @@
 
 use cloud::table::{Outcome, Read, Transaction};
 use endpoint::{Failure, engine::Order};
-use protocol::order::{self, Ended, Row, Stage, Wanted};
+use protocol::order::{self, CallOutcome, Row, Stage, Wanted};
 use telemetry::timeline::Kind;
 
 use super::{
     Process,
     gates::Id,
     registration,
-    steward::{self, Held},
+    steward::{self, HeldLease},
     store,
 };
 
-/// Prefix of the rows of orders.
+/// Prefix of the row keys of orders.
 pub const PREFIX: &str = "order/";
-/// Prefix of the rows in which operators ask for orders.
-pub const REQUESTS: &str = "request/";
-/// How long a lost order's effect is looked for in the engine's reports.
-const LOOK: Duration = Duration::from_secs(30);
-const LOOK_PAUSE: Duration = Duration::from_millis(200);
-/// Longest wait for the engine's answer to an order.
-const ANSWER: Duration = Duration::from_secs(120);
-/// Between two looks at the rows of closed endpoints.
-const REOPEN_PAUSE: Duration = Duration::from_secs(1);
-/// What a peer's answer may take beyond its own wait.
-const SLACK: Duration = Duration::from_secs(2);
+/// Prefix of the row keys of changes requested by operators.
+pub const REQUEST_PREFIX: &str = "request/";
+/// How long the engine's reports are polled for the effect of an order whose response was lost.
+const LOST_ORDER_TIMEOUT: Duration = Duration::from_secs(30);
+const REPORT_POLL_INTERVAL: Duration = Duration::from_millis(200);
+/// Timeout for an engine's response to an order.
+const ORDER_TIMEOUT: Duration = Duration::from_secs(120);
+/// Interval between reads of the rows of closed endpoints.
+const REOPEN_INTERVAL: Duration = Duration::from_secs(1);
+/// Time allowed for a peer's reply beyond the time that the peer itself waits.
+const REPLY_MARGIN: Duration = Duration::from_secs(2);
 
-/// What an endpoint should become, and the operator's row that asks for it.
+/// A state that an endpoint should reach, and the operator's row that requests it, if any.
 #[derive(Clone, Debug)]
-pub struct Wish {
-    /// The endpoint.
+pub struct ChangeRequest {
     pub id: Id,
-    /// What it should have.
+    /// The wanted state.
     pub wanted: Wanted,
     /// Key and version of the operator's row.
     pub row: Option<(String, u64)>,
 }
 
-/// The next thing to do with an endpoint; rows come with the version that they replace.
+/// The next action for an endpoint. Rows come with the version that they replace.
 #[derive(Clone, Debug)]
 pub enum Task {
-    /// Close it everywhere, then send the order.
-    Close(Wish, Row, u64),
-    /// Nothing was sent: open it again.
+    /// Close the endpoint at all daemons, then send the order.
+    Close(ChangeRequest, Row, u64),
+    /// Nothing was sent: open the endpoint again.
     Reopen(Id, Row, u64),
     /// Send the same order again.
-    Resend(Wish, Row, u64),
-    /// The operator's wish holds: take its row away.
-    Fulfilled(Wish),
+    Resend(ChangeRequest, Row, u64),
+    /// The requested state is reached: remove the operator's row.
+    Fulfilled(ChangeRequest),
 }
 
-/// The key of an endpoint's order.
+/// The row key of the order to an endpoint.
 pub fn key_of(id: &Id) -> String {
     format!("{PREFIX}{}/{}", id.data_centre, id.number)
 }
 
-/// The endpoint of an order's key.
+/// The endpoint of an order's row key.
 pub fn id_of(key: &str) -> Option<Id> {
     let (data_centre, number) = key.strip_prefix(PREFIX)?.split_once('/')?;
     Some(Id {
@@ -69,76 +69,97 @@
     })
 }
 
-/// Carries a task out as far as it goes.
-pub async fn carry_out(process: &Arc<Process>, held: &Held, task: Task) {
+/// Carries out a task as far as possible.
+pub async fn execute(process: &Arc<Process>, held: &HeldLease, task: Task) {
     match task {
-        Task::Fulfilled(wish) => fulfilled(process, held, &wish).await,
+        Task::Fulfilled(request) => remove_request(process, held, &request).await,
         Task::Reopen(id, row, version) => {
             if commit(process, held, &id, &row, version).await.is_some() {
-                announce(process, &id, row.number).await;
+                announce_outcome(process, &id, row.number).await;
             }
         }
-        Task::Resend(wish, row, version) => {
-            // whoever closed for it stays closed until its outcome is known
-            if let Some(version) = commit(process, held, &wish.id, &row, version).await {
-                send(process, held, &wish, &row, version).await;
+        Task::Resend(request, row, version) => {
+            // daemons that closed the endpoint for this order keep it closed until the outcome is known
+            if let Some(version) = commit(process, held, &request.id, &row, version).await {
+                send(process, held, &request, &row, version).await;
             }
         }
-        Task::Close(wish, row, version) => close(process, held, wish, row, version).await,
+        Task::Close(request, row, version) => {
+            close_and_send(process, held, request, row, version).await;
+        }
     }
 }
 
-async fn close(process: &Arc<Process>, held: &Held, wish: Wish, row: Row, version: u64) {
-    let Some(version) = commit(process, held, &wish.id, &row, version).await else {
+async fn close_and_send(
+    process: &Arc<Process>,
+    held: &HeldLease,
+    request: ChangeRequest,
+    row: Row,
+    version: u64,
+) {
+    let Some(version) = commit(process, held, &request.id, &row, version).await else {
         return;
     };
-    let closed = closing::ask_all(process, &wish.id, row.number).await;
+    let closed = closing::close_everywhere(process, &request.id, row.number).await;
     if !closed {
         let reopened = Row {
             stage: Stage::Reopened,
             ..row.clone()
         };
-        // should this fail too, the successor reopens
-        if commit(process, held, &wish.id, &reopened, version)
+        // if this fails too, the next steward reopens the endpoint
+        if commit(process, held, &request.id, &reopened, version)
             .await
             .is_some()
         {
-            announce(process, &wish.id, row.number).await;
+            announce_outcome(process, &request.id, row.number).await;
         }
         return;
     }
-    let intent = order::intend(&row);
-    if let Some(version) = commit(process, held, &wish.id, &intent, version).await {
-        send(process, held, &wish, &intent, version).await;
+    let intent = order::intent_row(&row);
+    if let Some(version) = commit(process, held, &request.id, &intent, version).await {
+        send(process, held, &request, &intent, version).await;
     }
 }
 
-/// Commits a row under the steward's lease; gives its new version, none when it isn't certain that
-/// the row stands.
-async fn commit(process: &Process, held: &Held, id: &Id, row: &Row, version: u64) -> Option<u64> {
+/// Commits a row under the steward's lease. Returns the row's new version, or `None` if it is not certain
+/// that the row was written.
+async fn commit(
+    process: &Process,
+    held: &HeldLease,
+    id: &Id,
+    row: &Row,
+    version: u64,
+) -> Option<u64> {
     let key = key_of(id);
-    let text = store::text(row);
+    let text = store::to_json(row);
     let transaction = Transaction::default()
         .check(&held.key, held.version)
         .check(&key, version)
         .write(&key, text.clone());
-    match process.store.commit_sure(transaction, &key, &text).await {
+    match process
+        .store
+        .commit_confirmed(transaction, &key, &text)
+        .await
+    {
         Ok(Outcome::Committed(version)) => {
-            note(process, id, row);
+            record_stage(process, id, row);
             Some(version)
         }
         Ok(Outcome::Conflict(_)) => {
-            log::warn!("{id}: order {} lost its authority", row.number);
+            log::warn!(
+                "{id}: commit of order {} rejected: the lease or the order's row has changed",
+                row.number
+            );
             None
         }
         Err(error) => {
-            log::warn!("{id}: order {}: {error}", row.number);
+            log::warn!("{id}: commit of order {} failed: {error}", row.number);
             None
         }
     }
 }
 
-fn note(process: &Process, id: &Id, row: &Row) {
+fn record_stage(process: &Process, id: &Id, row: &Row) {
     let kind = match row.stage {
         Stage::Closing => Kind::OrderClosing,
         Stage::Intent => Kind::OrderIntent,
@@ -155,152 +176,166 @@
     process.metrics.orders.with_label_values(&[&outcome]).inc();
 }
 
-async fn send(process: &Arc<Process>, held: &Held, wish: &Wish, row: &Row, version: u64) {
-    let Some((address, boot)) = target(process, &wish.id) else {
+async fn send(
+    process: &Arc<Process>,
+    held: &HeldLease,
+    request: &ChangeRequest,
+    row: &Row,
+    version: u64,
+) {
+    let Some((address, boot)) = address_and_boot(process, &request.id) else {
         return;
     };
     let order = Order {
         number: row.number,
         wanted: row.wanted.clone(),
     };
-    if !steward::acts(process, held) {
-        // woken after the lease lapsed: the order never leaves, and that is worth saying
-        withdraw(process, &wish.id, row.number).await;
+    if !steward::is_lease_valid(process, held) {
+        // the lease has expired, as when the process was suspended: the order will never be sent, and recording
+        // that lets a successor proceed
+        withdraw_sender(process, &request.id, row.number).await;
         return;
     }
-    let ended = match process.engine.order(address, &order, ANSWER).await {
-        Ok(()) => Ended::Reached,
-        Err(Failure::NotSent | Failure::Refused(_)) => Ended::NotReached,
-        Err(Failure::Lost) => look(process, address, row, boot).await,
+    let ended = match process.engine.order(address, &order, ORDER_TIMEOUT).await {
+        Ok(()) => CallOutcome::Reached,
+        Err(Failure::NotSent | Failure::Refused(_)) => CallOutcome::NotReached,
+        Err(Failure::Lost) => find_outcome(process, address, row, boot).await,
     };
-    if ended == Ended::Lost {
-        process.lose_order(&wish.id, row.number);
+    if ended == CallOutcome::Lost {
+        process.record_lost_order(&request.id, row.number);
     }
-    let next = order::finish(row, ended);
-    let mut pause = LOOK_PAUSE;
-    // the outcome is known for certain, so it is worth telling when the table is back
-    let mut known = false;
-    for _ in 0..OUTCOME_TRIES {
-        known = commit(process, held, &wish.id, &next, version)
+    let next = order::outcome_row(row, ended);
+    let mut backoff = REPORT_POLL_INTERVAL;
+    // the outcome is certain, so it is worth retrying the commit until the table recovers
+    let mut committed = false;
+    for _ in 0..MAX_OUTCOME_COMMITS {
+        committed = commit(process, held, &request.id, &next, version)
             .await
             .is_some();
-        if known {
+        if committed {
             break;
         }
-        tokio::time::sleep(pause).await;
-        pause *= 2;
+        tokio::time::sleep(backoff).await;
+        backoff *= 2;
     }
-    if !known && ended != Ended::Lost {
-        withdraw(process, &wish.id, row.number).await;
+    if !committed && ended != CallOutcome::Lost {
+        withdraw_sender(process, &request.id, row.number).await;
     }
-    if !next.closes(ended == Ended::Reached) {
-        announce(process, &wish.id, row.number).await;
+    if !next.blocks_dispatch(ended == CallOutcome::Reached) {
+        announce_outcome(process, &request.id, row.number).await;
     }
-    // a former steward's order is finished first; a later wish stays for the next one
-    if ended == Ended::Reached && row.wanted == wish.wanted {
-        fulfilled(process, held, wish).await;
+    // an order of a former steward is completed first; a different request is handled by the next task
+    if ended == CallOutcome::Reached && row.wanted == request.wanted {
+        remove_request(process, held, request).await;
     }
 }
 
-const OUTCOME_TRIES: u32 = 5;
+const MAX_OUTCOME_COMMITS: u32 = 5;
 
-/// Gives a former sender's own word that its call has ended: a successor need not wait for it any
-/// more. It takes nothing but its own name out of the row, so it needs no lease.
-async fn withdraw(process: &Process, id: &Id, number: u64) {
-    if process.is_lost(id, number) {
-        // an earlier copy of this order may still strike
+/// Records that the call of this former sender has ended, so that a successor need not wait for it. This
+/// removes only the daemon's own entry from the row, so it needs no lease.
+async fn withdraw_sender(process: &Process, id: &Id, number: u64) {
+    if process.is_lost_order(id, number) {
+        // an earlier copy of this order may still take effect
         return;
     }
     let key = key_of(id);
-    let Ok(rows) = process.store.read(store::rows(&[&key])).await else {
+    let Ok(rows) = process.store.read(store::by_keys(&[&key])).await else {
         return;
     };
     let found = store::find(&rows, &key);
-    let Some(mut row) = store::value::<Row>(found) else {
+    let Some(mut row) = store::parse::<Row>(found) else {
         return;
     };
-    let named = row.earlier.binary_search(&process.me);
-    if let (true, Ok(at)) = (row.number == number, named) {
+    let position = row.earlier.binary_search(&process.incarnation);
+    if let (true, Ok(at)) = (row.number == number, position) {
         row.earlier.remove(at);
         let transaction = Transaction::default()
-            .check(&key, store::version(found))
-            .write(&key, store::text(&row));
-        // unsaid, it is found gone when this process ends
+            .check(&key, store::version_of(found))
+            .write(&key, store::to_json(&row));
+        // if this fails, the successor waits until this process is gone
         let _ = process.store.commit(transaction).await;
     }
 }
 
-fn target(process: &Process, id: &Id) -> Option<(SocketAddr, Option<u64>)> {
+fn address_and_boot(process: &Process, id: &Id) -> Option<(SocketAddr, Option<u64>)> {
     process.all_pools().iter().find_map(|pool| {
-        pool.with(id, |entry| {
+        pool.with_entry(id, |entry| {
             let boot = entry.report.as_ref().map(|(report, _)| report.boot);
             (entry.endpoint.address, boot)
         })
     })
 }
 
-/// Looks for the effect of an order whose answer was lost. It was sent once; when the engine's
-/// report shows its number, that one copy has arrived. When the engine has started anew, the copy
-/// is lost with the connection.
-async fn look(process: &Process, address: SocketAddr, row: &Row, boot: Option<u64>) -> Ended {
-    let until = tokio::time::Instant::now() + LOOK;
-    while tokio::time::Instant::now() < until {
-        if let Ok(report) = process.engine.report(address, LOOK_PAUSE).await {
-            let taken = report.number >= row.number && !report.changing;
+/// Determines the outcome of an order whose response was lost. The order was sent once, so when the
+/// engine's report shows its number, that copy has arrived. If the engine has restarted, the copy was lost
+/// with the connection.
+async fn find_outcome(
+    process: &Process,
+    address: SocketAddr,
+    row: &Row,
+    boot: Option<u64>,
+) -> CallOutcome {
+    let deadline = tokio::time::Instant::now() + LOST_ORDER_TIMEOUT;
+    while tokio::time::Instant::now() < deadline {
+        if let Ok(report) = process.engine.report(address, REPORT_POLL_INTERVAL).await {
+            let received = report.number >= row.number && !report.changing;
             match () {
-                () if boot.is_some_and(|boot| boot != report.boot) => return Ended::NotReached,
-                () if taken && report.holds == row.wanted => return Ended::Reached,
-                () if taken => return Ended::NotReached,
+                () if boot.is_some_and(|boot| boot != report.boot) => {
+                    return CallOutcome::NotReached;
+                }
+                () if received && report.holds == row.wanted => return CallOutcome::Reached,
+                () if received => return CallOutcome::NotReached,
                 () => {}
             }
         }
-        tokio::time::sleep(LOOK_PAUSE).await;
+        tokio::time::sleep(REPORT_POLL_INTERVAL).await;
     }
-    Ended::Lost
+    CallOutcome::Lost
 }
 
-/// Takes the operator's row away when its wish holds.
-async fn fulfilled(process: &Process, held: &Held, wish: &Wish) {
-    let Some((key, version)) = &wish.row else {
+/// Removes the operator's row once the requested state is reached.
+async fn remove_request(process: &Process, held: &HeldLease, request: &ChangeRequest) {
+    let Some((key, version)) = &request.row else {
         return;
     };
     let transaction = Transaction::default()
         .check(&held.key, held.version)
         .check(key, *version)
         .remove(key);
-    // a wish that stays is found fulfilled the next time
+    // if this fails, the row is found fulfilled in the next round
     let _ = process.store.commit(transaction).await;
 }
 
-/// Tells all daemons that an order's outcome is known. Whoever misses it reads the row.
-async fn announce(process: &Arc<Process>, id: &Id, number: u64) {
+/// Notifies all daemons that the outcome of an order is known. A daemon that misses it reads the row.
+async fn announce_outcome(process: &Arc<Process>, id: &Id, number: u64) {
     process.gates.open(id, number);
     for pool in process.all_pools() {
         pool.wake();
     }
-    let tells = process
+    let notifications = process
         .members
         .addresses(process.addresses.peers)
         .into_iter()
-        .map(|address| notify(process, id, number, address));
-    futures::future::join_all(tells).await;
+        .map(|address| notify_open(process, id, number, address));
+    futures::future::join_all(notifications).await;
 }
 
-async fn notify(process: &Process, id: &Id, number: u64, address: SocketAddr) {
+async fn notify_open(process: &Process, id: &Id, number: u64, address: SocketAddr) {
     let open = wire::OpenRequest {
         endpoint: id.number,
         data_centre: id.data_centre.to_string(),
         number,
     };
     if let Some(mut client) = process.members.client(address) {
-        let _ = tokio::time::timeout(SLACK, client.open(open)).await;
+        let _ = tokio::time::timeout(REPLY_MARGIN, client.open(open)).await;
     }
 }
 
-/// Opens endpoints whose order's outcome shows in its row, as long as the process lives.
-pub async fn reopen(process: Arc<Process>) {
+/// Opens closed endpoints once their rows show the outcome of the order.
+pub async fn reopen_endpoints(process: Arc<Process>) {
     loop {
-        tokio::time::sleep(REOPEN_PAUSE).await;
+        tokio::time::sleep(REOPEN_INTERVAL).await;
         let closed = process.gates.closed();
         if closed.is_empty() {
             continue;
@@ -314,13 +349,13 @@
         };
         for (id, number) in closed {
             let found = store::find(&rows, &key_of(&id));
-            let Some(row) = store::value::<Row>(found) else {
+            let Some(row) = store::parse::<Row>(found) else {
                 continue;
             };
-            let reached = registration::reached(&process, &id, &row);
+            let reached = registration::is_fulfilled(&process, &id, &row);
             match () {
                 () if row.number < number => {}
-                () if row.closes(reached) => process.gates.close(&id, row.number),
+                () if row.blocks_dispatch(reached) => process.gates.close(&id, row.number),
                 () => {
                     process.gates.open(&id, row.number);
                     process
--- a/components/daemon/src/process/status.rs
+++ b/components/daemon/src/process/status.rs
@@ -1,4 +1,4 @@
-//! Metrics and health over HTTP, for the platform and for people.
+//! Metrics and health checks over HTTP, for the platform and for people.
 
 use std::{convert::Infallible, sync::Arc};
 
@@ -12,7 +12,7 @@
 
 use super::{Phase, Process};
 
-/// Serves as long as the process lives.
+/// Serves metrics and health checks.
 pub async fn serve(process: Arc<Process>, listener: TcpListener) {
     let mut connections = JoinSet::new();
     while let Ok((stream, _)) = listener.accept().await {
@@ -22,7 +22,7 @@
                 let response = answer(&process, &request);
                 async move { Ok::<_, Infallible>(response) }
             });
-            // a broken connection is the reader's business
+            // an error on the connection only affects the client
             let _ = http1::Builder::new()
                 .serve_connection(TokioIo::new(stream), service)
                 .await;
@@ -35,9 +35,9 @@
     match request.uri().path() {
         "/metrics" => reply(StatusCode::OK, process.metrics.text()),
         "/healthz" => reply(StatusCode::OK, b"alive\n".to_vec()),
-        "/readyz" => match not_ready(process) {
+        "/readyz" => match not_ready_reason(process) {
             None => reply(StatusCode::OK, b"ready\n".to_vec()),
-            Some(why) => reply(StatusCode::SERVICE_UNAVAILABLE, why.into()),
+            Some(reason) => reply(StatusCode::SERVICE_UNAVAILABLE, reason.into()),
         },
         _ => reply(
             StatusCode::NOT_FOUND,
@@ -46,7 +46,7 @@
     }
 }
 
-fn not_ready(process: &Process) -> Option<&'static str> {
+fn not_ready_reason(process: &Process) -> Option<&'static str> {
     match () {
         () if *process.phase.borrow() != Phase::Serving => Some("stopping\n"),
         () if process.current.get().is_none() => Some("no settings yet\n"),
--- a/components/daemon/src/request/mod.rs
+++ b/components/daemon/src/request/mod.rs
@@ -1,11 +1,11 @@
-//! What lives as long as a request.
+//! Handling of a single request, from its headers to the last byte of its answer.
 
 mod body;
 mod caller;
 mod chat;
 mod events;
 mod generate;
-mod keyed;
+mod idempotency;
 mod plain;
 mod refusal;
 mod reply;
@@ -25,54 +25,56 @@
 use telemetry::timeline::Kind;
 
 use crate::{
-    connection::Counted,
+    connection::CountGuard,
     process::{Phase, Process},
     version::Snapshot,
 };
 use caller::Caller;
 use refusal::{Reason, Refusal};
 
-/// A body towards a caller. Its error breaks the transfer, so that a part never looks whole.
-pub type Body = UnsyncBoxBody<Bytes, generate::Broken>;
+/// Response body sent to a caller. An error aborts the transfer, so that a truncated answer is
+/// never taken for a complete one.
+pub type Body = UnsyncBoxBody<Bytes, generate::Aborted>;
 
-/// What belongs to one request.
+/// State of one request.
 pub struct Context {
-    /// The process.
+    /// Process that serves the request.
     pub process: Arc<Process>,
-    /// The settings version that the request is served under.
+    /// Settings version that the request is served under.
     pub version: Arc<Snapshot>,
-    /// Its number, in hexadecimal.
+    /// Request ID: a random number in hexadecimal.
     pub id: String,
-    /// The bytes of its body.
-    held: Option<body::Held>,
-    /// Its place on the caller's connection.
-    open: ExchangeGuard,
-    /// Counts it as under way.
-    _under_way: Counted,
+    /// Memory reserved for its body.
+    body_reservation: Option<body::Reservation>,
+    /// Its exchange on the caller's connection.
+    exchange: ExchangeGuard,
+    /// Counts it among the requests in flight.
+    _in_flight: CountGuard,
 }
 
 impl Context {
-    /// Notes an event of this request.
-    pub fn note(&self, kind: Kind, detail: impl Into<String>) {
+    /// Records an event of this request in the timeline.
+    pub fn record(&self, kind: Kind, detail: impl Into<String>) {
         let subject = format!("request/{}", self.id);
         self.process.timeline.record(kind, subject, detail);
     }
 }
 
-/// Answers a request. A refusal is sent at once.
-pub async fn answer(
+/// Handles a request and returns its response. A refused request is answered as soon as that is
+/// decided.
+pub async fn handle(
     process: Arc<Process>,
     exchange: Arc<Exchange>,
     request: Request<Incoming>,
 ) -> Response<Body> {
     let id = format!("{:016x}", rand::random::<u64>());
-    let open = exchange.begin(&id, request.version(), Instant::now());
-    let mut response = match route(&process, &id, open, request).await {
+    let exchange_guard = exchange.begin(&id, request.version(), Instant::now());
+    let mut response = match route(&process, &id, exchange_guard, request).await {
         Ok(response) => response,
         Err(refusal) => {
             let reason = refusal.reason.code();
             process.metrics.refusals.with_label_values(&[reason]).inc();
-            let detail = format!("{reason}, {}", refusal.reason.run());
+            let detail = format!("{reason}, {}", refusal.reason.execution());
             process
                 .timeline
                 .record(Kind::Refused, format!("request/{id}"), detail);
@@ -82,8 +84,8 @@
     if let Ok(id) = HeaderValue::from_str(&id) {
         response.headers_mut().insert("x-request-id", id);
     }
-    if *process.phase.borrow() >= Phase::Lag {
-        // the balancer and the caller should look for another daemon
+    if *process.phase.borrow() >= Phase::NotReady {
+        // makes the load balancer and the caller reconnect to another daemon
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert("connection", close);
     }
@@ -93,7 +95,7 @@
 async fn route(
     process: &Arc<Process>,
     id: &str,
-    open: ExchangeGuard,
+    exchange: ExchangeGuard,
     request: Request<Incoming>,
 ) -> Result<Response<Body>, Refusal> {
     if *process.phase.borrow() >= Phase::Draining {
@@ -104,38 +106,38 @@
         process: Arc::clone(process),
         version,
         id: id.to_owned(),
-        held: None,
-        open,
-        _under_way: Counted::new(&process.under_way),
+        body_reservation: None,
+        exchange,
+        _in_flight: CountGuard::new(&process.in_flight),
     };
     let path = request.uri().path().to_owned();
-    let caller = Caller::identify(&context.version.typed, request.headers())?;
+    let caller = Caller::identify(&context.version.resolved, request.headers())?;
     match (request.method(), path.as_str()) {
-        (&Method::GET, "/v1/models") => Ok(reply::models(&context.version.typed, &caller)),
+        (&Method::GET, "/v1/models") => Ok(reply::models(&context.version.resolved, &caller)),
         (&Method::POST, "/v1/chat/completions") => {
-            chat::serve(context, caller, chat::Form::Chat, request).await
+            chat::serve(context, caller, chat::Api::Chat, request).await
         }
         (&Method::POST, "/v1/completions") => {
-            chat::serve(context, caller, chat::Form::Text, request).await
+            chat::serve(context, caller, chat::Api::Text, request).await
         }
-        (_, path) if path.starts_with(plain::PREFIX) => {
+        (_, path) if path.starts_with(plain::PATH_PREFIX) => {
             plain::serve(context, caller, request).await
         }
         _ => Err(Reason::NoSuchRoute.into()),
     }
 }
 
-/// A body that is whole.
-pub fn whole(bytes: impl Into<Bytes>) -> Body {
+/// Builds a body from all of its bytes.
+pub fn full_body(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into())
         .map_err(|never| match never {})
         .boxed_unsync()
 }
 
-/// A body that comes in parts; an error breaks the transfer.
-pub fn streamed<S>(parts: S) -> Body
+/// Builds a streamed body; an error in the stream aborts the transfer.
+pub fn stream_body<S>(chunks: S) -> Body
 where
-    S: Stream<Item = Result<Bytes, generate::Broken>> + Send + 'static,
+    S: Stream<Item = Result<Bytes, generate::Aborted>> + Send + 'static,
 {
-    StreamBody::new(parts.map_ok(Frame::data)).boxed_unsync()
+    StreamBody::new(chunks.map_ok(Frame::data)).boxed_unsync()
 }
--- a/components/spec/src/answers.rs
+++ b/components/spec/src/answers.rs
@@ -118,9 +118,9 @@
         _ => offset,
     };
     let last = frame_offset + 1 == TOKENS;
-    if state.assembler.take(attempt, frame_offset, 1, last) == Ok(Verdict::Deliver) {
+    if state.assembler.accept(attempt, frame_offset, 1, last) == Ok(Verdict::Deliver) {
         state.delivered.push(payload);
-        if state.assembler.ended() {
+        if state.assembler.finished() {
             finish(state);
         }
     }
--- a/components/spec/src/claims.rs
+++ b/components/spec/src/claims.rs
@@ -3,7 +3,7 @@
 
 use protocol::{
     Incarnation,
-    claim::{self, Decision, Row, Stage, Write},
+    claim::{self, Decision, Row, Stage, WriteOutcome},
 };
 
 use crate::{
@@ -274,34 +274,34 @@
 fn write(state: &State, nth: usize, row: &Row, expected: u64, variant: Variant, steps: &mut Steps) {
     let mut done = state.clone();
     if commit(&mut done, expected, row, variant) {
-        after_write(&mut done, nth, row, Write::Written, variant);
+        after_write(&mut done, nth, row, WriteOutcome::Written, variant);
         steps.push((Label::WriteIsAnswered { nth }, done.clone()));
         // the write took effect, its response was lost, and a read shows the claimant's token
         steps.push((Label::ReadsBack { nth }, done.clone()));
         // the write took effect, and both its response and the read were lost
         let mut lost = state.clone();
         commit(&mut lost, expected, row, variant);
-        after_write(&mut lost, nth, row, Write::Unclear, variant);
+        after_write(&mut lost, nth, row, WriteOutcome::Unclear, variant);
         steps.push((Label::WriteAnswerIsLost { nth }, lost));
     } else {
-        after_write(&mut done, nth, row, Write::Taken, variant);
+        after_write(&mut done, nth, row, WriteOutcome::Taken, variant);
         steps.push((Label::WriteIsRefused { nth }, done));
     }
     // the write is delayed: it takes effect after the daemon has timed out, or never
     let mut delayed = state.clone();
     delayed.delayed.push((expected, row.clone()));
-    after_write(&mut delayed, nth, row, Write::Unclear, variant);
+    after_write(&mut delayed, nth, row, WriteOutcome::Unclear, variant);
     steps.push((Label::WriteAnswerIsLost { nth }, delayed));
 }
 
-fn after_write(state: &mut State, nth: usize, row: &Row, write: Write, variant: Variant) {
+fn after_write(state: &mut State, nth: usize, row: &Row, write: WriteOutcome, variant: Variant) {
     let dispatch = claim::may_dispatch(write)
-        || (variant == Variant::UnclearIsWritten && write == Write::Unclear);
+        || (variant == Variant::UnclearIsWritten && write == WriteOutcome::Unclear);
     if dispatch {
         state.attempts[nth].phase = Phase::Claimed(row.clone());
         return;
     }
-    if write == Write::Unclear {
+    if write == WriteOutcome::Unclear {
         // the request was not dispatched, and the claimant records this in the table
         let not_run = Row {
             stage: Stage::NotRun,
--- a/components/spec/src/closing.rs
+++ b/components/spec/src/closing.rs
@@ -237,7 +237,7 @@
     let daemon = state.daemons[at];
     if daemon.start == Startup::Serving && daemon.dispatched < MAX_DISPATCHES {
         let mut next = state.clone();
-        if next.daemons[at].gate.hold() {
+        if next.daemons[at].gate.acquire() {
             next.daemons[at].dispatched += 1;
             steps.push((Label::Dispatches(at), next));
         }
@@ -275,7 +275,7 @@
         next.daemons[at].gate.close(number);
         steps.push((Label::DaemonIsAsked(at), next));
     }
-    let drained = daemon.gate.is_closed(number)
+    let drained = daemon.gate.is_drained(number)
         || (variant == Variant::AnswerWithRequestsInFlight
             && daemon.gate.closed_for() == Some(number));
     if daemon.asked == Some(number) && drained && !answers[at] {
--- a/components/spec/src/orders/mod.rs
+++ b/components/spec/src/orders/mod.rs
@@ -8,7 +8,7 @@
 
 use protocol::{
     Incarnation, lease,
-    order::{self, Ended, Role, Row, Stage, Step},
+    order::{self, CallOutcome, Role, Row, Stage, Step},
 };
 
 use state::{
@@ -44,7 +44,7 @@
 }
 
 fn take_stewardship(state: &State, at: usize, steps: &mut Vec<(Label, State)>) {
-    let next_lease = lease::take(state.lease.as_ref(), incarnation(at));
+    let next_lease = lease::acquire(state.lease.as_ref(), incarnation(at));
     let holds_lease = state.lease.and_then(|lease| lease.holder) == Some(incarnation(at));
     if holds_lease || next_lease.epoch > MAX_EPOCH {
         return;
@@ -85,7 +85,7 @@
     let clean = !daemon.lost_orders.contains(&number);
     for role in [Role::Prefill, Role::Decode] {
         let target = wanted(role);
-        let row = match order::next(
+        let row = match order::next_step(
             state.row.as_ref(),
             &target,
             incarnation(at),
@@ -95,7 +95,7 @@
             gone,
         ) {
             // closing has its own model; here all daemons have closed their gates
-            Step::Close(row) => order::intend(&row),
+            Step::Close(row) => order::intent_row(&row),
             Step::Resend(row) | Step::Reopen(row) => row,
             Step::Wait(_) | Step::Nothing => continue,
         };
@@ -199,11 +199,11 @@
             // the call is lost; the order may still arrive
             let mut next = state.clone();
             let ended = if variant == Variant::LostCallIsEnded {
-                Ended::NotReached
+                CallOutcome::NotReached
             } else {
-                Ended::Lost
+                CallOutcome::Lost
             };
-            if ended == Ended::Lost && !next.daemons[at].lost_orders.contains(&row.number) {
+            if ended == CallOutcome::Lost && !next.daemons[at].lost_orders.contains(&row.number) {
                 next.daemons[at].lost_orders.push(row.number);
             }
             next.daemons[at].phase = Phase::Finish(row, ended);
@@ -217,13 +217,13 @@
     state: &State,
     at: usize,
     row: &Row,
-    ended: Ended,
+    ended: CallOutcome,
     variant: Variant,
     steps: &mut Vec<(Label, State)>,
 ) {
     let mut next = state.clone();
     next.daemons[at].phase = Phase::Nothing;
-    let outcome = order::finish(row, ended);
+    let outcome = order::outcome_row(row, ended);
     let is_current = state
         .row
         .as_ref()
@@ -241,7 +241,7 @@
     let mut withdrawn = next.clone();
     steps.push((Label::OutcomeRefused { daemon: at }, next));
     // an earlier sender whose call has ended removes itself from the row
-    if let (Some(now), true) = (withdrawn.row.as_mut(), ended != Ended::Lost)
+    if let (Some(now), true) = (withdrawn.row.as_mut(), ended != CallOutcome::Lost)
         && now.number == row.number
         && now.earlier.contains(&incarnation(at))
         && !state.daemons[at].lost_orders.contains(&row.number)
@@ -273,13 +273,13 @@
     for (nth, message) in state.network.iter().enumerate() {
         let mut next = state.clone();
         next.network.remove(nth);
-        let refused = setup.fences && !order::fenced(state.highest_seen, message.number);
+        let refused = setup.fences && !order::passes_fencing(state.highest_seen, message.number);
         let (label, ended) = if refused {
             let label = Label::EngineRefuses {
                 number: message.number,
                 from: message.from,
             };
-            (label, Ended::NotReached)
+            (label, CallOutcome::NotReached)
         } else {
             apply_order(&mut next, message, setup);
             let label = Label::EngineAccepts {
@@ -287,7 +287,7 @@
                 role: message.wanted.role,
                 from: message.from,
             };
-            (label, Ended::Reached)
+            (label, CallOutcome::Reached)
         };
         // the response reaches the sender if it still waits for it
         if let Phase::Await(row) = &state.daemons[message.from].phase
@@ -306,7 +306,10 @@
 /// closed.
 fn apply_order(state: &mut State, message: &Message, setup: Setup) {
     let changes_role = state.engine_role != message.wanted.role;
-    let closed = state.row.as_ref().is_some_and(|row| row.closes(false));
+    let closed = state
+        .row
+        .as_ref()
+        .is_some_and(|row| row.blocks_dispatch(false));
     let superseded = setup.fences && closed;
     let has_intent = state
         .row
--- a/components/spec/src/orders/state.rs
+++ b/components/spec/src/orders/state.rs
@@ -3,7 +3,7 @@
 use protocol::{
     Incarnation,
     lease::Lease,
-    order::{Ended, Role, Row, Stage, Wanted},
+    order::{CallOutcome, Role, Row, Stage, Wanted},
 };
 
 use super::DAEMONS;
@@ -41,7 +41,7 @@
     /// The order is sent; the daemon waits for the engine's response.
     Await(Row),
     /// The call to the engine has ended; the outcome is not committed yet.
-    Finish(Row, Ended),
+    Finish(Row, CallOutcome),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
--- a/components/standin/src/engine/state.rs
+++ b/components/standin/src/engine/state.rs
@@ -173,7 +173,7 @@
     }
 
     pub(super) fn begin_order(&mut self, order: &Order) -> OrderStart {
-        if self.setup.fences && !order::fenced(self.highest_order, order.number) {
+        if self.setup.fences && !order::passes_fencing(self.highest_order, order.number) {
             self.counts.stale += 1;
             return OrderStart::Stale;
         }
