--- a/components/spec/src/main.rs
+++ b/components/spec/src/main.rs
@@ -1,4 +1,4 @@
-//! Explores all models and prints what was found.
+//! Explores all models and prints the results.
 
 use std::process::ExitCode;
 
@@ -9,55 +9,55 @@
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version)]
 enum Command {
-    /// Explore all models and their wrong variants.
+    /// Explore all models and their faulty variants.
     #[bpaf(command)]
     Check {
-        /// Print each counter-example as a time line
+        /// Print the steps of each counter-example
         verbose: bool,
     },
 }
 
 fn main() -> ExitCode {
     let Command::Check { verbose } = command().run();
-    let fine = cases()
+    let passed = cases()
         .iter()
         .map(|case| report(case, &(case.run)(), verbose))
-        .filter(|fine| !fine)
+        .filter(|passed| !passed)
         .count()
         == 0;
-    if fine {
+    if passed {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
     }
 }
 
-/// Prints one case and says whether it went as it must.
+/// Prints the result of one case and returns whether it is the expected one.
 fn report(case: &Case, outcome: &Outcome, verbose: bool) -> bool {
-    let fine = case.wrong == outcome.broken.is_some();
-    let mark = if fine { "ok  " } else { "FAIL" };
+    let passed = case.expect_violation == outcome.violation.is_some();
+    let mark = if passed { "ok  " } else { "FAIL" };
     let Case {
         model,
         variant,
         bounds,
         ..
     } = case;
-    match &outcome.broken {
+    match &outcome.violation {
         None => println!(
             "{mark} {model}: {variant}: holds in {} states ({bounds})",
             outcome.states
         ),
-        Some(broken) => println!(
-            "{mark} {model}: {variant}: breaks \"{}\" in {} steps, {} states",
-            broken.invariant,
-            broken.steps.len(),
+        Some(violation) => println!(
+            "{mark} {model}: {variant}: violates \"{}\" in {} steps, {} states",
+            violation.invariant,
+            violation.steps.len(),
             outcome.states
         ),
     }
-    if let (Some(broken), true) = (&outcome.broken, verbose || !fine) {
-        for (nth, step) in broken.steps.iter().enumerate() {
+    if let (Some(violation), true) = (&outcome.violation, verbose || !passed) {
+        for (nth, step) in violation.steps.iter().enumerate() {
             println!("       {:2}. {step}", nth + 1);
         }
     }
-    fine
+    passed
 }
--- a/components/spec/tests/check.rs
+++ b/components/spec/tests/check.rs
@@ -1,18 +1,19 @@
-//! The protocol as built holds, and each seeded wrong variant is caught.
+//! The protocol as built violates no invariant, and every seeded faulty variant violates one. A
+//! faulty variant that passes means that its model can no longer detect the fault.
 
 use spec::cases;
 
 #[test]
-fn what_is_built_holds_and_what_is_wrong_is_caught() {
+fn built_protocol_holds_and_faulty_variants_are_caught() {
     for case in cases() {
         let outcome = (case.run)();
         assert_eq!(
-            outcome.broken.is_some(),
-            case.wrong,
+            outcome.violation.is_some(),
+            case.expect_violation,
             "{}: {}: {:?}",
             case.model,
             case.variant,
-            outcome.broken
+            outcome.violation
         );
     }
 }
--- a/components/standin/src/batch/mod.rs
+++ b/components/standin/src/batch/mod.rs
@@ -1,43 +1,44 @@
-//! The timing of an engine: continuous batching with a limited prefix cache.
+//! A timing model of an engine: continuous batching with a bounded prefix cache.
 //!
-//! Pure: it says what a step does and how long it takes. The engine stand-in sleeps for that long,
-//! and the measurement of decisions adds it to a time of its own.
+//! It has no side effects: it computes what a step does and how long it takes. The engine stand-in
+//! sleeps for that long, and the simulation that measures placement decisions adds it to its
+//! simulated time.
 
 mod cache;
 
 pub use cache::Cache;
 use endpoint::engine::prefix::BLOCK_TOKENS;
 
-/// How fast an engine is. Times are in microseconds.
+/// The speed of an engine. Times are in microseconds unless stated otherwise.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Speed {
-    /// Cost of a step by itself.
+    /// Fixed cost of a step.
     pub step_us: u64,
-    /// Cost of each request that writes in a step.
-    pub write_us: u64,
-    /// Cost of reading a thousand prompt tokens.
-    pub read_us_per_thousand: u64,
-    /// Most prompt tokens read in a step while others write.
+    /// Cost of each request that decodes in a step.
+    pub decode_us: u64,
+    /// Cost of prefilling a thousand prompt tokens.
+    pub prefill_us_per_thousand: u64,
+    /// Maximum number of prompt tokens prefilled in a step while other requests decode.
     pub chunk_tokens: u64,
-    /// Most requests in a batch.
-    pub most_running: usize,
-    /// Blocks that the prefix cache holds.
+    /// Maximum number of requests in a batch.
+    pub max_running: usize,
+    /// Capacity of the prefix cache in blocks.
     pub cache_blocks: usize,
-    /// Cost of fetching a thousand tokens of KV cache from another engine.
+    /// Cost of importing a thousand tokens of KV cache from another engine.
     pub import_us_per_thousand: u64,
-    /// Time away for a change of role or model, in milliseconds.
+    /// How long the engine is unavailable for a change of role or model, in milliseconds.
     pub change_ms: u64,
 }
 
 impl Default for Speed {
-    /// An engine of today's middle size.
+    /// A present-day engine of medium size.
     fn default() -> Self {
         Self {
             step_us: 8_000,
-            write_us: 150,
-            read_us_per_thousand: 80_000,
+            decode_us: 150,
+            prefill_us_per_thousand: 80_000,
             chunk_tokens: 512,
-            most_running: 64,
+            max_running: 64,
             cache_blocks: 6_000,
             import_us_per_thousand: 4_000,
             change_ms: 5_000,
@@ -46,69 +47,69 @@
 }
 
 impl Speed {
-    /// An engine that is quick enough for tests.
+    /// An engine that is fast enough for tests.
     #[must_use]
     pub fn quick() -> Self {
         Self {
             step_us: 1_000,
-            write_us: 10,
-            read_us_per_thousand: 2_000,
+            decode_us: 10,
+            prefill_us_per_thousand: 2_000,
             change_ms: 200,
             ..Self::default()
         }
     }
 }
 
-/// What an engine is asked to do.
+/// A request to an engine.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Job {
-    /// Its number.
+    /// Identifier of the job.
     pub id: u64,
-    /// 9 goes first.
+    /// Priority; higher goes first, 9 is the highest.
     pub priority: u8,
-    /// Tokens of the prompt.
+    /// Number of tokens of the prompt.
     pub prompt_tokens: u64,
     /// Hashes of the prompt's blocks.
     pub blocks: Vec<u64>,
-    /// Tokens to write, up to this offset.
-    pub until: u64,
-    /// The first offset to write.
-    pub from: u64,
-    /// Whether the prompt's KV cache comes from another engine.
+    /// The offset at which the answer ends; the token at this offset is not decoded.
+    pub end_offset: u64,
+    /// The offset of the first token to decode.
+    pub start_offset: u64,
+    /// Whether the prompt's KV cache is imported from another engine.
     pub imported: bool,
 }
 
 #[derive(Clone, Debug)]
 struct Running {
     job: Job,
-    to_read: u64,
-    to_fetch_us: u64,
+    prefill_left: u64,
+    import_left_us: u64,
     offset: u64,
 }
 
 impl Running {
-    fn writes(&self) -> bool {
-        self.to_read == 0 && self.to_fetch_us == 0
+    fn is_decoding(&self) -> bool {
+        self.prefill_left == 0 && self.import_left_us == 0
     }
 }
 
-/// A token written in a step.
+/// A token decoded in a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Token {
-    /// The job that it belongs to.
+    /// Identifier of its job.
     pub id: u64,
-    /// Its offset in the answer.
+    /// Offset in the answer.
     pub offset: u64,
-    /// Whether the job ends with it.
+    /// Whether it is the last token of the job.
     pub last: bool,
 }
 
-/// What a step did.
+/// The result of a step.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Step {
-    /// How long it takes.
+    /// Duration in microseconds.
     pub us: u64,
-    /// The tokens that are written at its end.
+    /// The tokens decoded, available at the end of the step.
     pub tokens: Vec<Token>,
 }
 
@@ -133,10 +134,10 @@
         }
     }
 
-    /// Adds a job and says how many tokens of its prompt the cache holds.
+    /// Adds a job to the queue and returns the number of cached tokens of its prompt.
     pub fn submit(&mut self, job: Job) -> u64 {
-        let cached = self.cached(&job);
-        // behind those of the same priority
+        let cached = self.cached_tokens(&job);
+        // behind queued jobs of the same priority
         let at = self
             .waiting
             .partition_point(|other| other.priority >= job.priority);
@@ -144,37 +145,42 @@
         cached
     }
 
-    /// Takes a job away; one that is not known has ended.
+    /// Removes a job; an unknown job has finished already.
     pub fn cancel(&mut self, id: u64) {
         self.waiting.retain(|job| job.id != id);
         self.running.retain(|running| running.job.id != id);
     }
 
-    /// Takes all jobs and the cache away, as a change of role or a crash does.
+    /// Removes all jobs and clears the cache, as a change of role or a crash does.
     pub fn clear(&mut self) {
         *self = Self::new(self.speed);
     }
 
-    /// Requests running or waiting.
+    /// Number of requests, running or queued.
     #[must_use]
     pub fn requests(&self) -> usize {
         self.waiting.len() + self.running.len()
     }
 
-    /// Prompt tokens still to read.
+    /// Number of prompt tokens not prefilled yet. Those of queued jobs count in full, cached or
+    /// not.
     #[must_use]
     pub fn waiting_prompt_tokens(&self) -> u64 {
         let waiting: u64 = self.waiting.iter().map(|job| job.prompt_tokens).sum();
-        let running: u64 = self.running.iter().map(|running| running.to_read).sum();
+        let running: u64 = self
+            .running
+            .iter()
+            .map(|running| running.prefill_left)
+            .sum();
         waiting + running
     }
 
-    /// Requests writing tokens.
+    /// Number of requests that are decoding.
     #[must_use]
-    pub fn writing(&self) -> usize {
+    pub fn decoding(&self) -> usize {
         self.running
             .iter()
-            .filter(|running| running.writes())
+            .filter(|running| running.is_decoding())
             .count()
     }
 
@@ -184,101 +190,105 @@
         &self.cache
     }
 
-    /// Does one step; none when there is nothing to do.
+    /// Executes one step; `None` if there is nothing to do.
     pub fn step(&mut self) -> Option<Step> {
         self.admit();
         if self.running.is_empty() {
             return None;
         }
-        let writers = u64::try_from(self.writing()).unwrap_or(u64::MAX);
-        let fetching = self.running.iter().map(|running| running.to_fetch_us).max();
-        if writers == 0 && self.running.iter().all(|running| running.to_read == 0) {
-            // nothing but fetches: the step lasts until the first of them is through
-            let least = self
+        let decoding = u64::try_from(self.decoding()).unwrap_or(u64::MAX);
+        let longest_import = self
+            .running
+            .iter()
+            .map(|running| running.import_left_us)
+            .max();
+        if decoding == 0 && self.running.iter().all(|running| running.prefill_left == 0) {
+            // all requests import their KV cache: the step lasts until the first import is complete
+            let shortest = self
                 .running
                 .iter()
-                .map(|r| r.to_fetch_us)
+                .map(|r| r.import_left_us)
                 .min()
                 .unwrap_or(0);
-            self.fetch(least);
+            self.advance_imports(shortest);
             return Some(Step {
-                us: least,
+                us: shortest,
                 tokens: Vec::new(),
             });
         }
-        let read = self.read(writers > 0);
+        let prefilled = self.prefill(decoding > 0);
         let us = self.speed.step_us
-            + writers * self.speed.write_us
-            + read * self.speed.read_us_per_thousand / THOUSAND;
-        if fetching > Some(0) {
-            self.fetch(us);
+            + decoding * self.speed.decode_us
+            + prefilled * self.speed.prefill_us_per_thousand / THOUSAND;
+        if longest_import > Some(0) {
+            self.advance_imports(us);
         }
         Some(Step {
             us,
-            tokens: self.write(),
+            tokens: self.decode(),
         })
     }
 
-    fn cached(&self, job: &Job) -> u64 {
-        let blocks = u64::try_from(self.cache.held(&job.blocks)).unwrap_or(0);
-        // the last token is always read, to have something to write from
+    fn cached_tokens(&self, job: &Job) -> u64 {
+        let blocks = u64::try_from(self.cache.cached_prefix_blocks(&job.blocks)).unwrap_or(0);
+        // the last token of a prompt is always prefilled: decoding starts from its output
         (blocks * BLOCK_TOKENS as u64).min(job.prompt_tokens.saturating_sub(1))
     }
 
     fn admit(&mut self) {
-        while self.running.len() < self.speed.most_running && !self.waiting.is_empty() {
+        while self.running.len() < self.speed.max_running && !self.waiting.is_empty() {
             let job = self.waiting.remove(0);
-            let (to_read, to_fetch_us) = if job.imported {
-                let fetch = job.prompt_tokens * self.speed.import_us_per_thousand / THOUSAND;
-                (0, fetch)
+            let (prefill_left, import_left_us) = if job.imported {
+                let import_us = job.prompt_tokens * self.speed.import_us_per_thousand / THOUSAND;
+                (0, import_us)
             } else {
-                (job.prompt_tokens - self.cached(&job), 0)
+                (job.prompt_tokens - self.cached_tokens(&job), 0)
             };
             self.running.push(Running {
-                offset: job.from,
-                to_read,
-                to_fetch_us,
+                offset: job.start_offset,
+                prefill_left,
+                import_left_us,
                 job,
             });
         }
     }
 
-    fn fetch(&mut self, us: u64) {
+    fn advance_imports(&mut self, us: u64) {
         for running in &mut self.running {
-            running.to_fetch_us = running.to_fetch_us.saturating_sub(us);
+            running.import_left_us = running.import_left_us.saturating_sub(us);
         }
     }
 
-    /// Reads prompts, the highest priority first, and says how many tokens.
-    fn read(&mut self, others_write: bool) -> u64 {
-        let most = if others_write {
+    /// Prefills prompts, the highest priority first, and returns the number of tokens prefilled.
+    fn prefill(&mut self, others_decode: bool) -> u64 {
+        let limit = if others_decode {
             self.speed.chunk_tokens
         } else {
-            self.speed.chunk_tokens * CHUNKS_ALONE
+            self.speed.chunk_tokens * PREFILL_ONLY_CHUNKS
         };
-        let mut left = most;
+        let mut left = limit;
         self.running
             .sort_by_key(|running| std::cmp::Reverse(running.job.priority));
         for running in &mut self.running {
-            if running.to_read > 0 {
-                let take = running.to_read.min(left);
-                running.to_read -= take;
-                left -= take;
-                if running.to_read == 0 {
-                    self.cache.hold(&running.job.blocks);
+            if running.prefill_left > 0 {
+                let tokens = running.prefill_left.min(left);
+                running.prefill_left -= tokens;
+                left -= tokens;
+                if running.prefill_left == 0 {
+                    self.cache.insert(&running.job.blocks);
                 }
             }
         }
-        most - left
+        limit - left
     }
 
-    fn write(&mut self) -> Vec<Token> {
+    fn decode(&mut self) -> Vec<Token> {
         let mut tokens = Vec::new();
         self.running.retain_mut(|running| {
-            if !running.writes() {
+            if !running.is_decoding() {
                 return true;
             }
-            let last = running.offset + 1 >= running.job.until;
+            let last = running.offset + 1 >= running.job.end_offset;
             tokens.push(Token {
                 id: running.job.id,
                 offset: running.offset,
@@ -292,5 +302,5 @@
 }
 
 const THOUSAND: u64 = 1_000;
-/// How many chunks a step reads when nobody waits for a token meanwhile.
-const CHUNKS_ALONE: u64 = 4;
+/// How many chunks a step prefills when no request is decoding.
+const PREFILL_ONLY_CHUNKS: u64 = 4;
--- a/components/standin/src/engine/mod.rs
+++ b/components/standin/src/engine/mod.rs
@@ -1,7 +1,7 @@
 //! A stand-in of a language-model engine.
 //!
-//! Its answers can be checked: each token names the prompt it answers and its own offset, see
-//! [`expected`].
+//! Its answers can be checked: the text of each token identifies the prompt and contains the
+//! token's offset, see [`expected_text`].
 
 mod state;
 
@@ -19,38 +19,39 @@
 use tokio::{sync::Notify, task::JoinHandle};
 
 use state::State;
-pub use state::{Counts, Faults};
+pub use state::{Counts, Fault};
 
 use crate::{
     batch::Speed,
     server::{self, Body, Server},
 };
 
-/// The text that an engine writes for a prompt, from one offset up to another.
+/// The text that an engine generates for a prompt, from offset `from` up to but not including
+/// `until`.
 #[must_use]
-pub fn expected(prompt: &str, from: u64, until: u64) -> String {
-    (from..until).map(|at| word(prompt, at)).collect()
+pub fn expected_text(prompt: &str, from: u64, until: u64) -> String {
+    (from..until).map(|at| token_text(prompt, at)).collect()
 }
 
-fn word(prompt: &str, offset: u64) -> String {
+fn token_text(prompt: &str, offset: u64) -> String {
     let sum = prompt.bytes().fold(0_u16, |sum, byte| {
         sum.wrapping_mul(31).wrapping_add(byte.into())
     });
     format!("{sum:04x}.{offset} ")
 }
 
-/// How an engine is set up.
+/// Configuration of an engine.
 #[derive(Clone, Debug, Default)]
 pub struct Setup {
-    /// How fast it is.
+    /// Speed of the engine.
     pub speed: Speed,
-    /// Whether it refuses orders with an old fencing number.
+    /// Whether it refuses orders with a stale fencing number.
     pub fences: bool,
-    /// What it holds at start.
+    /// Role, model, adapter and version that it holds at start.
     pub holds: Wanted,
 }
 
-/// A running engine; dropping it is a crash.
+/// A running engine. Dropping it acts as a crash.
 #[derive(Debug)]
 pub struct Engine {
     server: Server,
@@ -61,7 +62,7 @@
 #[derive(Debug)]
 struct Shared {
     state: Mutex<State>,
-    work: Notify,
+    work_available: Notify,
 }
 
 impl Shared {
@@ -71,7 +72,7 @@
 }
 
 impl Engine {
-    /// Starts an engine on an address (port 0 takes any).
+    /// Starts an engine on an address; port 0 binds any free port.
     ///
     /// # Errors
     ///
@@ -79,15 +80,15 @@
     pub async fn start(address: SocketAddr, setup: Setup) -> std::io::Result<Self> {
         let shared = Arc::new(Shared {
             state: Mutex::new(State::new(setup)),
-            work: Notify::new(),
+            work_available: Notify::new(),
         });
-        let serving = Arc::clone(&shared);
+        let handler_shared = Arc::clone(&shared);
         let server = Server::start(address, move |request| {
-            handle(Arc::clone(&serving), request)
+            handle(Arc::clone(&handler_shared), request)
         })
         .await?;
-        let driving = Arc::clone(&shared);
-        let driver = tokio::spawn(async move { drive(&driving).await });
+        let driver_shared = Arc::clone(&shared);
+        let driver = tokio::spawn(async move { run_batch(&driver_shared).await });
         Ok(Self {
             server,
             shared,
@@ -95,24 +96,24 @@
         })
     }
 
-    /// Where it listens.
+    /// The address on which it listens.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Changes the ways in which it fails.
-    pub fn fail(&self, faults: Faults) {
-        self.shared.lock().faults = faults;
+    /// Sets the injected fault.
+    pub fn set_fault(&self, fault: Fault) {
+        self.shared.lock().fault = fault;
     }
 
-    /// What it has counted.
+    /// The counters.
     #[must_use]
     pub fn counts(&self) -> Counts {
         self.shared.lock().counts
     }
 
-    /// What it holds now.
+    /// Role, model, adapter and version that it holds now.
     #[must_use]
     pub fn holds(&self) -> Wanted {
         self.shared.lock().holds.clone()
@@ -125,7 +126,7 @@
     }
 }
 
-async fn drive(shared: &Shared) {
+async fn run_batch(shared: &Shared) {
     loop {
         let step = shared.lock().step();
         match step {
@@ -133,7 +134,7 @@
                 tokio::time::sleep(Duration::from_micros(step.us)).await;
                 shared.lock().deliver(&step.tokens);
             }
-            None => shared.work.notified().await,
+            None => shared.work_available.notified().await,
         }
     }
 }
@@ -144,49 +145,49 @@
 ) -> std::io::Result<Response<Body>> {
     match request.uri().path() {
         "/generate" => {
-            let generate: Generate = server::json(request).await?;
-            Ok(start(&shared, generate))
+            let generate: Generate = server::read_json(request).await?;
+            Ok(start_generation(&shared, generate))
         }
         "/cancel" => {
-            let attempt: u64 = server::json(request).await?;
+            let attempt: u64 = server::read_json(request).await?;
             shared.lock().cancel(attempt);
-            server::answer(&())
+            server::json_response(&())
         }
-        "/order" => order(&shared, server::json(request).await?).await,
+        "/order" => apply_order(&shared, server::read_json(request).await?).await,
         "/report" => {
             let report: Report = shared.lock().report();
-            server::answer(&report)
+            server::json_response(&report)
         }
         "/cache" => {
-            let after: u64 = server::json(request).await?;
+            let after: u64 = server::read_json(request).await?;
             let events = shared.lock().events_after(after);
-            server::answer(&events)
+            server::json_response(&events)
         }
-        _ => Ok(server::whole(StatusCode::NOT_FOUND, Bytes::new())),
+        _ => Ok(server::full_response(StatusCode::NOT_FOUND, Bytes::new())),
     }
 }
 
-fn start(shared: &Shared, generate: Generate) -> Response<Body> {
+fn start_generation(shared: &Shared, generate: Generate) -> Response<Body> {
     let (sender, receiver) = mpsc::unbounded();
-    let taken = shared.lock().start(generate, sender);
-    shared.work.notify_one();
-    if taken {
-        server::streamed(receiver)
+    let accepted = shared.lock().start(generate, sender);
+    shared.work_available.notify_one();
+    if accepted {
+        server::streaming_response(receiver)
     } else {
-        server::whole(StatusCode::SERVICE_UNAVAILABLE, Bytes::new())
+        server::full_response(StatusCode::SERVICE_UNAVAILABLE, Bytes::new())
     }
 }
 
-async fn order(shared: &Shared, order: Order) -> std::io::Result<Response<Body>> {
-    let begun = shared.lock().begin(&order);
-    match begun {
-        state::Begun::Stale => Ok(server::whole(StatusCode::CONFLICT, Bytes::new())),
-        state::Begun::Reached => server::answer(&()),
-        state::Begun::Changing(away) => {
-            tokio::time::sleep(away).await;
-            shared.lock().finish(&order);
-            shared.work.notify_one();
-            server::answer(&())
+async fn apply_order(shared: &Shared, order: Order) -> std::io::Result<Response<Body>> {
+    let started = shared.lock().begin_order(&order);
+    match started {
+        state::OrderStart::Stale => Ok(server::full_response(StatusCode::CONFLICT, Bytes::new())),
+        state::OrderStart::Reached => server::json_response(&()),
+        state::OrderStart::Changing(duration) => {
+            tokio::time::sleep(duration).await;
+            shared.lock().finish_order(&order);
+            shared.work_available.notify_one();
+            server::json_response(&())
         }
     }
 }
--- a/components/standin/src/platform/mod.rs
+++ b/components/standin/src/platform/mod.rs
@@ -1,4 +1,4 @@
-//! A stand-in of the platform: the transactional table and the VM list.
+//! A stand-in of the platform: the transactional table service and the VM list.
 
 mod store;
 
@@ -11,37 +11,37 @@
 use bytes::Bytes;
 use cloud::{
     table::{Read, Transaction},
-    vms::{State as Life, Vm},
+    vms::{State as VmState, Vm},
 };
 use hyper::{Request, Response, StatusCode, body::Incoming};
 
 use crate::server::{self, Body, Server};
 use store::Store;
 
-/// The ways in which the table can be told to fail.
+/// Faults of the table service that can be injected.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Faults {
-    /// It doesn't.
+pub enum Fault {
+    /// No fault.
     #[default]
     None,
-    /// It refuses reads and writes.
-    Down,
-    /// Writes take effect and their answers are lost.
-    LostAnswers,
-    /// Writes are lost before they take effect, and so are their answers.
+    /// Reads and writes are refused.
+    Unavailable,
+    /// Writes take effect and their responses are lost.
+    LostResponses,
+    /// Writes are lost before they take effect, without a response.
     LostWrites,
-    /// Everything takes this long, and takes effect at the end.
+    /// Each call takes this long and takes effect at the end.
     Slow(Duration),
-    /// It answers with what is not JSON.
-    Garbage,
+    /// Responses are not valid JSON.
+    MalformedResponse,
 }
 
-/// What the table has counted.
+/// Counters of the table service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Reads asked for.
+    /// Read calls received.
     pub reads: u64,
-    /// Transactions asked for.
+    /// Transactions received.
     pub writes: u64,
 }
 
@@ -49,11 +49,11 @@
 struct State {
     store: Store,
     vms: Vec<Vm>,
-    faults: Faults,
+    fault: Fault,
     counts: Counts,
 }
 
-/// A running platform; dropping it takes its state along.
+/// A running platform. Dropping it discards its state.
 #[derive(Debug)]
 pub struct Platform {
     server: Server,
@@ -65,65 +65,65 @@
 }
 
 impl Platform {
-    /// Starts a platform on an address (port 0 takes any).
+    /// Starts a platform on an address; port 0 binds any free port.
     ///
     /// # Errors
     ///
     /// The system's error when the address can't be bound.
     pub async fn start(address: SocketAddr) -> std::io::Result<Self> {
         let state = Arc::new(Mutex::new(State::default()));
-        let serving = Arc::clone(&state);
+        let handler_state = Arc::clone(&state);
         let server = Server::start(address, move |request| {
-            handle(Arc::clone(&serving), request)
+            handle(Arc::clone(&handler_state), request)
         })
         .await?;
         Ok(Self { server, state })
     }
 
-    /// Where it listens.
+    /// The address on which it listens.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Changes the ways in which the table fails.
-    pub fn fail(&self, faults: Faults) {
-        lock(&self.state).faults = faults;
+    /// Sets the fault of the table service.
+    pub fn set_fault(&self, fault: Fault) {
+        lock(&self.state).fault = fault;
     }
 
-    /// What the table has counted.
+    /// The counters of the table service.
     #[must_use]
     pub fn counts(&self) -> Counts {
         lock(&self.state).counts
     }
 
-    /// Puts a VM on the list, or changes what the list says of it.
-    pub fn list(&self, vm: Vm) {
+    /// Adds a VM to the list, or replaces its entry.
+    pub fn add_vm(&self, vm: Vm) {
         let mut state = lock(&self.state);
         state.vms.retain(|other| other.address != vm.address);
         state.vms.push(vm);
     }
 
-    /// Takes a VM off the list.
-    pub fn unlist(&self, address: SocketAddr) {
+    /// Removes a VM from the list.
+    pub fn remove_vm(&self, address: SocketAddr) {
         lock(&self.state).vms.retain(|vm| vm.address != address);
     }
 
     /// Marks a VM as leaving.
-    pub fn leave(&self, address: SocketAddr) {
+    pub fn mark_leaving(&self, address: SocketAddr) {
         let mut state = lock(&self.state);
         for vm in state.vms.iter_mut().filter(|vm| vm.address == address) {
-            vm.state = Life::Leaving;
+            vm.state = VmState::Leaving;
         }
     }
 
-    /// Commits a transaction as another client would, past the faults.
+    /// Commits a transaction directly, without the injected fault.
     #[must_use]
     pub fn commit(&self, transaction: &Transaction) -> cloud::table::Outcome {
         lock(&self.state).store.commit(transaction)
     }
 
-    /// Reads as another client would, past the faults.
+    /// Reads rows directly, without the injected fault.
     #[must_use]
     pub fn read(&self, read: &Read) -> Vec<cloud::table::Row> {
         lock(&self.state).store.read(read)
@@ -138,66 +138,66 @@
     match path.as_str() {
         "/vms" => {
             let vms = lock(&state).vms.clone();
-            server::answer(&vms)
+            server::json_response(&vms)
         }
         "/table/read" => {
-            let read: Read = server::json(request).await?;
-            let faults = count(&state, |counts| &mut counts.reads);
-            if let Some(answer) = failed(faults).await? {
-                return Ok(answer);
+            let read: Read = server::read_json(request).await?;
+            let fault = record_call(&state, |counts| &mut counts.reads);
+            if let Some(response) = fault_response(fault).await? {
+                return Ok(response);
             }
             let rows = lock(&state).store.read(&read);
-            server::answer(&rows)
+            server::json_response(&rows)
         }
         "/table/commit" => {
-            let transaction: Transaction = server::json(request).await?;
-            let faults = count(&state, |counts| &mut counts.writes);
-            // a task of its own: a caller that gives up does not stop what has begun
-            let commit = tokio::spawn(commit(state, transaction, faults));
+            let transaction: Transaction = server::read_json(request).await?;
+            let fault = record_call(&state, |counts| &mut counts.writes);
+            // in a separate task: a client that times out does not cancel a commit in progress
+            let commit = tokio::spawn(commit(state, transaction, fault));
             commit.await.map_err(std::io::Error::other)?
         }
-        _ => Ok(server::whole(StatusCode::NOT_FOUND, Bytes::new())),
+        _ => Ok(server::full_response(StatusCode::NOT_FOUND, Bytes::new())),
     }
 }
 
 async fn commit(
     state: Arc<Mutex<State>>,
     transaction: Transaction,
-    faults: Faults,
+    fault: Fault,
 ) -> std::io::Result<Response<Body>> {
-    if faults == Faults::LostWrites {
+    if fault == Fault::LostWrites {
         return Err(std::io::ErrorKind::ConnectionReset.into());
     }
-    if let Some(answer) = failed(faults).await? {
-        return Ok(answer);
+    if let Some(response) = fault_response(fault).await? {
+        return Ok(response);
     }
     let outcome = lock(&state).store.commit(&transaction);
-    match faults {
-        Faults::LostAnswers => Err(std::io::ErrorKind::ConnectionReset.into()),
-        _ => server::answer(&outcome),
+    match fault {
+        Fault::LostResponses => Err(std::io::ErrorKind::ConnectionReset.into()),
+        _ => server::json_response(&outcome),
     }
 }
 
-fn count(state: &Mutex<State>, which: impl Fn(&mut Counts) -> &mut u64) -> Faults {
+fn record_call(state: &Mutex<State>, counter: impl Fn(&mut Counts) -> &mut u64) -> Fault {
     let mut state = lock(state);
-    *which(&mut state.counts) += 1;
-    state.faults
+    *counter(&mut state.counts) += 1;
+    state.fault
 }
 
-async fn failed(faults: Faults) -> std::io::Result<Option<Response<Body>>> {
-    match faults {
-        Faults::Down => Ok(Some(server::whole(
+async fn fault_response(fault: Fault) -> std::io::Result<Option<Response<Body>>> {
+    match fault {
+        Fault::Unavailable => Ok(Some(server::full_response(
             StatusCode::SERVICE_UNAVAILABLE,
             Bytes::new(),
         ))),
-        Faults::Garbage => Ok(Some(server::whole(
+        Fault::MalformedResponse => Ok(Some(server::full_response(
             StatusCode::OK,
             Bytes::from_static(b"\xff{"),
         ))),
-        Faults::Slow(time) => {
-            tokio::time::sleep(time).await;
+        Fault::Slow(delay) => {
+            tokio::time::sleep(delay).await;
             Ok(None)
         }
-        Faults::None | Faults::LostAnswers | Faults::LostWrites => Ok(None),
+        Fault::None | Fault::LostResponses | Fault::LostWrites => Ok(None),
     }
 }
