--- a/components/caller/src/exchange.rs
+++ b/components/caller/src/exchange.rs
@@ -88,7 +88,7 @@
 
     /// Returns what the connection is waiting for.
     #[must_use]
-    pub fn wait(&self) -> Wait {
+    pub fn waiting_for(&self) -> Wait {
         let state = self.state.lock();
         match (&state.request, state.head_since) {
             (Some(_), _) => Wait::Request,
@@ -131,7 +131,7 @@
 
     /// Returns the request in flight, if any.
     #[must_use]
-    pub fn in_flight(&self) -> Option<Request> {
+    pub fn request(&self) -> Option<Request> {
         self.state.lock().request.clone()
     }
 
@@ -175,7 +175,7 @@
 
 impl ExchangeGuard {
     /// Records that the request body is complete.
-    pub fn received(&self) {
+    pub fn body_received(&self) {
         self.with(|request| request.stage = Stage::Waiting);
     }
 
--- a/components/clock/src/suspension.rs
+++ b/components/clock/src/suspension.rs
@@ -23,7 +23,7 @@
 /// The time that tests have added, in nanoseconds.
 static SIMULATED_NS: AtomicU64 = AtomicU64::new(0);
 /// Notified after a suspension.
-pub static RESUMED: Notify = Notify::const_new();
+pub static AFTER_SUSPENSION: Notify = Notify::const_new();
 
 /// Returns the time suspended since the first call; it never decreases.
 pub fn suspended_time() -> Duration {
@@ -68,7 +68,7 @@
         let suspended = now.saturating_sub(previous);
         previous = now;
         if suspended >= MIN_SUSPENSION {
-            RESUMED.notify_waiters();
+            AFTER_SUSPENSION.notify_waiters();
             on_resume(suspended);
         }
     }
--- a/components/clock/src/timer.rs
+++ b/components/clock/src/timer.rs
@@ -2,7 +2,7 @@
 
 use std::{future::Future, pin::pin, time::Duration};
 
-use super::{Instant, suspension::RESUMED};
+use super::{Instant, suspension::AFTER_SUSPENSION};
 
 /// The deadline passed before the future completed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -11,7 +11,7 @@
 /// Waits until `until`.
 pub async fn sleep_until(until: Instant) {
     loop {
-        let resumed = RESUMED.notified();
+        let resumed = AFTER_SUSPENSION.notified();
         let remaining = until.duration_since(Instant::now());
         if remaining.is_zero() {
             return;
--- a/components/cloud/src/table/adapter.rs
+++ b/components/cloud/src/table/adapter.rs
@@ -9,13 +9,13 @@
 
 /// A table service reached over HTTP.
 #[derive(Clone, Debug)]
-pub struct Http {
+pub struct HttpTable {
     client: Client,
     address: SocketAddr,
     idle_timeout: Duration,
 }
 
-impl Http {
+impl HttpTable {
     /// Creates an adapter. A call times out when no data arrives for `idle_timeout`.
     #[must_use]
     pub fn new(address: SocketAddr, idle_timeout: Duration) -> Self {
@@ -36,7 +36,7 @@
     }
 }
 
-impl Table for Http {
+impl Table for HttpTable {
     fn read(&self, read: Read) -> BoxFuture<'_, Result<Vec<Row>, Error>> {
         async move {
             let call = self
--- a/components/cloud/src/table/mod.rs
+++ b/components/cloud/src/table/mod.rs
@@ -6,7 +6,7 @@
 use futures::future::BoxFuture;
 use serde::{Deserialize, Serialize};
 
-pub use adapter::Http;
+pub use adapter::HttpTable;
 
 /// One row. The service increases its version with each write; an absent row has version 0.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
--- a/components/cloud/src/vms/mod.rs
+++ b/components/cloud/src/vms/mod.rs
@@ -11,7 +11,7 @@
 /// State of a VM according to the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum State {
+pub enum VmState {
     /// The VM is running.
     Live,
     /// The VM will be removed.
@@ -21,7 +21,7 @@
 /// The kind of process that runs on a VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Kind {
+pub enum VmKind {
     /// A daemon.
     Entry,
     /// An engine or a plain service.
@@ -36,9 +36,9 @@
     /// Data centre of the VM.
     pub data_centre: String,
     /// The kind of process that it runs.
-    pub kind: Kind,
+    pub kind: VmKind,
     /// Whether it is running or about to be removed.
-    pub state: State,
+    pub state: VmState,
 }
 
 /// The list could not be read.
@@ -47,20 +47,20 @@
 pub struct ReadError;
 
 /// The operations that the daemon needs of a VM list.
-pub trait List: Send + Sync {
+pub trait VmList: Send + Sync {
     /// Reads the complete list.
     fn read(&self) -> BoxFuture<'_, Result<Vec<Vm>, ReadError>>;
 }
 
 /// A VM list reached over HTTP.
 #[derive(Clone, Debug)]
-pub struct Http {
+pub struct HttpVmList {
     client: Client,
     address: SocketAddr,
     idle_timeout: Duration,
 }
 
-impl Http {
+impl HttpVmList {
     /// Creates an adapter. A call times out when no data arrives for `idle_timeout`.
     #[must_use]
     pub fn new(address: SocketAddr, idle_timeout: Duration) -> Self {
@@ -72,7 +72,7 @@
     }
 }
 
-impl List for Http {
+impl VmList for HttpVmList {
     fn read(&self) -> BoxFuture<'_, Result<Vec<Vm>, ReadError>> {
         async move {
             let call = self
--- a/components/cloud/tests/contract.rs
+++ b/components/cloud/tests/contract.rs
@@ -3,8 +3,8 @@
 use std::{net::SocketAddr, time::Duration};
 
 use cloud::{
-    table::{Error, Http, Read, Table, Transaction},
-    vms::{self, Kind, List, State, Vm},
+    table::{Error, HttpTable, Read, Table, Transaction},
+    vms::{self, Vm, VmKind, VmList, VmState},
 };
 use standin::{
     contract::{self, Harness},
@@ -13,16 +13,16 @@
 
 const TIMEOUT: Duration = Duration::from_millis(200);
 
-async fn start_pair() -> (Platform, Http) {
+async fn start_pair() -> (Platform, HttpTable) {
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let platform = Platform::start(any).await.expect("platform");
-    let table = Http::new(platform.address(), TIMEOUT);
+    let table = HttpTable::new(platform.address(), TIMEOUT);
     (platform, table)
 }
 
 struct HttpHarness {
     platform: Platform,
-    table: Http,
+    table: HttpTable,
 }
 
 impl Harness for HttpHarness {
@@ -80,18 +80,18 @@
 #[tokio::test]
 async fn the_vm_list_reports_leaving_vms() {
     let (platform, _) = start_pair().await;
-    let list = vms::Http::new(platform.address(), TIMEOUT);
+    let list = vms::HttpVmList::new(platform.address(), TIMEOUT);
     assert_eq!(list.read().await, Ok(Vec::new()));
     let vm = Vm {
         address: SocketAddr::from(([127, 0, 0, 1], 9)),
         data_centre: "hraun".to_owned(),
-        kind: Kind::Endpoint,
-        state: State::Live,
+        kind: VmKind::Endpoint,
+        state: VmState::Live,
     };
     platform.add_vm(vm.clone());
     assert_eq!(list.read().await, Ok(vec![vm.clone()]));
     platform.mark_leaving(vm.address);
-    assert_eq!(list.read().await.expect("read")[0].state, State::Leaving);
+    assert_eq!(list.read().await.expect("read")[0].state, VmState::Leaving);
     platform.remove_vm(vm.address);
     assert_eq!(list.read().await, Ok(Vec::new()));
     drop(platform);
--- a/components/daemon/src/process/claims.rs
+++ b/components/daemon/src/process/claims.rs
@@ -105,7 +105,7 @@
     }
 
     /// Records the outcome of a claim of this daemon, to be written as soon as the table is available.
-    pub fn record_outcome(&self, key: String, row: Row, version: Option<u64>) {
+    pub fn queue_outcome(&self, key: String, row: Row, version: Option<u64>) {
         let mut pending = lock(&self.pending_outcomes);
         if pending.len() == MAX_PENDING_OUTCOMES {
             pending.remove(0);
@@ -348,7 +348,7 @@
         };
         self.process
             .claims
-            .record_outcome(self.key.clone(), row, self.version);
+            .queue_outcome(self.key.clone(), row, self.version);
     }
 }
 
--- a/components/daemon/src/process/gates.rs
+++ b/components/daemon/src/process/gates.rs
@@ -19,7 +19,7 @@
     pub number: u32,
 }
 
-const SHARDS: usize = 16;
+const SHARD_COUNT: usize = 16;
 
 /// The gates of one shard, sorted by endpoint.
 type Shard = Mutex<Vec<(Id, Gate)>>;
@@ -30,7 +30,7 @@
 
 #[derive(Debug)]
 struct Shared {
-    shards: [Shard; SHARDS],
+    shards: [Shard; SHARD_COUNT],
     changed: Notify,
 }
 
@@ -108,7 +108,7 @@
     }
 
     fn with_gate<T>(&self, id: &Id, f: impl FnOnce(&mut Gate) -> T) -> T {
-        let mut gates = lock(&self.0.shards[id.number as usize % SHARDS]);
+        let mut gates = lock(&self.0.shards[id.number as usize % SHARD_COUNT]);
         let at = match gates.binary_search_by(|(other, _)| other.cmp(id)) {
             Ok(at) => at,
             Err(at) => {
--- a/components/daemon/src/process/health.rs
+++ b/components/daemon/src/process/health.rs
@@ -2,7 +2,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use cloud::vms::{Kind as VmKind, State};
+use cloud::vms::{VmKind, VmState};
 use settings::tree::resolve::ServiceKind;
 use telemetry::timeline::Kind;
 
@@ -21,7 +21,7 @@
             for pool in process.all_pools() {
                 for entry in pool.snapshot() {
                     let leaving = vms.iter().any(|vm| {
-                        vm.address == entry.endpoint.address && vm.state == State::Leaving
+                        vm.address == entry.endpoint.address && vm.state == VmState::Leaving
                     });
                     pool.with_entry(&entry.id, |entry| entry.leaving = leaving);
                 }
@@ -54,14 +54,14 @@
     let Some(current) = process.current.get() else {
         return Vec::new();
     };
-    let with_engines = |pool: &Arc<Pool>| {
+    let has_engines = |pool: &Arc<Pool>| {
         let service = current.resolved.service(&pool.service);
         service.is_some_and(|service| service.kind == ServiceKind::Engines)
     };
     process
         .all_pools()
         .into_iter()
-        .filter(with_engines)
+        .filter(has_engines)
         .flat_map(|pool| {
             let entries = pool.snapshot();
             entries
--- a/components/daemon/src/process/heartbeat.rs
+++ b/components/daemon/src/process/heartbeat.rs
@@ -3,7 +3,7 @@
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
-use telemetry::timeline::{Kind, Time};
+use telemetry::timeline::{HybridTime, Kind};
 use wire::{Heartbeat, Usage};
 
 use super::{Phase, Process, lock, settings_sync};
@@ -89,7 +89,7 @@
 
 /// Records a peer's heartbeat, and fetches the peer's settings if they are newer.
 pub fn receive(process: &Arc<Process>, heartbeat: &Heartbeat) {
-    process.timeline.observe(Time {
+    process.timeline.observe(HybridTime {
         physical_ms: heartbeat.clock_ms,
         logical: heartbeat.clock_logical,
     });
--- a/components/daemon/src/process/members.rs
+++ b/components/daemon/src/process/members.rs
@@ -53,14 +53,14 @@
 }
 
 /// Maximum number of peers that get a heartbeat per round; with more members the rounds rotate.
-pub const FAN_OUT: usize = 8;
+pub const MAX_HEARTBEATS_PER_ROUND: usize = 8;
 /// How long a member is kept that sends no heartbeats and is not in the VM list.
-const FORGET_AFTER: Duration = Duration::from_secs(600);
+const MEMBER_RETENTION: Duration = Duration::from_secs(600);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// Interval and timeout of keep-alive probes while a call to a peer is pending. A call fails when its peer
 /// stops responding rather than after a fixed time, because the duration of a call depends on the size of
 /// the response and on the link.
-const KEEP_ALIVE: Duration = Duration::from_secs(1);
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
 impl Members {
     /// Members of which only the seeds' addresses are known.
@@ -107,17 +107,17 @@
             Err(at) => state.members.insert(at, member),
         }
         for known in &heartbeat.known {
-            self.add_to(&mut state, known);
+            self.add_member(&mut state, known);
         }
-        take_new_usage(&mut state, incarnation, &heartbeat.usages)
+        update_usage(&mut state, incarnation, &heartbeat.usages)
     }
 
     /// Adds a member that another daemon has advertised.
     pub fn add_advertised(&self, member: &wire::Member) {
-        self.add_to(&mut self.lock(), member);
+        self.add_member(&mut self.lock(), member);
     }
 
-    fn add_to(&self, state: &mut State, member: &wire::Member) {
+    fn add_member(&self, state: &mut State, member: &wire::Member) {
         let Some((incarnation, address, data_centre)) = parse_member(Some(member)) else {
             return;
         };
@@ -146,7 +146,7 @@
         let listed = |address| vms.iter().any(|vm| vm.address == address);
         state.members.retain(|member| {
             let last_seen = member.last_heartbeat.unwrap_or(member.known_since);
-            listed(member.address) || last_seen.elapsed() < FORGET_AFTER
+            listed(member.address) || last_seen.elapsed() < MEMBER_RETENTION
         });
         let State {
             members, usages, ..
@@ -204,10 +204,10 @@
     /// The addresses for a round of heartbeats: all if they are few, else a section that rotates.
     pub fn heartbeat_targets(&self, own: SocketAddr, round: usize) -> Vec<SocketAddr> {
         let mut targets = self.addresses(own);
-        if targets.len() > FAN_OUT {
-            let start = (round * FAN_OUT) % targets.len();
+        if targets.len() > MAX_HEARTBEATS_PER_ROUND {
+            let start = (round * MAX_HEARTBEATS_PER_ROUND) % targets.len();
             targets.rotate_left(start);
-            targets.truncate(FAN_OUT);
+            targets.truncate(MAX_HEARTBEATS_PER_ROUND);
         }
         targets
     }
@@ -240,8 +240,8 @@
                 let endpoint = Endpoint::from_shared(format!("http://{address}")).ok()?;
                 let channel = endpoint
                     .connect_timeout(CONNECT_TIMEOUT)
-                    .http2_keep_alive_interval(KEEP_ALIVE)
-                    .keep_alive_timeout(KEEP_ALIVE)
+                    .http2_keep_alive_interval(KEEP_ALIVE_INTERVAL)
+                    .keep_alive_timeout(KEEP_ALIVE_INTERVAL)
                     .connect_lazy();
                 state.channels.insert(at, (address, channel));
                 at
@@ -271,7 +271,7 @@
 
 /// Updates the usage counters of a member and returns the increases. Counters never decrease, so the
 /// highest one received is right in whatever order messages arrive.
-fn take_new_usage(state: &mut State, incarnation: Incarnation, usages: &[Usage]) -> Vec<Usage> {
+fn update_usage(state: &mut State, incarnation: Incarnation, usages: &[Usage]) -> Vec<Usage> {
     let mut new = Vec::new();
     for usage in usages {
         let key = (incarnation, usage.group.clone());
--- a/components/daemon/src/process/mod.rs
+++ b/components/daemon/src/process/mod.rs
@@ -25,7 +25,7 @@
 };
 
 use cloud::{table, vms};
-use endpoint::{engine::Engine, service::Service};
+use endpoint::{engine::EngineClient, service::ServiceClient};
 use policy::retry::Budget;
 use protocol::Incarnation;
 use settings::daemon::Settings;
@@ -83,7 +83,7 @@
     pub metrics: Metrics,
     /// The table for data that must survive the process.
     pub store: Store,
-    vms: Box<dyn vms::List>,
+    vms: Box<dyn vms::VmList>,
     /// The settings version in force.
     pub current: Current,
     /// Held while settings are fetched from a peer.
@@ -98,9 +98,9 @@
     pub claims: Claims,
     pub retry_budget: Mutex<Budget>,
     /// The client for engines.
-    pub engine: Engine,
+    pub engine: EngineClient,
     /// The client for plain services.
-    pub service: Service,
+    pub service: ServiceClient,
     /// The phase of a graceful shutdown.
     pub phase: watch::Sender<Phase>,
     /// The number of requests in flight; a graceful shutdown waits until it is zero.
@@ -259,14 +259,14 @@
     let incarnation = Incarnation(rand::random());
     let control = &settings.control;
     let timeout: Duration = control.table_timeout.into();
-    let table = table::Http::new(settings.platform.table, timeout);
+    let table = table::HttpTable::new(settings.platform.table, timeout);
     let heartbeat: Duration = control.heartbeat.into();
     let seeds = settings.daemon.seeds.clone();
     Ok(Process {
         incarnation,
         addresses,
         store: Store::new(Box::new(table), timeline.clone(), metrics.clone()),
-        vms: Box::new(vms::Http::new(settings.platform.vms, timeout)),
+        vms: Box::new(vms::HttpVmList::new(settings.platform.vms, timeout)),
         timeline,
         metrics,
         current: Current::new(),
@@ -276,8 +276,8 @@
         pools: Mutex::default(),
         claims: Claims::default(),
         retry_budget: Mutex::new(Budget::default()),
-        engine: Engine::default(),
-        service: Service::default(),
+        engine: EngineClient::default(),
+        service: ServiceClient::default(),
         phase: watch::Sender::new(Phase::Serving),
         in_flight: watch::Sender::new(0),
         buffered_bytes: Arc::default(),
--- a/components/daemon/src/process/operators.rs
+++ b/components/daemon/src/process/operators.rs
@@ -61,7 +61,7 @@
     ) -> Result<Response<CommitReply>, Status> {
         self.authenticate(&request.get_ref().token)?;
         let request = request.into_inner();
-        let edits: Vec<Edit> = request.edits.iter().map(from_wire).collect();
+        let edits: Vec<Edit> = request.edits.iter().map(edit_from_wire).collect();
         if !settings_sync::update_from_table(&self.0).await {
             return Err(Status::unavailable(
                 "the table service does not answer; nothing was changed, try again later",
@@ -70,10 +70,12 @@
         for _ in 0..MAX_COMMIT_ATTEMPTS {
             let current = self.current_settings()?;
             if request.base != 0 && request.base != current.tree.version {
-                return Ok(Response::new(conflict(&self.0, request.base + 1).await));
+                return Ok(Response::new(
+                    conflict_reply(&self.0, request.base + 1).await,
+                ));
             }
             match current.tree.apply(&edits) {
-                Err(problems) => return Ok(Response::new(rejected(&problems))),
+                Err(problems) => return Ok(Response::new(rejection_reply(&problems))),
                 Ok(_) if request.dry_run => return Ok(Response::new(CommitReply::default())),
                 Ok(next) => {
                     if let Some(reply) = try_commit(&self.0, next, &edits, &request.operator).await
@@ -85,7 +87,7 @@
             settings_sync::update_from_table(&self.0).await;
         }
         let newest = self.0.current.number();
-        Ok(Response::new(conflict(&self.0, newest).await))
+        Ok(Response::new(conflict_reply(&self.0, newest).await))
     }
 
     async fn log(&self, request: Request<LogRequest>) -> Result<Response<LogReply>, Status> {
@@ -114,7 +116,7 @@
         let changes = rows
             .iter()
             .filter_map(|row| store::parse::<Change>(Some(row)))
-            .map(|change| to_conflict(&change));
+            .map(|change| change_to_wire(&change));
         Ok(Response::new(LogReply {
             changes: changes.collect(),
         }))
@@ -255,7 +257,7 @@
     }
 }
 
-fn rejected(problems: &[Problem]) -> CommitReply {
+fn rejection_reply(problems: &[Problem]) -> CommitReply {
     CommitReply {
         problems: problems.iter().map(ToString::to_string).collect(),
         ..CommitReply::default()
@@ -263,7 +265,7 @@
 }
 
 /// The reply that shows the change which was committed first.
-async fn conflict(process: &Process, version: u64) -> CommitReply {
+async fn conflict_reply(process: &Process, version: u64) -> CommitReply {
     let key = settings_sync::log_key(version);
     let rows = process
         .store
@@ -277,21 +279,21 @@
                 version,
                 ..Conflict::default()
             },
-            to_conflict,
+            change_to_wire,
         )),
         ..CommitReply::default()
     }
 }
 
-fn to_conflict(change: &Change) -> Conflict {
+fn change_to_wire(change: &Change) -> Conflict {
     Conflict {
         version: change.version,
         operator: change.operator.clone(),
-        edits: change.edits.iter().map(to_wire).collect(),
+        edits: change.edits.iter().map(edit_to_wire).collect(),
     }
 }
 
-fn from_wire(edit: &wire::Edit) -> Edit {
+fn edit_from_wire(edit: &wire::Edit) -> Edit {
     let path = edit.path.clone();
     let key = edit.key.clone();
     match &edit.value {
@@ -305,7 +307,7 @@
     }
 }
 
-fn to_wire(edit: &Edit) -> wire::Edit {
+fn edit_to_wire(edit: &Edit) -> wire::Edit {
     let (key, value) = match edit {
         Edit::Set { key, value, .. } => (key.clone(), Some(value.clone())),
         Edit::Unset { key, .. } => (key.clone(), None),
--- a/components/daemon/src/process/orders/mod.rs
+++ b/components/daemon/src/process/orders/mod.rs
@@ -39,14 +39,14 @@
     /// The wanted state.
     pub wanted: Wanted,
     /// Key and version of the operator's row.
-    pub row: Option<(String, u64)>,
+    pub operator_row: Option<(String, u64)>,
 }
 
 /// The next action for an endpoint. Rows come with the version that they replace.
 #[derive(Clone, Debug)]
 pub enum Task {
     /// Close the endpoint at all daemons, then send the order.
-    Close(ChangeRequest, Row, u64),
+    CloseAndOrder(ChangeRequest, Row, u64),
     /// Nothing was sent: open the endpoint again.
     Reopen(Id, Row, u64),
     /// Send the same order again.
@@ -84,7 +84,7 @@
                 send(process, held, &request, &row, version).await;
             }
         }
-        Task::Close(request, row, version) => {
+        Task::CloseAndOrder(request, row, version) => {
             close_and_send(process, held, request, row, version).await;
         }
     }
@@ -196,15 +196,15 @@
         withdraw_sender(process, &request.id, row.number).await;
         return;
     }
-    let ended = match process.engine.order(address, &order, ORDER_TIMEOUT).await {
+    let outcome = match process.engine.order(address, &order, ORDER_TIMEOUT).await {
         Ok(()) => CallOutcome::Reached,
         Err(Failure::NotSent | Failure::Refused(_)) => CallOutcome::NotReached,
         Err(Failure::Lost) => find_outcome(process, address, row, boot).await,
     };
-    if ended == CallOutcome::Lost {
+    if outcome == CallOutcome::Lost {
         process.record_lost_order(&request.id, row.number);
     }
-    let next = order::outcome_row(row, ended);
+    let next = order::outcome_row(row, outcome);
     let mut backoff = REPORT_POLL_INTERVAL;
     // the outcome is certain, so it is worth retrying the commit until the table recovers
     let mut committed = false;
@@ -218,14 +218,14 @@
         tokio::time::sleep(backoff).await;
         backoff *= 2;
     }
-    if !committed && ended != CallOutcome::Lost {
+    if !committed && outcome != CallOutcome::Lost {
         withdraw_sender(process, &request.id, row.number).await;
     }
-    if !next.blocks_dispatch(ended == CallOutcome::Reached) {
+    if !next.blocks_dispatch(outcome == CallOutcome::Reached) {
         announce_outcome(process, &request.id, row.number).await;
     }
     // an order of a former steward is completed first; a different request is handled by the next task
-    if ended == CallOutcome::Reached && row.wanted == request.wanted {
+    if outcome == CallOutcome::Reached && row.wanted == request.wanted {
         remove_request(process, held, request).await;
     }
 }
@@ -247,9 +247,9 @@
     let Some(mut row) = store::parse::<Row>(found) else {
         return;
     };
-    let position = row.earlier.binary_search(&process.incarnation);
+    let position = row.possible_senders.binary_search(&process.incarnation);
     if let (true, Ok(at)) = (row.number == number, position) {
-        row.earlier.remove(at);
+        row.possible_senders.remove(at);
         let transaction = Transaction::default()
             .check(&key, store::version_of(found))
             .write(&key, store::to_json(&row));
@@ -296,7 +296,7 @@
 
 /// Removes the operator's row once the requested state is reached.
 async fn remove_request(process: &Process, held: &HeldLease, request: &ChangeRequest) {
-    let Some((key, version)) = &request.row else {
+    let Some((key, version)) = &request.operator_row else {
         return;
     };
     let transaction = Transaction::default()
@@ -352,7 +352,7 @@
             let Some(row) = store::parse::<Row>(found) else {
                 continue;
             };
-            let reached = registration::is_fulfilled(&process, &id, &row);
+            let reached = registration::has_wanted_state(&process, &id, &row);
             match () {
                 () if row.number < number => {}
                 () if row.blocks_dispatch(reached) => process.gates.close(&id, row.number),
--- a/components/daemon/src/process/pool/mod.rs
+++ b/components/daemon/src/process/pool/mod.rs
@@ -37,7 +37,7 @@
 /// Number of requests decoding together that the work of a response is estimated with.
 const TYPICAL_BATCH_REQUESTS: u64 = 16;
 /// Retry delay given to refused callers while no wait can be estimated.
-const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(2);
+const NO_ENDPOINT_RETRY_AFTER: Duration = Duration::from_secs(2);
 
 /// The requirements of a request for placement.
 #[derive(Clone, Debug)]
@@ -199,7 +199,7 @@
         if now + wait + service > requirements.deadline || now + wait > requirements.start_by {
             return Err(if engines == 0 {
                 PlacementError::NoEndpoint {
-                    retry_after: DEFAULT_RETRY_AFTER,
+                    retry_after: NO_ENDPOINT_RETRY_AFTER,
                 }
             } else {
                 PlacementError::WouldMissDeadline {
@@ -343,7 +343,7 @@
             .collect();
         drop(entries);
         route::estimate_shortest_wait(&candidates, &self.weights)
-            .map_or(DEFAULT_RETRY_AFTER, |us| {
+            .map_or(NO_ENDPOINT_RETRY_AFTER, |us| {
                 Duration::from_micros(to_u64(us)).max(Duration::from_secs(1))
             })
     }
@@ -360,7 +360,7 @@
     }
 
     /// Records the length of a complete response.
-    pub fn record_output(&self, group: &str, output: u64) {
+    pub fn record_output_length(&self, group: &str, output: u64) {
         let mut queue = self.queue();
         if let Ok(at) = queue
             .groups
--- a/components/daemon/src/process/registration.rs
+++ b/components/daemon/src/process/registration.rs
@@ -80,7 +80,7 @@
     if committed.is_err() {
         return false;
     }
-    close_gates(process).await
+    close_gates_under_order(process).await
 }
 
 /// Row keys of earlier incarnations at the same address. They are gone, because only one process can listen
@@ -93,7 +93,7 @@
         .collect()
 }
 
-async fn close_gates(process: &Process) -> bool {
+async fn close_gates_under_order(process: &Process) -> bool {
     let Ok(rows) = process.store.read(by_prefix(super::orders::PREFIX)).await else {
         return false;
     };
@@ -104,7 +104,7 @@
         ) else {
             continue;
         };
-        if order.blocks_dispatch(is_fulfilled(process, &id, &order)) {
+        if order.blocks_dispatch(has_wanted_state(process, &id, &order)) {
             process.gates.close(&id, order.number);
         }
     }
@@ -112,7 +112,7 @@
 }
 
 /// Whether the endpoint's own report shows that it has the state wanted by the order.
-pub fn is_fulfilled(process: &Process, id: &Id, order: &order::Row) -> bool {
+pub fn has_wanted_state(process: &Process, id: &Id, order: &order::Row) -> bool {
     process.all_pools().iter().any(|pool| {
         pool.with_entry(id, |entry| {
             entry.report.as_ref().is_some_and(|(report, _)| {
--- a/components/daemon/src/process/settings_sync.rs
+++ b/components/daemon/src/process/settings_sync.rs
@@ -26,7 +26,7 @@
 /// Prefix of the row keys of changes.
 pub const LOG_PREFIX: &str = "settings/log/";
 /// Maximum number of changes that are fetched one by one; beyond it the whole tree is read.
-const MAX_REPLAYED_CHANGES: u64 = 64;
+const MAX_FETCHED_CHANGES: u64 = 64;
 /// Number of daemons per data centre that poll the head row at the full rate; the others learn of new
 /// versions through heartbeats and poll less often.
 const POLLERS_PER_DATA_CENTRE: usize = 2;
@@ -53,11 +53,11 @@
         .wait_for(|state| *state != registration::State::Registering)
         .await;
     loop {
-        let first = process.current.get().is_none();
+        let has_no_settings = process.current.get().is_none();
         let registered = *process.registration.borrow() == registration::State::Registered;
         match () {
-            () if first && !registered => update_from_peers(&process).await,
-            () if !first && !is_poller(&process) && Instant::now() < next_slow_poll => {}
+            () if has_no_settings && !registered => update_from_peers(&process).await,
+            () if !has_no_settings && !is_poller(&process) && Instant::now() < next_slow_poll => {}
             () => {
                 next_slow_poll = Instant::now() + interval * NON_POLLER_INTERVAL_FACTOR;
                 update_from_table(&process).await;
@@ -88,8 +88,8 @@
     let head: Head = store::parse(store::find(&head, HEAD_KEY)).unwrap_or_default();
     match process.current.get() {
         Some(current) if head.version <= current.tree.version => true,
-        Some(current) if head.version - current.tree.version <= MAX_REPLAYED_CHANGES => {
-            match replay(process, &current.tree, head.version).await {
+        Some(current) if head.version - current.tree.version <= MAX_FETCHED_CHANGES => {
+            match apply_changes(process, &current.tree, head.version).await {
                 Some(tree) => {
                     apply(process, tree);
                     true
@@ -102,7 +102,7 @@
 }
 
 /// Applies the changes up to a version to `tree`; `None` if one of them cannot be read or applied.
-async fn replay(process: &Process, tree: &Tree, to: u64) -> Option<Tree> {
+async fn apply_changes(process: &Process, tree: &Tree, to: u64) -> Option<Tree> {
     let keys: Vec<String> = (tree.version + 1..=to).map(log_key).collect();
     let read = Read {
         keys: keys.clone(),
--- a/components/daemon/src/process/steward/mod.rs
+++ b/components/daemon/src/process/steward/mod.rs
@@ -11,7 +11,7 @@
 
 use cloud::table::{Outcome, Read, Row, Transaction};
 use protocol::{
-    lease::{self, Lease, Renewal, Watch},
+    lease::{self, Lease, Renewal, RenewalWatch},
     millis,
 };
 use settings::tree::resolve::ServiceKind;
@@ -39,7 +39,7 @@
 /// The state of one stewardship, whether this daemon holds it or not.
 struct Stewardship {
     service: String,
-    watch: Option<Watch>,
+    watch: Option<RenewalWatch>,
     held: Option<HeldLease>,
     /// How long this daemon may act without another renewal.
     valid_until: Instant,
@@ -140,7 +140,7 @@
     let renewal_row = find(&rows, &renewal_key);
     let lease: Option<Lease> = store::parse(lease_row);
     let renewal: Renewal = store::parse(renewal_row).unwrap_or_default();
-    let (held, lapsed) = observe(process, service, lease, renewal);
+    let (held, expired) = observe_lease(process, service, lease, renewal);
     let row_versions = (store::version_of(lease_row), store::version_of(renewal_row));
     match (held, lease) {
         (Some(held), Some(lease)) if held.version == row_versions.0 => {
@@ -156,8 +156,8 @@
                 start_next_task(process, service, &held, &rows);
             }
         }
-        (Some(_), _) => record_loss(process, service),
-        (None, _) if lapsed => {
+        (Some(_), _) => record_lost_stewardship(process, service),
+        (None, _) if expired => {
             take_over(
                 process,
                 service,
@@ -173,7 +173,7 @@
 
 /// Records a read of the lease. Returns the lease held by this daemon and whether the current holder may be
 /// replaced.
-fn observe(
+fn observe_lease(
     process: &Process,
     service: &str,
     lease: Option<Lease>,
@@ -194,10 +194,10 @@
     stewardship.last_lease = lease;
     let watch = stewardship
         .watch
-        .get_or_insert_with(|| Watch::new(renewal, now_ms));
+        .get_or_insert_with(|| RenewalWatch::new(renewal, now_ms));
     watch.observe(renewal, now_ms);
-    let lapsed = watch.is_expired(lease.as_ref(), now_ms, millis(term));
-    (stewardship.held.clone(), lapsed)
+    let expired = watch.is_expired(lease.as_ref(), now_ms, millis(term));
+    (stewardship.held.clone(), expired)
 }
 
 impl Stewardship {
@@ -290,7 +290,7 @@
     .unwrap_or(false)
 }
 
-fn record_loss(process: &Process, service: &str) {
+fn record_lost_stewardship(process: &Process, service: &str) {
     with_stewardship(process, service, |stewardship| {
         stewardship.held = None;
         stewardship.watch = None;
--- a/components/daemon/src/process/steward/planner.rs
+++ b/components/daemon/src/process/steward/planner.rs
@@ -141,7 +141,7 @@
                 role: to,
                 ..holds.clone()
             },
-            row: None,
+            operator_row: None,
         };
         let task = next_task(process, held, rows, request)?;
         self.last_change = Some(Instant::now());
@@ -158,7 +158,7 @@
         let request = ChangeRequest {
             id,
             wanted: previous.wanted.clone(),
-            row: None,
+            operator_row: None,
         };
         (unfinished && is_in_pool(process, held, &request.id))
             .then(|| next_task(process, held, rows, request))
@@ -202,7 +202,7 @@
             Some(ChangeRequest {
                 id,
                 wanted: store::parse(Some(row))?,
-                row: Some((row.key.clone(), row.version)),
+                operator_row: Some((row.key.clone(), row.version)),
             })
         })
         .collect()
@@ -234,18 +234,18 @@
     // a registration is removed only by its own daemon or once that daemon is known to be gone
     let gone = |other: Incarnation| !registered.contains(&other);
     let number = previous.as_ref().map_or(0, |previous| previous.number);
-    let settled = !process.is_lost_order(&request.id, number);
+    let no_copy_in_flight = !process.is_lost_order(&request.id, number);
     let next = order::next_step(
         previous.as_ref(),
         &request.wanted,
         process.incarnation,
         held.epoch,
         fences,
-        settled,
+        no_copy_in_flight,
         gone,
     );
     match next {
-        Step::Nothing if request.row.is_some() => Some(Task::Fulfilled(request)),
+        Step::Nothing if request.operator_row.is_some() => Some(Task::Fulfilled(request)),
         Step::Nothing => None,
         Step::Wait(sender) => {
             log::info!(
@@ -254,7 +254,7 @@
             );
             None
         }
-        Step::Close(row) => Some(Task::Close(request, row, store::version_of(found))),
+        Step::Close(row) => Some(Task::CloseAndOrder(request, row, store::version_of(found))),
         Step::Reopen(row) => Some(Task::Reopen(request.id, row, store::version_of(found))),
         Step::Resend(row) => Some(Task::Resend(request, row, store::version_of(found))),
     }
--- a/components/daemon/src/request/body.rs
+++ b/components/daemon/src/request/body.rs
@@ -18,7 +18,7 @@
 };
 
 /// `Retry-After` of a request that is refused because the memory for bodies is full.
-const RETRY_AFTER: Duration = Duration::from_secs(1);
+const BUFFERS_FULL_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Memory reserved for the body of a request in flight; released on drop.
 #[derive(Debug)]
@@ -62,7 +62,7 @@
     };
     let reservation =
         Reservation::reserve(&process.buffered_bytes, bytes.len(), limits.queue_bytes);
-    context.body_reservation = Some(reservation.ok_or(Reason::Full(RETRY_AFTER))?);
-    context.exchange.received();
+    context.body_reservation = Some(reservation.ok_or(Reason::Full(BUFFERS_FULL_RETRY_AFTER))?);
+    context.exchange.body_received();
     Ok(bytes)
 }
--- a/components/daemon/src/request/chat.rs
+++ b/components/daemon/src/request/chat.rs
@@ -149,10 +149,10 @@
         .resolved
         .service(&model.service)
         .map_or(RetryPolicy::Never, |service| service.retry_policy);
-    let weights = format!("{}/{}/{}", model.name, model.adapter, model.version);
-    let need = Requirements {
+    let model_id = format!("{}/{}/{}", model.name, model.adapter, model.version);
+    let requirements = Requirements {
         group: caller.group,
-        blocks: prefix::block_hashes(&weights, &prompt),
+        blocks: prefix::block_hashes(&model_id, &prompt),
         model: (
             model.name.clone(),
             model.adapter.clone(),
@@ -167,12 +167,12 @@
     };
     context.record(
         Kind::Admitted,
-        format!("{} for {}", model.name, need.group.1),
+        format!("{} for {}", model.name, requirements.group.1),
     );
     Ok(Job {
         context,
         pool,
-        need,
+        requirements,
         prompt,
         retry_policy,
     })
--- a/components/daemon/src/request/generate/attempt.rs
+++ b/components/daemon/src/request/generate/attempt.rs
@@ -5,7 +5,7 @@
     time::{Duration, Instant},
 };
 
-use endpoint::engine::{Engine, Frames};
+use endpoint::engine::{EngineClient, Frames};
 
 use crate::process::{gates::Id, pool::Grant};
 
@@ -23,7 +23,7 @@
 
 /// Cancels an attempt at its engine if it is dropped before the attempt has finished.
 pub(super) struct CancelGuard {
-    pub(super) engine: Engine,
+    pub(super) engine: EngineClient,
     pub(super) address: SocketAddr,
     pub(super) attempt: u64,
     pub(super) finished: bool,
--- a/components/daemon/src/request/generate/mod.rs
+++ b/components/daemon/src/request/generate/mod.rs
@@ -65,7 +65,7 @@
     /// Endpoints of the service.
     pub pool: Arc<Pool>,
     /// Requirements for placement.
-    pub need: Requirements,
+    pub requirements: Requirements,
     /// Prompt as text.
     pub prompt: String,
     /// Whether a failed attempt may be retried.
@@ -120,7 +120,7 @@
                 self.start_attempt().await?;
                 continue;
             };
-            let deadline = self.job.need.deadline;
+            let deadline = self.job.requirements.deadline;
             let frame = tokio::time::timeout_at(deadline.into(), current.frames.next()).await;
             match frame {
                 Ok(Ok(Some(frame))) => {
@@ -144,7 +144,7 @@
     async fn start_attempt(&mut self) -> Result<(), Aborted> {
         self.attempts += 1;
         let queued_at = Instant::now();
-        let placed = self.job.pool.place(self.job.need.clone()).await;
+        let placed = self.job.pool.place(self.job.requirements.clone()).await;
         let metrics = &self.job.context.process.metrics;
         metrics
             .queue_time
@@ -175,16 +175,16 @@
         export: bool,
     ) -> Result<(), Aborted> {
         let attempt: u64 = rand::random();
-        let need = &self.job.need;
-        let (model, adapter, version) = need.model.clone();
+        let requirements = &self.job.requirements;
+        let (model, adapter, version) = requirements.model.clone();
         let generate = Generate {
             attempt,
             model,
             adapter,
             version,
             prompt: self.job.prompt.clone(),
-            max_tokens: need.max_output_tokens,
-            priority: need.priority,
+            max_tokens: requirements.max_output_tokens,
+            priority: requirements.priority,
             resume_from: self.assembler.offset(),
             resume_text: self.text.clone(),
             import,
@@ -197,7 +197,7 @@
             format!("attempt {attempt:016x} to {}", endpoint.0),
         );
         let sent_at = Instant::now();
-        let deadline = self.job.need.deadline;
+        let deadline = self.job.requirements.deadline;
         let answer = engine.generate(endpoint.1, &generate);
         match tokio::time::timeout_at(deadline.into(), answer).await {
             Ok(Ok(frames)) => {
@@ -229,7 +229,8 @@
         let exported = frame
             .done
             .is_some_and(|done| done.reason == FinishReason::Exported);
-        let at_limit = self.assembler.offset() + frame.tokens >= self.job.need.max_output_tokens;
+        let at_limit =
+            self.assembler.offset() + frame.tokens >= self.job.requirements.max_output_tokens;
         let last = frame.done.is_some() && (!exported || at_limit);
         let verdict = self
             .assembler
@@ -268,7 +269,7 @@
 
     /// Labels of this answer's metrics: service and group.
     fn metric_labels(&self) -> [&str; 2] {
-        [&self.job.pool.service, &self.job.need.group.1]
+        [&self.job.pool.service, &self.job.requirements.group.1]
     }
 
     fn count_dropped_frame(&self, verdict: Verdict) {
@@ -289,7 +290,7 @@
         let kv = KvSource {
             address: current.endpoint.1,
             attempt: current.cancel.attempt,
-            tokens: self.job.need.prompt_tokens,
+            tokens: self.job.requirements.prompt_tokens,
         };
         let Some(second) = current.grant.second() else {
             return Ok(());
--- a/components/daemon/src/request/generate/outcome.rs
+++ b/components/daemon/src/request/generate/outcome.rs
@@ -25,8 +25,8 @@
         current.last_frame_at = now;
         if is_first {
             current.grant.finish_prefill();
-            let prompt = self.job.need.prompt_tokens;
-            let blocks = &self.job.need.blocks;
+            let prompt = self.job.requirements.prompt_tokens;
+            let blocks = &self.job.requirements.blocks;
             self.job.pool.with_entry(&current.endpoint.0, |entry| {
                 // with other prompts in prefill the time isn't due to this one alone
                 if entry.prefill_tokens.iter().all(|tokens| *tokens == 0) {
@@ -64,13 +64,13 @@
         let context = &self.job.context;
         let tokens = self.assembler.offset();
         let service = &self.job.pool.service;
-        let group = &self.job.need.group.1;
+        let group = &self.job.requirements.group.1;
         context.record(Kind::Finished, format!("{tokens} tokens"));
-        self.job.pool.record_output(group, tokens);
+        self.job.pool.record_output_length(group, tokens);
         let process = &context.process;
         process.record_usage(
             group,
-            pool::estimate_work(self.job.need.prompt_tokens, tokens),
+            pool::estimate_work(self.job.requirements.prompt_tokens, tokens),
         );
         lock(&process.retry_budget).record_success();
         let metrics = &process.metrics;
@@ -105,12 +105,12 @@
             FailureClass::MaybeExecuted
         };
         self.job.pool.with_entry(failed, pool::Entry::quarantine);
-        self.job.need.avoid.push(failed.clone());
+        self.job.requirements.avoid.push(failed.clone());
         // only the first attempt is bound by `start_by`; a retry has until the deadline
-        self.job.need.start_by = self.job.need.deadline;
+        self.job.requirements.start_by = self.job.requirements.deadline;
         let time_left = self
             .job
-            .need
+            .requirements
             .deadline
             .saturating_duration_since(Instant::now());
         let process = &self.job.context.process;
@@ -159,7 +159,7 @@
         context.record(Kind::Broken, reason.to_string());
         let labels = [
             self.job.pool.service.as_str(),
-            self.job.need.group.1.as_str(),
+            self.job.requirements.group.1.as_str(),
             "broken",
         ];
         let metrics = &context.process.metrics;
--- a/components/daemon/src/request/idempotency.rs
+++ b/components/daemon/src/request/idempotency.rs
@@ -106,10 +106,10 @@
     claim: ClaimGuard,
     answer: EndpointResponse,
 ) -> Result<Response<Body>, Refusal> {
-    let EndpointResponse { response, hold } = answer;
+    let EndpointResponse { response, guard } = answer;
     let (head, incoming) = response.into_parts();
     let collected = tokio::time::timeout_at(call.caller.deadline.into(), incoming.collect()).await;
-    drop(hold);
+    drop(guard);
     // without a complete answer the outcome of the claim is unknown; dropping the claim records
     // that
     let Ok(Ok(collected)) = collected else {
@@ -117,10 +117,10 @@
     };
     let bytes = collected.to_bytes();
     claim.executed(recorded_response(head.status, &head.headers, &bytes));
-    call.record_outcome("answered");
+    call.record_answered("answered");
     let mut response = Response::new(full_body(bytes));
     *response.status_mut() = head.status;
-    *response.headers_mut() = endpoint::service::end_to_end(&head.headers);
+    *response.headers_mut() = endpoint::service::forwarded_headers(&head.headers);
     Ok(response)
 }
 
--- a/components/daemon/src/request/plain.rs
+++ b/components/daemon/src/request/plain.rs
@@ -3,7 +3,7 @@
 use std::time::Instant;
 
 use bytes::Bytes;
-use endpoint::{Failure, service::end_to_end};
+use endpoint::{Failure, service::forwarded_headers};
 use futures::StreamExt;
 use http_body_util::BodyDataStream;
 use hyper::{HeaderMap, Method, Request, Response, body::Incoming};
@@ -57,7 +57,7 @@
     /// Headers, and the body as it is received.
     pub response: Response<Incoming>,
     /// Counts the request at its endpoint until the body has been received.
-    pub hold: RequestGuard,
+    pub guard: RequestGuard,
 }
 
 /// Serves one request.
@@ -121,13 +121,13 @@
     pub async fn send(&self) -> Result<EndpointResponse, Refusal> {
         let mut avoid: Vec<Id> = Vec::new();
         for attempt in 1.. {
-            let Some((entry, hold)) = self.select_endpoint(&avoid) else {
+            let Some((entry, guard)) = self.select_endpoint(&avoid) else {
                 break;
             };
             match self.send_attempt(&entry).await {
-                Ok(response) => return Ok(EndpointResponse { response, hold }),
+                Ok(response) => return Ok(EndpointResponse { response, guard }),
                 Err(failure) => {
-                    drop(hold);
+                    drop(guard);
                     self.check_retry(&entry.id, failure, attempt)?;
                     avoid.push(entry.id);
                 }
@@ -154,8 +154,8 @@
             )
         });
         entries.into_iter().find_map(|entry| {
-            let hold = process.gates.try_acquire(&entry.id)?;
-            Some((entry, hold))
+            let guard = process.gates.try_acquire(&entry.id)?;
+            Some((entry, guard))
         })
     }
 
@@ -211,27 +211,27 @@
     /// Streams an answer to the caller. If the endpoint's transfer breaks off, so does the
     /// caller's.
     pub fn forward(self, answer: EndpointResponse) -> Response<Body> {
-        let EndpointResponse { response, hold } = answer;
+        let EndpointResponse { response, guard } = answer;
         let (head, body) = response.into_parts();
-        self.record_outcome("answered");
+        self.record_answered("answered");
         let aborted = Aborted {
             request: self.context.id.clone(),
             reason: Reason::AnswerLost,
         };
         // the request counts as in flight, here and at the endpoint, until its last chunk is sent
-        let guards = (self, hold);
+        let guards = (self, guard);
         let chunks = BodyDataStream::new(body).map(move |chunk| {
             let _ = &guards;
             chunk.map_err(|_| aborted.clone())
         });
         let mut response = Response::new(super::stream_body(chunks));
         *response.status_mut() = head.status;
-        *response.headers_mut() = end_to_end(&head.headers);
+        *response.headers_mut() = forwarded_headers(&head.headers);
         response
     }
 
     /// Records the outcome of the request in the timeline, the metrics and the retry budget.
-    pub fn record_outcome(&self, outcome: &str) {
+    pub fn record_answered(&self, outcome: &str) {
         let process = &self.context.process;
         lock(&process.retry_budget).record_success();
         self.context.record(Kind::Finished, outcome);
--- a/components/endpoint/src/engine/adapter.rs
+++ b/components/endpoint/src/engine/adapter.rs
@@ -14,11 +14,11 @@
 
 /// Client of engines over HTTP; one instance serves all engines.
 #[derive(Clone, Debug, Default)]
-pub struct Engine {
+pub struct EngineClient {
     client: call::Client,
 }
 
-impl Engine {
+impl EngineClient {
     /// Starts an attempt.
     ///
     /// # Errors
--- a/components/endpoint/src/engine/mod.rs
+++ b/components/endpoint/src/engine/mod.rs
@@ -6,7 +6,7 @@
 use protocol::order::{Role, Wanted};
 use serde::{Deserialize, Serialize};
 
-pub use adapter::{Engine, Frames};
+pub use adapter::{EngineClient, Frames};
 
 /// One attempt of a request to an engine.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
--- a/components/endpoint/src/engine/prefix.rs
+++ b/components/endpoint/src/engine/prefix.rs
@@ -15,11 +15,11 @@
     u64::try_from(text.len().div_ceil(BYTES_PER_TOKEN).max(1)).unwrap_or(u64::MAX)
 }
 
-/// Returns the chained hashes of the complete blocks of a prompt. `weights` (model, adapter and version) seeds the
+/// Returns the chained hashes of the complete blocks of a prompt. `model_id` (model, adapter and version) seeds the
 /// chain, since a cached block is valid only for the weights that produced it.
 #[must_use]
-pub fn block_hashes(weights: &str, prompt: &str) -> Vec<u64> {
-    let mut chain = xxh3_64_with_seed(weights.as_bytes(), 0);
+pub fn block_hashes(model_id: &str, prompt: &str) -> Vec<u64> {
+    let mut chain = xxh3_64_with_seed(model_id.as_bytes(), 0);
     prompt
         .as_bytes()
         .chunks_exact(BLOCK_TOKENS * BYTES_PER_TOKEN)
--- a/components/endpoint/src/service/mod.rs
+++ b/components/endpoint/src/service/mod.rs
@@ -17,11 +17,11 @@
 
 /// Client of plain services over HTTP; one instance serves all services.
 #[derive(Clone, Debug, Default)]
-pub struct Service {
+pub struct ServiceClient {
     client: call::Client,
 }
 
-impl Service {
+impl ServiceClient {
     /// Sends a request and returns the response head; the body is streamed.
     ///
     /// # Errors
@@ -41,14 +41,14 @@
         let mut request = Request::new(Full::new(body));
         *request.method_mut() = method.clone();
         *request.uri_mut() = uri;
-        *request.headers_mut() = end_to_end(headers);
+        *request.headers_mut() = forwarded_headers(headers);
         Ok(self.client.send(request).await?)
     }
 }
 
 /// Returns the headers to forward: without hop-by-hop headers and without `NOT_FORWARDED`.
 #[must_use]
-pub fn end_to_end(headers: &HeaderMap) -> HeaderMap {
+pub fn forwarded_headers(headers: &HeaderMap) -> HeaderMap {
     let mut forwarded = call::headers::end_to_end(headers);
     for name in NOT_FORWARDED {
         forwarded.remove(name);
--- a/components/endpoint/tests/contract.rs
+++ b/components/endpoint/tests/contract.rs
@@ -5,8 +5,8 @@
 use bytes::Bytes;
 use endpoint::{
     Failure,
-    engine::{Engine, Frame, Generate, Order},
-    service::Service,
+    engine::{EngineClient, Frame, Generate, Order},
+    service::ServiceClient,
 };
 use hyper::{HeaderMap, Method};
 use protocol::order::{Role, Wanted};
@@ -41,7 +41,7 @@
 }
 
 async fn frames(engine: &Standin, generate: &Generate) -> Result<Vec<Frame>, Failure> {
-    let mut stream = Engine::default()
+    let mut stream = EngineClient::default()
         .generate(engine.address(), generate)
         .await?;
     let mut frames = Vec::new();
@@ -94,7 +94,7 @@
     let address = engine.address();
     drop(engine);
     tokio::time::sleep(Duration::from_millis(100)).await;
-    let failure = Engine::default()
+    let failure = EngineClient::default()
         .generate(address, &request(1, 1))
         .await
         .err();
@@ -105,7 +105,7 @@
 async fn only_a_fencing_engine_refuses_an_old_order_number() {
     for (fences, expected_answer) in [(true, Err(Failure::Refused(409))), (false, Ok(()))] {
         let engine = start(fences).await;
-        let adapter = Engine::default();
+        let adapter = EngineClient::default();
         let order = |number, role| Order {
             number,
             wanted: Wanted {
@@ -138,7 +138,7 @@
         },
     };
     for _ in 0..2 {
-        let adapter = Engine::default();
+        let adapter = EngineClient::default();
         assert_eq!(
             adapter.order(engine.address(), &order, TIMEOUT).await,
             Ok(())
@@ -150,7 +150,7 @@
 #[tokio::test]
 async fn a_cancelled_answer_stops() {
     let engine = start(false).await;
-    let adapter = Engine::default();
+    let adapter = EngineClient::default();
     let mut stream = adapter
         .generate(engine.address(), &request(3, 100_000))
         .await
@@ -177,7 +177,7 @@
         let standin = service::Service::start(any_port()).await.expect("service");
         standin.set_fault(fault);
         let body = Bytes::from_static(b"reading");
-        let answer = Service::default()
+        let answer = ServiceClient::default()
             .send(
                 standin.address(),
                 &Method::PUT,
--- a/components/gateway/src/connection/close.rs
+++ b/components/gateway/src/connection/close.rs
@@ -70,7 +70,7 @@
 
 impl Drop for CloseLogger<'_> {
     fn drop(&mut self) {
-        let Some(request) = self.exchange.in_flight() else {
+        let Some(request) = self.exchange.request() else {
             return;
         };
         let reason = if std::thread::panicking() {
--- a/components/gateway/src/connection/idle.rs
+++ b/components/gateway/src/connection/idle.rs
@@ -13,7 +13,7 @@
 pub async fn wait_for_timeout(gateway: &Gateway, exchange: &Exchange) {
     loop {
         let now = Instant::now();
-        let timeout_at = match exchange.wait() {
+        let timeout_at = match exchange.waiting_for() {
             Wait::Idle(since) => since + gateway.idle_limit(since),
             Wait::Head(since) => since + gateway.limits().header_timeout,
             // a request is in flight, so the connection becomes idle now at the earliest
--- a/components/gateway/src/request/mod.rs
+++ b/components/gateway/src/request/mod.rs
@@ -103,7 +103,7 @@
         .ok_or(Reason::NoEndpoint(refusal::DEFAULT_RETRY_AFTER))?;
     let (route, service) = (Arc::clone(route), Arc::clone(service));
     let body = body::read(body, version.limits, arrived).await?;
-    open.received();
+    open.body_received();
     let received = Received {
         metadata,
         head,
--- a/components/gateway/src/steward/lease.rs
+++ b/components/gateway/src/steward/lease.rs
@@ -6,7 +6,7 @@
 use cloud::table::{Outcome, Read, Row, Transaction};
 use protocol::{
     Incarnation,
-    lease::{self, Lease, Renewal, Watch},
+    lease::{self, Lease, Renewal, RenewalWatch},
     millis,
 };
 use serde::{Serialize, de::DeserializeOwned};
@@ -30,7 +30,7 @@
 /// What this process knows of the lease, and its part in acquiring and holding it.
 #[derive(Debug, Default)]
 pub struct Election {
-    watch: Option<Watch>,
+    watch: Option<RenewalWatch>,
     held: Option<Held>,
     /// The last epoch in which this process acquired the lease.
     last_epoch: u64,
@@ -177,7 +177,7 @@
         let now_ms = millis(started.elapsed());
         match &mut self.watch {
             Some(watch) => watch.observe(renewal, now_ms),
-            None => self.watch = Some(Watch::new(renewal, now_ms)),
+            None => self.watch = Some(RenewalWatch::new(renewal, now_ms)),
         }
         let lapsed = self
             .watch
--- a/components/protocol/src/lease.rs
+++ b/components/protocol/src/lease.rs
@@ -30,12 +30,12 @@
 
 /// Renewals of a lease as observed by a daemon that doesn't hold it, on its own monotonic clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Watch {
+pub struct RenewalWatch {
     renewal: Renewal,
     unchanged_since_ms: u64,
 }
 
-impl Watch {
+impl RenewalWatch {
     /// Starts to watch a lease; `now_ms` is the time on this daemon's monotonic clock.
     #[must_use]
     pub fn new(renewal: Renewal, now_ms: u64) -> Self {
--- a/components/protocol/src/order.rs
+++ b/components/protocol/src/order.rs
@@ -82,7 +82,7 @@
     #[display("done")]
     Done,
     /// The sender's call has ended, or was never sent, and the engine isn't known to have the
-    /// desired state. If the order may still take effect, its sender is in `earlier`.
+    /// desired state. If the order may still take effect, its sender is in `possible_senders`.
     #[display("failed")]
     Failed,
     /// Abandoned while closing; daemons dispatch again.
@@ -100,7 +100,8 @@
     /// Process that may send the order.
     pub sender: Incarnation,
     /// Earlier senders whose copy of this same order may still take effect.
-    pub earlier: Vec<Incarnation>,
+    #[serde(rename = "earlier")]
+    pub possible_senders: Vec<Incarnation>,
     /// Desired state of the engine.
     pub wanted: Wanted,
     /// Stage of the order.
@@ -118,7 +119,7 @@
         match self.stage {
             Stage::Closing => true,
             Stage::Intent => !reached,
-            Stage::Failed => !self.earlier.is_empty() && !reached,
+            Stage::Failed => !self.possible_senders.is_empty() && !reached,
             Stage::Done | Stage::Reopened => false,
         }
     }
@@ -174,7 +175,7 @@
         Stage::Done if row.wanted == *wanted => Step::Nothing,
         Stage::Done | Stage::Failed | Stage::Reopened => {
             let possible_sender = (!fences)
-                .then(|| row.earlier.iter().find(|other| !is_gone(**other)))
+                .then(|| row.possible_senders.iter().find(|other| !is_gone(**other)))
                 .flatten();
             match possible_sender {
                 Some(_) if row.wanted == *wanted && row.stage == Stage::Failed => {
@@ -192,7 +193,7 @@
         number: row.map_or(1, |row| row.number + 1),
         epoch,
         sender: me,
-        earlier: Vec::new(),
+        possible_senders: Vec::new(),
         wanted: wanted.clone(),
         stage: Stage::Closing,
     }
@@ -206,19 +207,19 @@
     is_gone: impl Fn(Incarnation) -> bool,
 ) -> Row {
     let may_take_effect = row.stage == Stage::Intent && (row.sender != me || !no_copy_in_flight);
-    let mut earlier: Vec<Incarnation> = row
-        .earlier
+    let mut possible_senders: Vec<Incarnation> = row
+        .possible_senders
         .iter()
         .copied()
         .chain(may_take_effect.then_some(row.sender))
         .filter(|other| !is_gone(*other))
         .collect();
-    earlier.sort_unstable();
-    earlier.dedup();
+    possible_senders.sort_unstable();
+    possible_senders.dedup();
     Row {
         epoch,
         sender: me,
-        earlier,
+        possible_senders,
         stage: Stage::Intent,
         ..row.clone()
     }
@@ -254,9 +255,9 @@
         CallOutcome::NotReached => next.stage = Stage::Failed,
         CallOutcome::Lost => {
             next.stage = Stage::Failed;
-            next.earlier.push(row.sender);
-            next.earlier.sort_unstable();
-            next.earlier.dedup();
+            next.possible_senders.push(row.sender);
+            next.possible_senders.sort_unstable();
+            next.possible_senders.dedup();
         }
     }
     next
--- a/components/spec/src/orders/mod.rs
+++ b/components/spec/src/orders/mod.rs
@@ -243,10 +243,11 @@
     // an earlier sender whose call has ended removes itself from the row
     if let (Some(now), true) = (withdrawn.row.as_mut(), ended != CallOutcome::Lost)
         && now.number == row.number
-        && now.earlier.contains(&incarnation(at))
+        && now.possible_senders.contains(&incarnation(at))
         && !state.daemons[at].lost_orders.contains(&row.number)
     {
-        now.earlier.retain(|other| *other != incarnation(at));
+        now.possible_senders
+            .retain(|other| *other != incarnation(at));
         steps.push((Label::Withdraws { daemon: at }, withdrawn));
     }
 }
--- a/components/standin/src/platform/mod.rs
+++ b/components/standin/src/platform/mod.rs
@@ -11,7 +11,7 @@
 use bytes::Bytes;
 use cloud::{
     table::{Read, Transaction},
-    vms::{State as VmState, Vm},
+    vms::{Vm, VmState},
 };
 use hyper::{Request, Response, StatusCode, body::Incoming};
 
--- a/components/telemetry/src/logs/mod.rs
+++ b/components/telemetry/src/logs/mod.rs
@@ -27,9 +27,9 @@
 
 /// The logger of a process. Dropping it writes out the lines logged so far.
 #[derive(Debug)]
-pub struct Guard(Queue);
+pub struct LogGuard(Queue);
 
-impl Drop for Guard {
+impl Drop for LogGuard {
     fn drop(&mut self) {
         self.0.flush(FLUSH_TIMEOUT);
     }
@@ -40,14 +40,14 @@
 /// # Errors
 ///
 /// [`AlreadyRunning`] when logging was started before.
-pub fn start(process: &str, level: log::LevelFilter) -> Result<Guard, AlreadyRunning> {
+pub fn start(process: &str, level: log::LevelFilter) -> Result<LogGuard, AlreadyRunning> {
     let process = process.to_owned();
     let queue = Queue::start(std::io::stdout());
     let mut dispatch = fern::Dispatch::new().level(log::LevelFilter::Warn);
     for name in OWN_CRATES {
         dispatch = dispatch.level_for(*name, level);
     }
-    let guard = Guard(queue.clone());
+    let guard = LogGuard(queue.clone());
     let output = fern::Output::call(move |record| queue.push(line::json(&process, record)));
     dispatch.chain(output).apply()?;
     panics::install_hook();
--- a/components/telemetry/src/logs/queue.rs
+++ b/components/telemetry/src/logs/queue.rs
@@ -12,7 +12,7 @@
 };
 
 /// Maximum number of queued lines: some seconds' worth at the usual rate, and a few megabytes at most.
-const CAPACITY: usize = 4_096;
+const MAX_QUEUED_LINES: usize = 4_096;
 /// Maximum number of lines written at once; writing in batches keeps the number of writes low in a busy process.
 const MAX_BATCH_LINES: usize = 256;
 /// Time for which lines are collected before they are written.
@@ -48,7 +48,7 @@
 impl Queue {
     /// Starts a thread that writes to `output`, and returns its queue.
     pub fn start(output: impl Write + Send + 'static) -> Self {
-        let (messages, receiver) = sync_channel(CAPACITY);
+        let (messages, receiver) = sync_channel(MAX_QUEUED_LINES);
         let shared = Arc::<Shared>::default();
         let writer_shared = Arc::clone(&shared);
         thread::spawn(move || write(BufWriter::new(output), &receiver, &writer_shared));
@@ -95,7 +95,7 @@
             thread::sleep(BATCH_DELAY);
         }
         let limit = if shared.flushing.load(Ordering::Relaxed) {
-            CAPACITY
+            MAX_QUEUED_LINES
         } else {
             MAX_BATCH_LINES
         };
--- a/components/telemetry/src/metrics/mod.rs
+++ b/components/telemetry/src/metrics/mod.rs
@@ -11,7 +11,7 @@
 pub use prometheus::IntGauge as Gauge;
 
 /// Upper bounds of the latency histogram buckets, in seconds.
-const LATENCY_BUCKETS: &[f64] = &[
+const LATENCY_BUCKETS_S: &[f64] = &[
     0.001, 0.005, 0.01, 0.026, 0.05, 0.1, 0.25, 0.5, 1.3, 2.5, 5.0, 10.0, 30.0, 60.0, 300.0,
 ];
 
@@ -135,7 +135,7 @@
 
 fn histogram(name: &str, help: &str, labels: &[&str]) -> prometheus::Result<HistogramVec> {
     let options = HistogramOpts::new(format!("wrenramp_{name}"), help);
-    HistogramVec::new(options.buckets(LATENCY_BUCKETS.to_vec()), labels)
+    HistogramVec::new(options.buckets(LATENCY_BUCKETS_S.to_vec()), labels)
 }
 
 fn text(registry: &Registry) -> Vec<u8> {
--- a/components/telemetry/src/timeline/mod.rs
+++ b/components/telemetry/src/timeline/mod.rs
@@ -18,14 +18,14 @@
 
 /// A hybrid logical time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize)]
-pub struct Time {
+pub struct HybridTime {
     /// Milliseconds since 1970; the highest value that this process has seen, including those in messages.
     pub physical_ms: u64,
     /// Counter of events with the same `physical_ms`.
     pub logical: u32,
 }
 
-impl Time {
+impl HybridTime {
     /// Returns the time of the next event, given the wall-clock time and the time of the previous event.
     #[must_use]
     pub fn next(self, wall_ms: u64) -> Self {
@@ -110,7 +110,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Event {
     /// When it happened.
-    pub time: Time,
+    pub time: HybridTime,
     /// What happened.
     pub kind: Kind,
     /// The request, order or endpoint that the event belongs to, such as `request/1f00`.
@@ -121,7 +121,7 @@
 
 #[derive(Debug, Default)]
 struct State {
-    time: Time,
+    time: HybridTime,
     events: VecDeque<Event>,
 }
 
@@ -148,12 +148,12 @@
 
     /// Returns the time to send with a message.
     #[must_use]
-    pub fn now(&self) -> Time {
+    pub fn now(&self) -> HybridTime {
         self.lock().time.next(wall_ms())
     }
 
     /// Advances the time to one received with a message.
-    pub fn observe(&self, time: Time) {
+    pub fn observe(&self, time: HybridTime) {
         let mut state = self.lock();
         state.time = state.time.max(time);
     }
--- a/src/bin/wrenrampd.rs
+++ b/src/bin/wrenrampd.rs
@@ -14,7 +14,7 @@
 #[bpaf(options, version)]
 struct Options {
     #[bpaf(external)]
-    role: Role,
+    mode: Mode,
     /// Check the settings file and exit
     check: bool,
     /// Log level: error, warn, info or debug
@@ -23,7 +23,7 @@
 }
 
 #[derive(Clone, Debug, Bpaf)]
-enum Role {
+enum Mode {
     /// Serve with a settings tree of its own
     Daemon {
         /// The settings file of a daemon with a settings tree of its own
@@ -40,9 +40,9 @@
 
 fn main() -> ExitCode {
     let options = options().run();
-    let result = match &options.role {
-        Role::Daemon { config } => daemon(config, &options),
-        Role::Gateway { gateway } => gateway_process(gateway, &options),
+    let result = match &options.mode {
+        Mode::Daemon { config } => daemon(config, &options),
+        Mode::Gateway { gateway } => gateway_process(gateway, &options),
     };
     match result {
         Ok(0) => ExitCode::SUCCESS,
@@ -125,10 +125,10 @@
 async fn run_gateway(file: &Path, settings: gateway::Settings) -> ExitResult {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut hangup = signal(SignalKind::hangup())?;
-    let edges = platform::adapters(settings.store.address);
+    let adapters = platform::adapters(settings.store.address);
     let mut applied = settings.clone();
-    let mut readable = true;
-    let mut running = ::gateway::start(settings, edges).await?;
+    let mut last_load_ok = true;
+    let mut running = ::gateway::start(settings, adapters).await?;
     loop {
         tokio::select! {
             _ = terminate.recv() => break,
@@ -140,9 +140,9 @@
                 running.reload(&new);
                 applied = new;
             }
-            Ok(_) => readable = true,
-            Err(error) if readable => {
-                readable = false;
+            Ok(_) => last_load_ok = true,
+            Err(error) if last_load_ok => {
+                last_load_ok = false;
                 log::error!(error:%; "could not load the changed settings file; keeping the current settings");
             }
             // the error was logged the first time
--- a/tests/system/failure.rs
+++ b/tests/system/failure.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use cloud::vms::{Kind, State, Vm};
+use cloud::vms::{Vm, VmKind, VmState};
 use hyper::StatusCode;
 use protocol::order::Role;
 use standin::engine::{Engine, Fault, Setup, expected_text};
@@ -221,10 +221,10 @@
     let vm = |state| Vm {
         address: fleet.engines[0].address(),
         data_centre: "sala-a".to_owned(),
-        kind: Kind::Endpoint,
+        kind: VmKind::Endpoint,
         state,
     };
-    fleet.platform.add_vm(vm(State::Live));
+    fleet.platform.add_vm(vm(VmState::Live));
     fleet.platform.mark_leaving(fleet.engines[0].address());
     for daemon in 0..2 {
         eventually("the daemon knows", async || {
