--- a/components/gateway/src/endpoint/connection.rs
+++ b/components/gateway/src/endpoint/connection.rs
@@ -115,13 +115,13 @@
 
 /// An idle connection.
 #[derive(Debug)]
-pub(super) struct Idle {
+pub(super) struct IdleConnection {
     pub(super) connection: Connection,
     since: Instant,
     expires: Instant,
 }
 
-impl Idle {
+impl IdleConnection {
     pub(super) fn new(
         connection: Connection,
         now: Instant,
--- a/components/gateway/src/endpoint/health.rs
+++ b/components/gateway/src/endpoint/health.rs
@@ -26,7 +26,7 @@
 /// Failure ratio from which an endpoint is avoided if there is another one.
 const UNHEALTHY_FAILURE_RATIO: f64 = 0.6;
 /// Number of consecutive silent attempts after which an endpoint counts as unavailable.
-const MAX_SILENT: u32 = 2;
+const SILENT_ATTEMPTS_TO_BACK_OFF: u32 = 2;
 /// First backoff of an unavailable endpoint, which gets no requests until it has passed and is then
 /// tried again. Doubles up to [`MAX_BACKOFF`] while trials fail.
 const SILENT_BACKOFF: Duration = Duration::from_millis(400);
@@ -35,7 +35,7 @@
 
 /// Number of consecutive refusals after which an endpoint is backed off from. A single refusal may
 /// come from a race for its last slot.
-const MAX_REFUSALS: u32 = 2;
+const REFUSALS_TO_BACK_OFF: u32 = 2;
 /// First backoff after refusals. Doubles up to [`MAX_BACKOFF`] while the endpoint keeps refusing.
 /// Each refusal is charged to the retry budget like a retry.
 const REFUSAL_BACKOFF: Duration = Duration::from_millis(100);
@@ -78,8 +78,12 @@
             Verdict::Fine | Verdict::Silent | Verdict::Failed => 0,
         };
         match () {
-            () if self.consecutive_silent >= MAX_SILENT => self.back_off(SILENT_BACKOFF, now),
-            () if self.consecutive_refusals >= MAX_REFUSALS => self.back_off(REFUSAL_BACKOFF, now),
+            () if self.consecutive_silent >= SILENT_ATTEMPTS_TO_BACK_OFF => {
+                self.back_off(SILENT_BACKOFF, now);
+            }
+            () if self.consecutive_refusals >= REFUSALS_TO_BACK_OFF => {
+                self.back_off(REFUSAL_BACKOFF, now);
+            }
             () if verdict == Verdict::Fine => self.backoff = None,
             () => {}
         }
@@ -113,7 +117,8 @@
     /// Whether it responds, and mostly without failures.
     #[must_use]
     pub fn is_healthy(&self) -> bool {
-        self.consecutive_silent < MAX_SILENT && self.failure_ratio < UNHEALTHY_FAILURE_RATIO
+        self.consecutive_silent < SILENT_ATTEMPTS_TO_BACK_OFF
+            && self.failure_ratio < UNHEALTHY_FAILURE_RATIO
     }
 
     /// Returns the fraction of its recent attempts that failed, from 0 to 1.
--- a/components/gateway/src/endpoint/load.rs
+++ b/components/gateway/src/endpoint/load.rs
@@ -11,11 +11,11 @@
     /// low-priority prompts.
     pub prefill_work: u64,
     /// Work of the low-priority prompts, which yield to all others.
-    pub low_priority_work: u64,
+    pub deferred_work: u64,
     /// Number of prompts sent and not prefilled yet.
     pub prompts: u64,
     /// Number of these prompts that are low-priority.
-    pub low_priority_prompts: u64,
+    pub deferred_prompts: u64,
     /// Number of requests that are being decoded, or will be once their prompts are prefilled.
     pub decoding: u64,
     /// Number of these requests with long answers.
@@ -25,9 +25,9 @@
 }
 
 impl Load {
-    fn work_mut(&mut self, low_priority: bool) -> &mut u64 {
-        if low_priority {
-            &mut self.low_priority_work
+    fn work_mut(&mut self, deferred: bool) -> &mut u64 {
+        if deferred {
+            &mut self.deferred_work
         } else {
             &mut self.prefill_work
         }
@@ -38,9 +38,9 @@
     pub fn plus(self, other: Self) -> Self {
         Self {
             prefill_work: self.prefill_work + other.prefill_work,
-            low_priority_work: self.low_priority_work + other.low_priority_work,
+            deferred_work: self.deferred_work + other.deferred_work,
             prompts: self.prompts + other.prompts,
-            low_priority_prompts: self.low_priority_prompts + other.low_priority_prompts,
+            deferred_prompts: self.deferred_prompts + other.deferred_prompts,
             decoding: self.decoding + other.decoding,
             long_answers: self.long_answers + other.long_answers,
             suspects: self.suspects + other.suspects,
@@ -53,22 +53,22 @@
 pub struct PrefillGuard {
     target: Arc<Target>,
     work: u64,
-    low_priority: bool,
+    deferred: bool,
 }
 
 impl PrefillGuard {
     /// Counts a prompt with `work` at an endpoint. A low-priority prompt yields to all others.
     #[must_use]
-    pub fn new(target: &Arc<Target>, work: u64, low_priority: bool) -> Self {
+    pub fn new(target: &Arc<Target>, work: u64, deferred: bool) -> Self {
         target.add_load(|load| {
-            *load.work_mut(low_priority) += work;
+            *load.work_mut(deferred) += work;
             load.prompts += 1;
-            load.low_priority_prompts += u64::from(low_priority);
+            load.deferred_prompts += u64::from(deferred);
         });
         Self {
             target: Arc::clone(target),
             work,
-            low_priority,
+            deferred,
         }
     }
 
@@ -82,9 +82,9 @@
 impl Drop for PrefillGuard {
     fn drop(&mut self) {
         self.target.with(|state| {
-            *state.own_load.work_mut(self.low_priority) -= self.work;
+            *state.own_load.work_mut(self.deferred) -= self.work;
             state.own_load.prompts -= 1;
-            state.own_load.low_priority_prompts -= u64::from(self.low_priority);
+            state.own_load.deferred_prompts -= u64::from(self.deferred);
         });
     }
 }
--- a/components/gateway/src/endpoint/registry.rs
+++ b/components/gateway/src/endpoint/registry.rs
@@ -10,7 +10,7 @@
 /// Maximum number of changes in an update up to which each new endpoint gets a log line. The lists
 /// of the first deployments have 60 endpoints; at each start the thousands of a large fleet would
 /// push all other lines out of the log.
-const MAX_LOG_LINES: usize = 100;
+const MAX_CHANGES_LOGGED_INDIVIDUALLY: usize = 100;
 
 /// The endpoints of one service, sorted by name.
 #[derive(Clone, Debug, Default)]
@@ -65,16 +65,18 @@
     #[must_use]
     pub fn find(&self, short_id: u32) -> Option<Arc<Target>> {
         let by_short_id = self.by_short_id.read();
-        let at = by_short_id.binary_search_by_key(&short_id, |(short_id, _)| *short_id);
-        at.ok().map(|at| Arc::clone(&by_short_id[at].1))
+        let index = by_short_id.binary_search_by_key(&short_id, |(short_id, _)| *short_id);
+        index.ok().map(|index| Arc::clone(&by_short_id[index].1))
     }
 
     /// Returns the endpoints of a service.
     #[must_use]
     pub fn fleet(&self, service: &str) -> Fleet {
         let fleets = self.fleets.read();
-        let at = fleets.binary_search_by(|(name, _)| (**name).cmp(service));
-        at.map(|at| fleets[at].1.clone()).unwrap_or_default()
+        let index = fleets.binary_search_by(|(name, _)| (**name).cmp(service));
+        index
+            .map(|index| fleets[index].1.clone())
+            .unwrap_or_default()
     }
 
     /// Returns all endpoints, sorted by name.
@@ -90,22 +92,22 @@
         &self.busy
     }
 
-    /// Applies an update. With `whole` the changes are the complete list, and endpoints that are
+    /// Applies an update. With `full` the changes are the complete list, and endpoints that are
     /// not in it are removed. Returns the removed endpoints that had not announced that they were
     /// draining.
-    pub fn apply(&self, changes: &[Change], whole: bool) -> Vec<Arc<Target>> {
+    pub fn apply(&self, changes: &[Change], full: bool) -> Vec<Arc<Target>> {
         let _updating = self.updating.lock();
         let mut targets: Vec<Arc<Target>> = self.targets.read().as_ref().clone();
         let mut gone = Vec::new();
-        if whole {
+        if full {
             let mut present: Vec<&Id> = changes.iter().filter_map(Change::present).collect();
             present.sort_unstable();
             let is_present = |target: &Arc<Target>| present.binary_search(&&target.id).is_ok();
             gone.extend(targets.extract_if(.., |target| !is_present(target)));
         }
-        let log_each = changes.len() <= MAX_LOG_LINES;
+        let log_each = changes.len() <= MAX_CHANGES_LOGGED_INDIVIDUALLY;
         if !log_each {
-            log::info!(changes = changes.len(), whole, before = targets.len(); "many endpoints changed; new ones are not logged individually");
+            log::info!(changes = changes.len(), whole = full, before = targets.len(); "many endpoints changed; new ones are not logged individually");
         }
         for change in changes {
             match change {
@@ -132,23 +134,25 @@
         log_new: bool,
     ) -> Option<Arc<Target>> {
         match targets.binary_search_by(|target| target.id.cmp(&profile.id)) {
-            Ok(at) => match targets[at].with(|state| state.profile.compare_incarnation(profile)) {
-                IncarnationOrder::Same => update(&targets[at], profile),
+            Ok(index) => match targets[index]
+                .with(|state| state.profile.compare_incarnation(profile))
+            {
+                IncarnationOrder::Same => update(&targets[index], profile),
                 IncarnationOrder::Older => log::info!(
                     endpoint = &*profile.id.0, started = profile.started;
                     "ignoring a list entry of an earlier incarnation"
                 ),
                 IncarnationOrder::Newer => {
-                    let former = std::mem::replace(&mut targets[at], self.new_target(profile));
+                    let previous = std::mem::replace(&mut targets[index], self.new_target(profile));
                     log::info!(
                         endpoint = &*profile.id.0, started = profile.started, address:% = profile.address;
                         "endpoint restarted"
                     );
-                    former.mark_terminated();
-                    return Some(former);
+                    previous.mark_terminated();
+                    return Some(previous);
                 }
             },
-            Err(at) => {
+            Err(index) => {
                 if log_new {
                     log::info!(
                         endpoint = &*profile.id.0, service = &*profile.service, state:% = profile.state,
@@ -156,7 +160,7 @@
                         "endpoint listed"
                     );
                 }
-                targets.insert(at, self.new_target(profile));
+                targets.insert(index, self.new_target(profile));
             }
         }
         None
@@ -172,8 +176,8 @@
         for target in &targets {
             let service = target.with(|state| Arc::clone(&state.profile.service));
             match fleets.binary_search_by(|(name, _)| name.cmp(&service)) {
-                Ok(at) => fleets[at].1.push(Arc::clone(target)),
-                Err(at) => fleets.insert(at, (service, vec![Arc::clone(target)])),
+                Ok(index) => fleets[index].1.push(Arc::clone(target)),
+                Err(index) => fleets.insert(index, (service, vec![Arc::clone(target)])),
             }
         }
         *self.fleets.write() = fleets
@@ -215,8 +219,8 @@
 }
 
 fn remove(targets: &mut Vec<Arc<Target>>, id: &Id) -> Option<Arc<Target>> {
-    let at = targets.binary_search_by(|target| target.id.cmp(id)).ok()?;
-    Some(targets.remove(at))
+    let index = targets.binary_search_by(|target| target.id.cmp(id)).ok()?;
+    Some(targets.remove(index))
 }
 
 fn unlist(target: &Target) {
--- a/components/gateway/src/endpoint/requests.rs
+++ b/components/gateway/src/endpoint/requests.rs
@@ -61,11 +61,11 @@
     }
 
     fn remove(&mut self, number: u64) -> Option<Fingerprint> {
-        let at = self
+        let index = self
             .in_flight
             .iter()
             .position(|(request, _)| *request == number)?;
-        Some(self.in_flight.swap_remove(at).1)
+        Some(self.in_flight.swap_remove(index).1)
     }
 
     fn interrupt(&mut self, number: u64, interruption: Interruption) {
--- a/components/gateway/src/endpoint/target.rs
+++ b/components/gateway/src/endpoint/target.rs
@@ -16,7 +16,7 @@
 use super::{
     BusySet, ConnectError, Connection, Health, Id, Load, Profile, RequestTracker, Stage, State,
     Verdict,
-    connection::{self, Idle},
+    connection::{self, IdleConnection},
 };
 use crate::request::Fingerprint;
 
@@ -31,7 +31,7 @@
     pub id: Id,
     /// Short id by which peers refer to it.
     pub short_id: u32,
-    state: Mutex<Inner>,
+    state: Mutex<TargetState>,
     /// Notified when long answers should migrate to another engine.
     migration: Notify,
     /// Notified when this incarnation has terminated.
@@ -46,7 +46,7 @@
 
 /// Mutable state of an endpoint.
 #[derive(Debug)]
-pub struct Inner {
+pub struct TargetState {
     /// What the platform lists about it.
     pub profile: Profile,
     /// Whether it is still listed.
@@ -60,11 +60,11 @@
     /// Its health.
     pub health: Health,
     /// Its pace in its current stage; `None` until it has been measured.
-    pub pace: Option<Latency>,
+    pub latency: Option<Latency>,
     /// Prompt parts that it likely has cached.
-    pub memory: PrefixCache,
+    pub prefix_cache: PrefixCache,
     /// Idle connections, longest idle first.
-    idle: Vec<Idle>,
+    idle: Vec<IdleConnection>,
     /// Until when it counts as changing its stage.
     pub changing_until: Option<Instant>,
     /// Idle time-out of its connections, as last reported by the endpoint.
@@ -83,14 +83,14 @@
 
 /// Average paces of the engines of a service.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Paces {
+pub struct Latencies {
     /// Pace of prefill engines.
     pub prefill: Latency,
     /// Pace of decode engines.
     pub decode: Latency,
 }
 
-impl Paces {
+impl Latencies {
     /// Returns the average pace of engines in a stage; endpoints without a stage count as decode
     /// engines.
     #[must_use]
@@ -110,7 +110,7 @@
     }
 }
 
-impl Default for Paces {
+impl Default for Latencies {
     fn default() -> Self {
         Self {
             prefill: Latency::initial_prefill(),
@@ -127,9 +127,9 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ServiceDefaults {
     /// Their average paces.
-    pub paces: Paces,
+    pub latencies: Latencies,
     /// Number of tokens that the cache of each engine holds; 0 for plain services.
-    pub memory_tokens: u64,
+    pub kv_capacity_tokens: u64,
 }
 
 /// Snapshot of an endpoint for a placement decision.
@@ -140,7 +140,7 @@
     /// All load there, of this process and of peers.
     pub load: Load,
     /// Its pace in its current stage.
-    pub pace: Latency,
+    pub latency: Latency,
     /// Number of tokens of the given prompt that it likely has cached.
     pub cached_tokens: u64,
     /// Number of tokens of the prompt that other engines can likely fetch from it.
@@ -149,19 +149,21 @@
     pub failure_ratio: f64,
 }
 
-impl Inner {
+impl TargetState {
     /// Returns all load there, of this process and of peers.
     pub fn total_load(&self) -> Load {
         self.own_load.plus(self.peer_load)
     }
 
-    /// Returns the prefill work that remains there. `default_pace` applies until its own pace is
+    /// Returns the prefill work that remains there. `default_latency` applies until its own pace is
     /// known.
-    pub fn remaining_prefill(&self, now: Instant, default_pace: Latency) -> u64 {
-        let read_us = self.pace.unwrap_or(default_pace).prefill_token_us;
-        let remaining =
-            self.backlog
-                .remaining(self.age(now), read_us, self.total_load().prefill_work);
+    pub fn remaining_prefill(&self, now: Instant, default_latency: Latency) -> u64 {
+        let prefill_token_us = self.latency.unwrap_or(default_latency).prefill_token_us;
+        let remaining = self.backlog.remaining(
+            self.age(now),
+            prefill_token_us,
+            self.total_load().prefill_work,
+        );
         policy::to_u64(remaining)
     }
 
@@ -172,17 +174,17 @@
         now: Instant,
         defaults: &ServiceDefaults,
     ) -> Option<policy::Micros> {
-        let default_pace = defaults.paces.for_stage(self.profile.stage);
-        let read_us = self.pace.unwrap_or(default_pace).prefill_token_us;
-        let time = policy::to_f64(self.remaining_prefill(now, default_pace)) * read_us;
+        let default_latency = defaults.latencies.for_stage(self.profile.stage);
+        let prefill_token_us = self.latency.unwrap_or(default_latency).prefill_token_us;
+        let time = policy::to_f64(self.remaining_prefill(now, default_latency)) * prefill_token_us;
         (self.total_load().prompts > 0).then(|| policy::to_u64(time))
     }
 
     /// Records prefill work that this process or a peer is about to send there.
-    pub fn record_prefill(&mut self, now: Instant, default_pace: Latency, work: u64) {
-        let read_us = self.pace.unwrap_or(default_pace).prefill_token_us;
+    pub fn record_prefill(&mut self, now: Instant, default_latency: Latency, work: u64) {
+        let prefill_token_us = self.latency.unwrap_or(default_latency).prefill_token_us;
         let (age, prefill_work) = (self.age(now), self.total_load().prefill_work);
-        self.backlog.add(age, read_us, prefill_work, work);
+        self.backlog.add(age, prefill_token_us, prefill_work, work);
     }
 
     /// Records that it will have the parts of a prompt cached: at once if they are `fetched`, else
@@ -194,16 +196,17 @@
         parts: &[Part],
         fetched: bool,
     ) {
-        let default_pace = defaults.paces.for_stage(self.profile.stage);
-        self.memory.resize(defaults.memory_tokens);
-        let read_us = self.pace.unwrap_or(default_pace).prefill_token_us;
+        let default_latency = defaults.latencies.for_stage(self.profile.stage);
+        self.prefix_cache.resize(defaults.kv_capacity_tokens);
+        let prefill_token_us = self.latency.unwrap_or(default_latency).prefill_token_us;
         let remaining = if fetched {
             0
         } else {
-            self.remaining_prefill(now, default_pace)
+            self.remaining_prefill(now, default_latency)
         };
-        let read_at = self.age(now) + policy::to_u64(policy::to_f64(remaining) * read_us);
-        self.memory.record_use(parts, read_at);
+        let cached_at =
+            self.age(now) + policy::to_u64(policy::to_f64(remaining) * prefill_token_us);
+        self.prefix_cache.record_use(parts, cached_at);
     }
 
     fn age(&self, now: Instant) -> policy::Micros {
@@ -223,15 +226,15 @@
             migration: Notify::new(),
             termination: Notify::new(),
             listen_check: AsyncMutex::new(()),
-            state: Mutex::new(Inner {
+            state: Mutex::new(TargetState {
                 profile,
                 listed: true,
                 terminated: false,
                 own_load: Load::default(),
                 peer_load: Load::default(),
                 health: Health::default(),
-                pace: None,
-                memory: PrefixCache::default(),
+                latency: None,
+                prefix_cache: PrefixCache::default(),
                 idle: Vec::new(),
                 changing_until: None,
                 idle_timeout: None,
@@ -256,15 +259,15 @@
     }
 
     /// Reads or changes its state. The lock is held only during `f`.
-    pub fn with<T>(&self, f: impl FnOnce(&mut Inner) -> T) -> T {
+    pub fn with<T>(&self, f: impl FnOnce(&mut TargetState) -> T) -> T {
         f(&mut self.state.lock())
     }
 
     /// Adds to this process's load there, and adds the endpoint to the busy set if it was idle.
-    pub(super) fn add_load(self: &Arc<Self>, count: impl FnOnce(&mut Load)) {
+    pub(super) fn add_load(self: &Arc<Self>, add: impl FnOnce(&mut Load)) {
         let was_idle = self.with(|state| {
             let was_idle = state.own_load == Load::default();
-            count(&mut state.own_load);
+            add(&mut state.own_load);
             was_idle
         });
         if was_idle {
@@ -281,21 +284,21 @@
         defaults: &ServiceDefaults,
     ) -> Option<Snapshot> {
         self.with(|state| {
-            state.memory.resize(defaults.memory_tokens);
+            state.prefix_cache.resize(defaults.kv_capacity_tokens);
             let accepts = state.listed
                 && state.profile.state == State::Ready
                 && state.health.accepts_requests(now)
                 && state.changing_until.is_none_or(|until| until <= now);
-            let default_pace = defaults.paces.for_stage(state.profile.stage);
+            let default_latency = defaults.latencies.for_stage(state.profile.stage);
             accepts.then(|| Snapshot {
                 profile: state.profile.clone(),
                 load: Load {
-                    prefill_work: state.remaining_prefill(now, default_pace),
+                    prefill_work: state.remaining_prefill(now, default_latency),
                     ..state.total_load()
                 },
-                pace: state.pace.unwrap_or(default_pace),
-                cached_tokens: state.memory.cached_tokens(parts),
-                fetchable_tokens: state.memory.fetchable_tokens(parts, state.age(now)),
+                latency: state.latency.unwrap_or(default_latency),
+                cached_tokens: state.prefix_cache.cached_tokens(parts),
+                fetchable_tokens: state.prefix_cache.fetchable_tokens(parts, state.age(now)),
                 failure_ratio: state.health.failure_ratio(),
             })
         })
@@ -312,7 +315,7 @@
         self.with(|state| {
             if state.profile.stage != Some(stage) {
                 state.profile.stage = Some(stage);
-                state.pace = None;
+                state.latency = None;
             }
             state.changing_until = None;
         });
@@ -372,7 +375,7 @@
         let before = self.with(|state| {
             if state.profile.stage != profile.stage {
                 state.changing_until = None;
-                state.pace = None;
+                state.latency = None;
             }
             std::mem::replace(&mut state.profile, profile.clone())
         });
@@ -417,11 +420,11 @@
     ) -> Result<Connection, ConnectError> {
         let now = Instant::now();
         let found = self.with(|state| {
-            let at = state
+            let index = state
                 .idle
                 .iter()
                 .position(|idle| idle.is_usable(now, max_idle));
-            at.map(|at| state.idle.remove(at))
+            index.map(|index| state.idle.remove(index))
         });
         if let Some(idle) = found {
             return Ok(idle.connection);
@@ -443,7 +446,7 @@
     /// Returns nothing if it still listens, if it is draining or no longer listed, or if the last
     /// check is later than `broke` or shortly before it. An endpoint that merely resets connections
     /// still accepts new ones, one that has crashed refuses them.
-    pub async fn take_requests_if_terminated(&self, broke: Instant) -> Vec<Fingerprint> {
+    pub async fn take_requests_if_crashed(&self, broke: Instant) -> Vec<Fingerprint> {
         let _listen_check = self.listen_check.lock().await;
         let (address, due) = self.with(|state| {
             let stays = state.listed && state.profile.state == State::Ready;
@@ -468,13 +471,15 @@
     }
 
     /// Returns a connection that can serve another request.
-    pub fn return_connection(&self, connection: Connection) {
+    pub fn put_back_connection(&self, connection: Connection) {
         let now = Instant::now();
         self.with(|state| {
             let idle_timeout = state.idle_timeout;
             state.idle.retain(|idle| idle.is_open(now));
             if state.listed {
-                state.idle.push(Idle::new(connection, now, idle_timeout));
+                state
+                    .idle
+                    .push(IdleConnection::new(connection, now, idle_timeout));
             }
         });
     }
--- a/components/gateway/src/peer/cache_listing.rs
+++ b/components/gateway/src/peer/cache_listing.rs
@@ -23,7 +23,7 @@
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Delay before the parts are sent to the peers a second time, for those that start at the same
 /// time and missed the first.
-const REPEAT_DELAY: Duration = Duration::from_secs(1);
+const RESEND_DELAY: Duration = Duration::from_secs(1);
 /// Maximum number of parts in one placement, so that a digest fits into a packet or two.
 const MAX_PARTS_PER_PLACEMENT: usize = 96;
 
@@ -43,7 +43,7 @@
         Some((target, parts))
     });
     let lists = join_all(lists).await;
-    clock::sleep(REPEAT_DELAY).await;
+    clock::sleep(RESEND_DELAY).await;
     for (target, parts) in lists.into_iter().flatten() {
         advertise_parts(gateway, target, &parts);
     }
@@ -59,8 +59,8 @@
 /// Queries an engine for its cached parts and records them. Returns `None` if it does not list
 /// them.
 async fn query_engine(gateway: &Gateway, target: &Arc<Target>) -> Option<Vec<Part>> {
-    let answer = call(target, gateway.adapters.dialect.kv_list_call()).await;
-    let cached = answer
+    let response = call(target, gateway.adapters.dialect.kv_list_call()).await;
+    let cached = response
         .filter(|(status, _)| status.is_success())
         .and_then(|(_, body)| gateway.adapters.dialect.parse_kv_list(&body));
     let label = if cached.is_some() { "yes" } else { "no" };
@@ -76,7 +76,7 @@
     let tokens: u64 = parts.iter().map(|part| part.tokens).sum();
     log::info!(endpoint = &*target.id.0, parts = parts.len(), tokens; "engine listed its cached prompt parts");
     let service = target.with(|state| Arc::clone(&state.profile.service));
-    let defaults = gateway.common(&service);
+    let defaults = gateway.service_defaults(&service);
     target.with(|state| state.record_prompt(Instant::now(), &defaults, &parts, true));
     Some(parts)
 }
--- a/components/gateway/src/peer/discovery.rs
+++ b/components/gateway/src/peer/discovery.rs
@@ -14,7 +14,7 @@
 use crate::process::Gateway;
 
 /// Key prefix of registration rows.
-const PREFIX: &str = "gateway/";
+const ROW_PREFIX: &str = "gateway/";
 /// Delay before the first retry of a registration; doubled for each further retry, up to
 /// [`MAX_RETRY_DELAY`]. Without this, gateways that start together would keep the store so busy
 /// that each answer comes after its time-out.
@@ -37,29 +37,29 @@
 /// once the peers are known.
 pub async fn run(gateway: &Gateway) {
     gateway.peers.add_seeds(&gateway.settings);
-    let (known, discovered) = oneshot::channel();
+    let (membership_known, discovered) = oneshot::channel();
     let query = async {
         // the assignment of engines to processes depends on the known peers
         if discovered.await.is_ok() {
             cache_listing::query_engines(gateway).await;
         }
     };
-    tokio::join!(refresh(gateway, known), query);
+    tokio::join!(refresh(gateway, membership_known), query);
 }
 
-/// Writes this process's row and reads all rows at intervals. Signals `known` after the first
+/// Writes this process's row and reads all rows at intervals. Signals `membership_known` after the first
 /// successful read.
-async fn refresh(gateway: &Gateway, known: oneshot::Sender<()>) {
-    let mut known = Some(known);
+async fn refresh(gateway: &Gateway, membership_known: oneshot::Sender<()>) {
+    let mut membership_known = Some(membership_known);
     let mut retry_delay = MIN_RETRY_DELAY;
     let mut written = false;
     loop {
         written = written || write_own_row(gateway).await;
         let registered = written && read_rows(gateway, &mut written).await;
         if registered {
-            if let Some(known) = known.take() {
+            if let Some(membership_known) = membership_known.take() {
                 // the receiver is gone if the process is stopping
-                let _ = known.send(());
+                let _ = membership_known.send(());
             }
             retry_delay = MIN_RETRY_DELAY;
             clock::sleep(REFRESH_INTERVAL).await;
@@ -78,7 +78,7 @@
         address: gateway.settings.gateway.peers,
         data_centre: gateway.settings.gateway.data_centre.clone(),
     };
-    let key = format!("{PREFIX}{}", gateway.settings.gateway.name);
+    let key = format!("{ROW_PREFIX}{}", gateway.settings.gateway.name);
     // a row of plain fields always serializes
     let value = serde_json::to_string(&row).unwrap_or_default();
     let transaction = Transaction::default().write(&key, value);
@@ -100,12 +100,12 @@
 async fn read_rows(gateway: &Gateway, written: &mut bool) -> bool {
     let read = Read {
         keys: Vec::new(),
-        prefixes: vec![PREFIX.to_owned()],
+        prefixes: vec![ROW_PREFIX.to_owned()],
     };
     let rows = match gateway.adapters.table.read(read).await {
         Ok(rows) => {
             gateway.count_store_call("peers", true);
-            gateway.record_store_call(true);
+            gateway.record_store_availability(true);
             rows
         }
         Err(error) => {
--- a/components/gateway/src/peer/paces.rs
+++ b/components/gateway/src/peer/latencies.rs
@@ -16,13 +16,13 @@
 /// Returns the paces that this process has learnt, encoded for a digest. With `all`, paces that
 /// only a new peer lacks are included.
 pub(super) fn collect(gateway: &Gateway, all: bool) -> Vec<ServicePace> {
-    let services = gateway.own_paces(all);
+    let services = gateway.own_latencies(all);
     services
         .iter()
-        .flat_map(|(service, paces)| {
+        .flat_map(|(service, latencies)| {
             [
-                encode(service, Stage::Prefill, &paces.prefill),
-                encode(service, Stage::Decode, &paces.decode),
+                encode(service, Stage::Prefill, &latencies.prefill),
+                encode(service, Stage::Decode, &latencies.decode),
             ]
         })
         .collect()
@@ -33,11 +33,11 @@
     if received.is_empty() {
         return;
     }
-    let Some(version) = gateway.configuration() else {
+    let Some(configuration) = gateway.configuration() else {
         return;
     };
     for received in received {
-        let mut services = version.services().iter();
+        let mut services = configuration.services().iter();
         let service = services.find(|service| short_id(&service.name) == received.service);
         if let Some(service) = service {
             let stage = if received.prefill {
@@ -45,21 +45,21 @@
             } else {
                 Stage::Decode
             };
-            gateway.adopt_pace(&Arc::clone(&service.name), stage, &decode(received));
+            gateway.adopt_latency(&Arc::clone(&service.name), stage, &decode(received));
         }
     }
 }
 
-fn encode(service: &str, stage: Stage, pace: &Latency) -> ServicePace {
+fn encode(service: &str, stage: Stage, latency: &Latency) -> ServicePace {
     ServicePace {
         service: short_id(service),
         prefill: stage == Stage::Prefill,
-        start_us: narrow(pace.overhead_us),
-        read_us: narrow(pace.prefill_token_us),
-        step_us: narrow(pace.decode_token_us),
-        start_samples: pace.samples.overhead,
-        read_samples: pace.samples.prefill,
-        step_samples: pace.samples.decode,
+        start_us: narrow(latency.overhead_us),
+        read_us: narrow(latency.prefill_token_us),
+        step_us: narrow(latency.decode_token_us),
+        start_samples: latency.samples.overhead,
+        read_samples: latency.samples.prefill,
+        step_samples: latency.samples.decode,
     }
 }
 
--- a/components/gateway/src/peer/mod.rs
+++ b/components/gateway/src/peer/mod.rs
@@ -6,7 +6,7 @@
 mod changes;
 mod discovery;
 mod fan_out;
-mod paces;
+mod latencies;
 mod receive;
 mod send;
 mod suspects;
@@ -287,13 +287,13 @@
                 continue;
             };
             match data_centres.binary_search_by(|(name, ..)| (*name).cmp(&peer.data_centre)) {
-                Ok(at) => {
-                    let (_, last, heartbeat_interval) = &mut data_centres[at];
+                Ok(index) => {
+                    let (_, last, heartbeat_interval) = &mut data_centres[index];
                     *last = last_received.max(*last);
                     *heartbeat_interval = peer.heartbeat_interval.min(*heartbeat_interval);
                 }
-                Err(at) => data_centres.insert(
-                    at,
+                Err(index) => data_centres.insert(
+                    index,
                     (&peer.data_centre, last_received, peer.heartbeat_interval),
                 ),
             }
@@ -334,15 +334,15 @@
     /// peer.
     pub fn demand(&self, service: &str) -> DemandTotals {
         let demands = self.demands.lock();
-        let at = demands.binary_search_by_key(&short_id(service), |(service, _)| *service);
-        at.map_or_else(|_| DemandTotals::default(), |at| demands[at].1)
+        let index = demands.binary_search_by_key(&short_id(service), |(service, _)| *service);
+        index.map_or_else(|_| DemandTotals::default(), |index| demands[index].1)
     }
 
-    fn add_demand(&self, service: u32, asked: DemandTotals) {
+    fn add_demand(&self, service: u32, demand: DemandTotals) {
         let mut demands = self.demands.lock();
         match demands.binary_search_by_key(&service, |(service, _)| *service) {
-            Ok(at) => demands[at].1 = demands[at].1.with(asked),
-            Err(at) => demands.insert(at, (service, asked)),
+            Ok(index) => demands[index].1 = demands[index].1.plus(demand),
+            Err(index) => demands.insert(index, (service, demand)),
         }
     }
 
@@ -360,8 +360,8 @@
     /// Adds a peer unless it is known.
     fn add(&self, address: SocketAddr, data_centre: &str) {
         let mut known = self.known.lock();
-        if let Err(at) = known.binary_search_by_key(&address, |peer| peer.address) {
-            known.insert(at, Peer::new(address, data_centre));
+        if let Err(index) = known.binary_search_by_key(&address, |peer| peer.address) {
+            known.insert(index, Peer::new(address, data_centre));
         }
     }
 }
@@ -414,9 +414,9 @@
 fn decode_load(message: &EndpointLoad) -> (u32, Load) {
     let load = Load {
         prefill_work: u64::from(message.reading),
-        low_priority_work: u64::from(message.late),
+        deferred_work: u64::from(message.late),
         prompts: u64::from(message.prompts),
-        low_priority_prompts: u64::from(message.late_prompts),
+        deferred_prompts: u64::from(message.late_prompts),
         decoding: u64::from(message.writing),
         long_answers: u64::from(message.long),
         suspects: u64::from(message.suspects),
@@ -429,16 +429,16 @@
     EndpointLoad {
         endpoint,
         reading: narrow(load.prefill_work),
-        late: narrow(load.low_priority_work),
+        late: narrow(load.deferred_work),
         prompts: narrow(load.prompts),
-        late_prompts: narrow(load.low_priority_prompts),
+        late_prompts: narrow(load.deferred_prompts),
         writing: narrow(load.decoding),
         long: narrow(load.long_answers),
         suspects: narrow(load.suspects),
     }
 }
 
-/// Returns the age of `at` in milliseconds as digests encode it: at least 1, since 0 stands for
+/// Returns the age of `index` in milliseconds as digests encode it: at least 1, since 0 stands for
 /// "never".
 fn age_ms(at: Instant) -> u32 {
     u32::try_from(at.elapsed().as_millis())
@@ -491,10 +491,10 @@
         demands: gateway
             .own_demand()
             .into_iter()
-            .map(|(service, asked)| ServiceDemand {
+            .map(|(service, demand)| ServiceDemand {
                 service: short_id(&service),
-                reading: asked.prefill_work,
-                writing: asked.decode_tokens,
+                reading: demand.prefill_work,
+                writing: demand.decode_tokens,
             })
             .collect(),
     }
--- a/components/gateway/src/peer/receive.rs
+++ b/components/gateway/src/peer/receive.rs
@@ -10,7 +10,7 @@
 
 use super::{
     Advertisement, MAX_ADVERTISEMENTS, PEER_TTL, Peer, decode_load, fan_out::HEARTBEAT_INTERVAL,
-    instant_before, paces, suspects,
+    instant_before, latencies, suspects,
 };
 use crate::{
     endpoint::{Load, Stage, Target},
@@ -26,7 +26,7 @@
 /// Receives and applies digests until the process ends, and drops unreachable peers.
 pub async fn run(gateway: &Gateway, socket: &UdpSocket) {
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
-    let mut swept = Instant::now();
+    let mut last_cleanup = Instant::now();
     loop {
         let received = clock::timeout(HEARTBEAT_INTERVAL, socket.recv_from(&mut buffer)).await;
         match received {
@@ -37,8 +37,8 @@
             Ok(Err(error)) => log::debug!(error:%; "failed to receive a digest"),
             Err(_) => {}
         }
-        if swept.elapsed() >= HEARTBEAT_INTERVAL {
-            swept = Instant::now();
+        if last_cleanup.elapsed() >= HEARTBEAT_INTERVAL {
+            last_cleanup = Instant::now();
             drop_unreachable(gateway);
         }
     }
@@ -51,14 +51,14 @@
     };
     let now = Instant::now();
     let mut known = gateway.peers.known.lock();
-    let at = match known.binary_search_by_key(&address, |peer| peer.address) {
-        Ok(at) => at,
-        Err(at) => {
-            known.insert(at, Peer::new(address, &digest.data_centre));
-            at
+    let index = match known.binary_search_by_key(&address, |peer| peer.address) {
+        Ok(index) => index,
+        Err(index) => {
+            known.insert(index, Peer::new(address, &digest.data_centre));
+            index
         }
     };
-    let peer = &mut known[at];
+    let peer = &mut known[index];
     let restarted = peer.incarnation != digest.incarnation;
     let newer = restarted || peer.digest_number < digest.number;
     if !newer {
@@ -88,14 +88,14 @@
     peer.store_available_since = instant_before(now, digest.answered_ms);
     let demand_growth = demand_growth(&mut peer.demands, &digest.demands, !restarted);
     drop(known);
-    for (service, asked) in demand_growth {
-        gateway.peers.add_demand(service, asked);
+    for (service, demand) in demand_growth {
+        gateway.peers.add_demand(service, demand);
     }
     update_peer_loads(gateway, &before, &after);
     record_progress(gateway, &before, &after);
     record_placements(gateway, &digest.placed);
     queue_changes(gateway, digest);
-    paces::apply(gateway, &digest.paces);
+    latencies::apply(gateway, &digest.paces);
     suspects::apply(gateway, &digest.suspects, &digest.name);
     apply_stage_changes(gateway, &digest.changing, &digest.stages);
 }
@@ -131,12 +131,12 @@
     let before = std::mem::take(known);
     *known = received
         .iter()
-        .map(|demand| {
-            let asked = DemandTotals {
-                prefill_work: demand.reading,
-                decode_tokens: demand.writing,
+        .map(|received| {
+            let demand = DemandTotals {
+                prefill_work: received.reading,
+                decode_tokens: received.writing,
             };
-            (demand.service, asked)
+            (received.service, demand)
         })
         .collect();
     known.sort_unstable_by_key(|(service, _)| *service);
@@ -145,10 +145,10 @@
     }
     known
         .iter()
-        .map(|(service, asked)| {
-            let at = before.binary_search_by_key(service, |(service, _)| *service);
-            let old = at.map_or_else(|_| DemandTotals::default(), |at| before[at].1);
-            (*service, asked.since(old))
+        .map(|(service, demand)| {
+            let index = before.binary_search_by_key(service, |(service, _)| *service);
+            let old = index.map_or_else(|_| DemandTotals::default(), |index| before[index].1);
+            (*service, demand.since(old))
         })
         .collect()
 }
@@ -178,35 +178,35 @@
 /// Replaces a peer's former loads by its new ones; both lists are sorted by endpoint.
 fn update_peer_loads(gateway: &Gateway, before: &[(u32, Load)], after: &[(u32, Load)]) {
     let find = |loads: &[(u32, Load)], short_id: u32| {
-        let at = loads.binary_search_by_key(&short_id, |(short_id, _)| *short_id);
-        at.map(|at| loads[at].1).unwrap_or_default()
+        let index = loads.binary_search_by_key(&short_id, |(short_id, _)| *short_id);
+        index.map(|index| loads[index].1).unwrap_or_default()
     };
-    let count = |short_id: u32| {
+    let update_load = |short_id: u32| {
         let (old, new) = (find(before, short_id), find(after, short_id));
         if old != new
             && let Some(target) = gateway.registry.find(short_id)
         {
             let added = new.prefill_work.saturating_sub(old.prefill_work);
             let service = target.with(|state| Arc::clone(&state.profile.service));
-            let paces = gateway.paces(&service);
+            let latencies = gateway.latencies(&service);
             target.with(|state| {
                 if added > 0 {
-                    let default_pace = paces.for_stage(state.profile.stage);
-                    state.record_prefill(Instant::now(), default_pace, added);
+                    let default_latency = latencies.for_stage(state.profile.stage);
+                    state.record_prefill(Instant::now(), default_latency, added);
                 }
                 state.peer_load = replace_part(state.peer_load, old, new);
             });
         }
     };
     for (short_id, _) in after {
-        count(*short_id);
+        update_load(*short_id);
     }
     for (short_id, _) in before {
         if after
             .binary_search_by_key(short_id, |(short_id, _)| *short_id)
             .is_err()
         {
-            count(*short_id);
+            update_load(*short_id);
         }
     }
 }
@@ -215,8 +215,8 @@
 /// sorted by endpoint.
 fn record_progress(gateway: &Gateway, before: &[(u32, Load)], after: &[(u32, Load)]) {
     for (short_id, old) in before {
-        let at = after.binary_search_by_key(short_id, |(short_id, _)| *short_id);
-        let new = at.map(|at| after[at].1).unwrap_or_default();
+        let index = after.binary_search_by_key(short_id, |(short_id, _)| *short_id);
+        let new = index.map(|index| after[index].1).unwrap_or_default();
         let ended = new.prompts < old.prompts || new.decoding < old.decoding;
         if let Some(target) = gateway.registry.find(*short_id).filter(|_| ended) {
             target.record_progress();
@@ -229,13 +229,10 @@
 fn replace_part(sum: Load, old: Load, new: Load) -> Load {
     Load {
         prefill_work: sum.prefill_work.saturating_sub(old.prefill_work) + new.prefill_work,
-        low_priority_work: sum.low_priority_work.saturating_sub(old.low_priority_work)
-            + new.low_priority_work,
+        deferred_work: sum.deferred_work.saturating_sub(old.deferred_work) + new.deferred_work,
         prompts: sum.prompts.saturating_sub(old.prompts) + new.prompts,
-        low_priority_prompts: sum
-            .low_priority_prompts
-            .saturating_sub(old.low_priority_prompts)
-            + new.low_priority_prompts,
+        deferred_prompts: sum.deferred_prompts.saturating_sub(old.deferred_prompts)
+            + new.deferred_prompts,
         decoding: sum.decoding.saturating_sub(old.decoding) + new.decoding,
         long_answers: sum.long_answers.saturating_sub(old.long_answers) + new.long_answers,
         suspects: sum.suspects.saturating_sub(old.suspects) + new.suspects,
@@ -262,7 +259,7 @@
         })
         .collect();
     let service = target.with(|state| Arc::clone(&state.profile.service));
-    let defaults = gateway.common(&service);
+    let defaults = gateway.service_defaults(&service);
     target.with(|state| {
         // a decode engine has usually fetched the KV cache from a prefill engine
         let fetched = state.profile.stage == Some(Stage::Decode);
--- a/components/gateway/src/peer/send.rs
+++ b/components/gateway/src/peer/send.rs
@@ -10,7 +10,7 @@
 use super::{
     MAX_PENDING_PLACEMENTS, encode_load,
     fan_out::{HEARTBEAT_INTERVAL, MIN_DIGEST_INTERVAL, PeerGroup},
-    own_digest, paces,
+    latencies, own_digest,
     receive::apply_stage_changes,
     suspects,
 };
@@ -29,37 +29,39 @@
 
 /// Minimum interval between two digests of a stream that contain paces; learning more takes several
 /// prompts.
-const PACES_INTERVAL: Duration = Duration::from_millis(50);
+const LATENCIES_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Sends digests until the process ends.
 pub async fn run(gateway: &Gateway, socket: &UdpSocket) {
     let mut number = 0;
-    let mut streams = [
+    let mut schedules = [
         PeerGroup::LocalNeighbours,
         PeerGroup::RemoteNeighbours,
         PeerGroup::Others,
     ]
-    .map(Stream::new);
+    .map(DigestSchedule::new);
     loop {
         clock::sleep(MIN_DIGEST_INTERVAL).await;
         let update = Update::collect(gateway);
         apply_stage_changes(gateway, &update.changing, &[]);
-        for stream in &mut streams {
-            stream.enqueue(&update);
-            if !stream.is_due(&update) {
+        for schedule in &mut schedules {
+            schedule.enqueue(&update);
+            if !schedule.is_due(&update) {
                 continue;
             }
             let own = &gateway.settings.gateway;
             let recipients = gateway.peers.recipients(
-                stream.group,
+                schedule.group,
                 own.peers,
                 &own.data_centre,
                 is_critical(gateway, &update),
             );
-            stream.min_interval = recipients.min_interval;
-            stream.max_interval = recipients.max_interval;
+            schedule.min_interval = recipients.min_interval;
+            schedule.max_interval = recipients.max_interval;
             number += 1;
-            let bytes = stream.next_digest(gateway, &update, number).encode_to_vec();
+            let bytes = schedule
+                .next_digest(gateway, &update, number)
+                .encode_to_vec();
             for address in recipients.peers {
                 if let Err(error) = socket.send_to(&bytes, address).await {
                     log::debug!(peer:% = address, error:%; "failed to send a digest");
@@ -101,7 +103,9 @@
             suspects: gateway
                 .suspects_to_send()
                 .iter()
-                .map(|(content, record)| suspects::encode(*content, record, gateway.moment()))
+                .map(|(fingerprint, record)| {
+                    suspects::encode(*fingerprint, record, gateway.moment())
+                })
                 .collect(),
         }
     }
@@ -109,7 +113,7 @@
 
 /// Digests to one group of peers.
 #[derive(Debug)]
-struct Stream {
+struct DigestSchedule {
     group: PeerGroup,
     /// When the last digest was sent.
     last_sent: Instant,
@@ -126,10 +130,10 @@
     changes: Vec<EndpointChanges>,
     suspects: Vec<Suspect>,
     /// When a digest last contained paces.
-    paces_sent: Instant,
+    latencies_sent: Instant,
 }
 
-impl Stream {
+impl DigestSchedule {
     fn new(group: PeerGroup) -> Self {
         Self {
             group,
@@ -142,7 +146,7 @@
             placed: Vec::new(),
             changes: Vec::new(),
             suspects: Vec::new(),
-            paces_sent: Instant::now(),
+            latencies_sent: Instant::now(),
         }
     }
 
@@ -179,14 +183,14 @@
         self.revisions = update.revisions;
         let count = self.placed.len().min(MAX_PLACEMENTS_PER_DIGEST);
         let suspects = self.suspects.len().min(MAX_SUSPECTS_PER_DIGEST);
-        let paces = if self.paces_sent.elapsed() < PACES_INTERVAL {
+        let latencies = if self.latencies_sent.elapsed() < LATENCIES_INTERVAL {
             Vec::new()
         } else {
-            self.paces_sent = self.last_sent;
-            paces::collect(gateway, gateway.peers.has_new_peer())
+            self.latencies_sent = self.last_sent;
+            latencies::collect(gateway, gateway.peers.has_new_peer())
         };
         Digest {
-            paces,
+            paces: latencies,
             loads: update
                 .loads
                 .iter()
--- a/components/gateway/src/peer/suspects.rs
+++ b/components/gateway/src/peer/suspects.rs
@@ -11,14 +11,14 @@
 const MICROS_PER_MILLI: Moment = 1_000;
 
 /// Encodes the record of a request.
-pub(super) fn encode(content: Fingerprint, record: &Record, now: Moment) -> Suspect {
-    let ends = record.crashes.iter().map(|end| EndpointEnd {
-        endpoint: end.endpoint,
-        ago_ms: age_ms(end.at, now),
+pub(super) fn encode(fingerprint: Fingerprint, record: &Record, now: Moment) -> Suspect {
+    let crashes = record.crashes.iter().map(|crash| EndpointEnd {
+        endpoint: crash.endpoint,
+        ago_ms: age_ms(crash.at, now),
     });
     Suspect {
-        content: content.into(),
-        ends: ends.collect(),
+        content: fingerprint.into(),
+        ends: crashes.collect(),
         served_ms: record.last_served.map_or(0, |served| age_ms(served, now)),
     }
 }
@@ -33,17 +33,17 @@
 
 fn decode(received: &Suspect, now: Moment) -> Record {
     let ago = |age_ms: u32| now - Moment::from(age_ms) * MICROS_PER_MILLI;
-    let mut ends: Vec<Crash> = received
+    let mut crashes: Vec<Crash> = received
         .ends
         .iter()
-        .map(|end| Crash {
-            endpoint: end.endpoint,
-            at: ago(end.ago_ms),
+        .map(|crash| Crash {
+            endpoint: crash.endpoint,
+            at: ago(crash.ago_ms),
         })
         .collect();
-    ends.sort_unstable_by_key(|end| end.at);
+    crashes.sort_unstable_by_key(|crash| crash.at);
     Record {
-        crashes: ends,
+        crashes,
         last_served: (received.served_ms > 0).then(|| ago(received.served_ms)),
     }
 }
--- a/components/gateway/src/process/configuration.rs
+++ b/components/gateway/src/process/configuration.rs
@@ -17,37 +17,37 @@
 
 /// Follows the list of configurations for the lifetime of the process.
 pub async fn run(gateway: Arc<Gateway>) {
-    let mut from = Cursor::Start;
+    let mut cursor = Cursor::Start;
     let mut backoff = Backoff::default();
     let mut outage = Outage::default();
     let mut follower = Follower::new(List::Configuration);
     loop {
-        match follower.next_action(&gateway, from) {
+        match follower.next_action(&gateway, cursor) {
             Action::Read => {}
-            Action::CatchUp => from = from.without_wait(),
+            Action::CatchUp => cursor = cursor.without_wait(),
             Action::Wait => {
                 clock::sleep(Follower::poll_interval()).await;
                 continue;
             }
         }
         let started = Instant::now();
-        let answer = gateway.adapters.directory.configuration(from).await;
-        gateway.count_store_call("configuration", answer.is_ok());
-        match answer {
+        let result = gateway.adapters.directory.configuration(cursor).await;
+        gateway.count_store_call("configuration", result.is_ok());
+        match result {
             Ok(update) => {
                 backoff = Backoff::default();
                 outage.end(update.revision);
-                from = next_read(update.revision, true);
+                cursor = next_read(update.revision, true);
                 apply(&gateway, update, started.elapsed());
             }
             Err(Failure::HistoryGone) => {
                 log::warn!(table = "configuration"; "the store no longer has the history; reading the full list");
-                from = Cursor::Start;
+                cursor = Cursor::Start;
             }
             Err(failure) => {
                 outage.record_failure(&gateway, failure, started.elapsed());
-                if let Cursor::After { revision, .. } = from {
-                    from = next_read(revision, false);
+                if let Cursor::After { revision, .. } = cursor {
+                    cursor = next_read(revision, false);
                 }
                 let pause = backoff.pause(&gateway);
                 while let Some(remaining) = pause.remaining(&gateway) {
@@ -67,7 +67,7 @@
         .max_by_key(|change| change.version);
     if let Some(newest) = newest {
         let (version, routes) = (newest.version, newest.routes().len());
-        let adopted = gateway.adopt(newest);
+        let adopted = gateway.adopt_configuration(newest);
         log::info!(
             version, routes, versions, adopted, revision = update.revision,
             took_ms = millis(took); "read a configuration"
--- a/components/gateway/src/process/crashes.rs
+++ b/components/gateway/src/process/crashes.rs
@@ -15,13 +15,13 @@
     /// Checks whether an endpoint that broke a request's connection has crashed, and if so records the
     /// requests that were in flight there.
     pub async fn check_for_crash(&self, target: &Arc<Target>, request: &str) {
-        let fingerprints = target.take_requests_if_terminated(Instant::now()).await;
+        let fingerprints = target.take_requests_if_crashed(Instant::now()).await;
         self.record_crash(target, &fingerprints, "it refuses connections", request);
     }
 
     /// Records the requests that were in flight at an endpoint whose entry disappeared from the list without
     /// an announcement that it leaves.
-    pub fn record_expired(&self, target: &Arc<Target>) {
+    pub fn record_unlisted(&self, target: &Arc<Target>) {
         let fingerprints = target.with(|state| state.requests.take_broken(Instant::now()));
         self.record_crash(target, &fingerprints, "it is no longer listed", "");
     }
--- a/components/gateway/src/process/endpoints.rs
+++ b/components/gateway/src/process/endpoints.rs
@@ -20,40 +20,40 @@
 pub async fn run(gateway: Arc<Gateway>) {
     let mut list = EndpointList {
         gateway,
-        from: Cursor::Start,
+        cursor: Cursor::Start,
         full_read_revision: 0,
-        known_before_read: 0,
+        revision_before_read: 0,
         store_unavailable: false,
         missing: Missing::default(),
     };
     let mut backoff = Backoff::default();
     let mut follower = Follower::new(List::Endpoints);
     loop {
-        match follower.next_action(&list.gateway, list.from) {
+        match follower.next_action(&list.gateway, list.cursor) {
             Action::Read => {}
-            Action::CatchUp => list.from = list.from.without_wait(),
+            Action::CatchUp => list.cursor = list.cursor.without_wait(),
             Action::Wait => {
-                list.receive_for(Follower::poll_interval()).await;
+                list.apply_peer_updates_for(Follower::poll_interval()).await;
                 continue;
             }
         }
-        let answer = list.read().await;
-        list.gateway.count_store_call("endpoints", answer.is_ok());
-        match answer {
+        let result = list.read().await;
+        list.gateway.count_store_call("endpoints", result.is_ok());
+        match result {
             Ok(update) => {
                 backoff = Backoff::default();
-                follower.caught_up();
+                follower.record_read();
                 list.apply_read(update);
             }
             Err(Failure::HistoryGone) => {
                 log::warn!(table = "endpoints"; "the store no longer has the history; reading the full list");
-                list.from = Cursor::Start;
+                list.cursor = Cursor::Start;
             }
             Err(failure) => {
                 list.record_failure(failure);
                 let pause = backoff.pause(&list.gateway);
                 while let Some(remaining) = pause.remaining(&list.gateway) {
-                    list.receive_for(remaining).await;
+                    list.apply_peer_updates_for(remaining).await;
                 }
             }
         }
@@ -62,11 +62,11 @@
 
 struct EndpointList {
     gateway: Arc<Gateway>,
-    from: Cursor,
+    cursor: Cursor,
     /// The revision of the last read of the full list.
     full_read_revision: u64,
     /// The newest change that was known when the read in flight began.
-    known_before_read: u64,
+    revision_before_read: u64,
     /// Whether the last call to the store failed.
     store_unavailable: bool,
     /// Endpoints that were missing from the list when the store recovered.
@@ -77,28 +77,28 @@
     /// Reads the list from the last revision. Applies peers' updates meanwhile, as the store may be
     /// unreachable for this process only.
     async fn read(&mut self) -> Result<Update<Change>, Failure> {
-        self.known_before_read = self.gateway.last_changes.revision(List::Endpoints);
+        self.revision_before_read = self.gateway.last_changes.revision(List::Endpoints);
         let directory = Arc::clone(&self.gateway.adapters.directory);
-        let mut read = directory.endpoints(self.from);
+        let mut read = directory.endpoints(self.cursor);
         loop {
             tokio::select! {
-                answer = &mut read => return answer,
-                () = self.receive_updates() => {}
+                result = &mut read => return result,
+                () = self.apply_next_peer_updates() => {}
             }
         }
     }
 
     /// Applies peers' updates for `time`.
-    async fn receive_for(&mut self, time: Duration) {
+    async fn apply_peer_updates_for(&mut self, time: Duration) {
         let until = Instant::now() + time;
-        while clock::timeout_at(until, self.receive_updates())
+        while clock::timeout_at(until, self.apply_next_peer_updates())
             .await
             .is_ok()
         {}
     }
 
     /// Waits for updates from peers or for the next check of missing endpoints, and applies them.
-    async fn receive_updates(&mut self) {
+    async fn apply_next_peer_updates(&mut self) {
         let gateway = Arc::clone(&self.gateway);
         tokio::select! {
             advertised = gateway.peers.receive_advertisements() => {
@@ -112,7 +112,7 @@
 
     /// Applies changes that a peer has read if they continue the known revision and are new.
     fn apply_advertised(&mut self, advertised: Advertisement) {
-        match self.from {
+        match self.cursor {
             Cursor::After { revision, .. }
                 if advertised.after_revision <= revision && revision < advertised.to_revision =>
             {
@@ -121,7 +121,7 @@
                     .last_changes
                     .record(List::Endpoints, advertised.to_revision);
                 // a peer's update does not show that the store answers this process again
-                self.from = next_read(advertised.to_revision, !self.store_unavailable);
+                self.cursor = next_read(advertised.to_revision, !self.store_unavailable);
             }
             // a gap before the update is filled by a read from the store
             Cursor::Start | Cursor::After { .. } => {}
@@ -133,33 +133,33 @@
             log::warn!(table = "endpoints", failure:%; "the store did not answer");
         }
         self.store_unavailable = true;
-        self.gateway.record_store_call(false);
-        if let Cursor::After { revision, .. } = self.from {
-            self.from = next_read(revision, false);
+        self.gateway.record_store_availability(false);
+        if let Cursor::After { revision, .. } = self.cursor {
+            self.cursor = next_read(revision, false);
         }
     }
 
     fn apply_read(&mut self, update: Update<Change>) {
-        match self.from {
+        match self.cursor {
             // peers have advertised later changes meanwhile
             Cursor::After { revision, .. } if update.revision < revision => return,
             Cursor::Start | Cursor::After { .. } => {}
         }
-        let full = self.from == Cursor::Start;
+        let full = self.cursor == Cursor::Start;
         let recovered = std::mem::take(&mut self.store_unavailable);
-        self.gateway.record_store_call(true);
+        self.gateway.record_store_availability(true);
         if recovered {
             log::info!(table = "endpoints", revision = update.revision; "the store has recovered");
         }
         self.advertise(&update, full, recovered);
         self.apply(update.changes, full, recovered);
-        self.from = next_read(update.revision, true);
+        self.cursor = next_read(update.revision, true);
     }
 
     /// Advertises the changes to the peers, or after a full read only the new revision.
     fn advertise(&mut self, update: &Update<Change>, full: bool, after_outage: bool) {
         let last_changes = &self.gateway.last_changes;
-        let before = self.known_before_read;
+        let before = self.revision_before_read;
         if full {
             self.full_read_revision = update.revision;
         }
@@ -184,21 +184,21 @@
 
     fn apply(&mut self, mut changes: Vec<Change>, full: bool, recovered: bool) {
         if recovered {
-            self.defer_removals(&mut changes, full);
+            self.postpone_removals(&mut changes, full);
         } else {
             for change in &changes {
-                self.missing.forget(change.id());
+                self.missing.remove(change.id());
             }
         }
         // endpoints absent from the full list after an outage have been deferred
-        let expired = self.gateway.registry.apply(&changes, full && !recovered);
-        self.record_expired(&expired);
+        let unlisted = self.gateway.registry.apply(&changes, full && !recovered);
+        self.record_unlisted(&unlisted);
         self.gateway.endpoints_read.send_replace(true);
         self.remove_missing();
     }
 
     /// Defers removals of endpoints after an outage, as their entries may only have expired during it.
-    fn defer_removals(&mut self, changes: &mut Vec<Change>, full: bool) {
+    fn postpone_removals(&mut self, changes: &mut Vec<Change>, full: bool) {
         let known = self.gateway.registry.all();
         for target in known.iter().filter(|_| full) {
             if !changes.iter().any(|change| *change.id() == target.id) {
@@ -208,7 +208,7 @@
         // the list may hold a change and then the removal of the same endpoint
         changes.retain(|change| match change {
             Change::Present(profile) => {
-                self.missing.forget(&profile.id);
+                self.missing.remove(&profile.id);
                 true
             }
             Change::Gone(id) => {
@@ -217,7 +217,7 @@
             }
             // the entry has not expired: it was overwritten
             Change::Unusable(id) => {
-                self.missing.forget(id);
+                self.missing.remove(id);
                 true
             }
         });
@@ -228,13 +228,13 @@
         if gone.is_empty() {
             return;
         }
-        let expired = self.gateway.registry.apply(&gone, false);
-        self.record_expired(&expired);
+        let unlisted = self.gateway.registry.apply(&gone, false);
+        self.record_unlisted(&unlisted);
     }
 
-    fn record_expired(&self, expired: &[Arc<Target>]) {
-        for target in expired {
-            self.gateway.record_expired(target);
+    fn record_unlisted(&self, unlisted: &[Arc<Target>]) {
+        for target in unlisted {
+            self.gateway.record_unlisted(target);
         }
     }
 }
--- a/components/gateway/src/process/follow.rs
+++ b/components/gateway/src/process/follow.rs
@@ -118,9 +118,9 @@
         POLL_INTERVAL
     }
 
-    /// Decides what to do next; `from` is how far the list has been read.
-    pub fn next_action(&mut self, gateway: &Gateway, from: Cursor) -> Action {
-        let revision = match from {
+    /// Decides what to do next; `cursor` is how far the list has been read.
+    pub fn next_action(&mut self, gateway: &Gateway, cursor: Cursor) -> Action {
+        let revision = match cursor {
             Cursor::Start => return Action::Read,
             Cursor::After { revision, .. } => revision,
         };
@@ -152,7 +152,7 @@
     }
 
     /// Records that the list has been read.
-    pub fn caught_up(&mut self) {
+    pub fn record_read(&mut self) {
         if !self.current_readers.is_empty() {
             self.previous_readers = std::mem::take(&mut self.current_readers);
         }
--- a/components/gateway/src/process/missing.rs
+++ b/components/gateway/src/process/missing.rs
@@ -34,7 +34,7 @@
     }
 
     /// Removes an endpoint of which something newer is known.
-    pub fn forget(&mut self, id: &Id) {
+    pub fn remove(&mut self, id: &Id) {
         self.0.retain(|(missing, _)| missing != id);
     }
 
--- a/components/gateway/src/process/mod.rs
+++ b/components/gateway/src/process/mod.rs
@@ -126,19 +126,19 @@
         self.configuration
             .read()
             .as_ref()
-            .map_or_else(Limits::default, |version| version.limits)
+            .map_or_else(Limits::default, |configuration| configuration.limits)
     }
 
     /// Puts a configuration into force unless the current one is at least as new. Returns whether it did.
-    pub fn adopt(&self, version: Arc<Configuration>) -> bool {
+    pub fn adopt_configuration(&self, configuration: Arc<Configuration>) -> bool {
         let mut current = self.configuration.write();
         let newer = current
             .as_ref()
-            .is_none_or(|current| current.version < version.version);
+            .is_none_or(|current| current.version < configuration.version);
         if newer {
             self.idle_limits
-                .record(Instant::now(), version.limits.idle_timeout);
-            *current = Some(version);
+                .record(Instant::now(), configuration.limits.idle_timeout);
+            *current = Some(configuration);
         }
         newer
     }
@@ -147,8 +147,8 @@
     /// caller may still rely on. Callers may not know of a shortened limit until the time has passed that
     /// operators allow for a configuration to take effect.
     pub fn idle_limit(&self, since: Instant) -> Duration {
-        let unknown = self.bounds.read().configuration_ms;
-        let since = since.checked_sub(unknown).unwrap_or(since);
+        let notice_period = self.bounds.read().configuration_ms;
+        let since = since.checked_sub(notice_period).unwrap_or(since);
         let longest = self.idle_limits.longest_since(since);
         longest.unwrap_or_else(|| Limits::default().idle_timeout)
     }
@@ -166,7 +166,7 @@
     }
 
     /// Records whether the store answered a call.
-    pub fn record_store_call(&self, answered: bool) {
+    pub fn record_store_availability(&self, answered: bool) {
         let mut since = self.store_available_since.lock();
         if answered {
             since.get_or_insert_with(Instant::now);
--- a/components/gateway/src/process/service.rs
+++ b/components/gateway/src/process/service.rs
@@ -11,7 +11,7 @@
 
 use super::Gateway;
 use crate::{
-    endpoint::{Paces, ServiceDefaults, Stage, Target},
+    endpoint::{Latencies, ServiceDefaults, Stage, Target},
     request::Queue,
 };
 
@@ -30,7 +30,7 @@
 impl DemandTotals {
     /// The sum of both.
     #[must_use]
-    pub fn with(self, other: Self) -> Self {
+    pub fn plus(self, other: Self) -> Self {
         Self {
             prefill_work: self.prefill_work + other.prefill_work,
             decode_tokens: self.decode_tokens + other.decode_tokens,
@@ -49,7 +49,7 @@
 
 /// Counters and learnt values of one service.
 #[derive(Debug)]
-pub struct State {
+pub struct ServiceState {
     /// Requests and retries within the window of the retry budget.
     retries: Window,
     /// Demand of this process's callers.
@@ -57,25 +57,25 @@
     /// How much later than expected its answers begin.
     margin: Margin,
     /// The ratio of the actual to the expected wait of its low-priority prompts.
-    stretch: WaitFactor,
+    wait_factor: WaitFactor,
     /// Average prefill and decode speed of its engines.
-    paces: Paces,
+    latencies: Latencies,
     /// The longest inter-token latency, in microseconds, with which every long answer so far could have met
     /// its deadline.
-    max_inter_token_latency: f64,
+    max_inter_token_latency_us: f64,
     /// Requests that wait for capacity.
     queue: Arc<Queue>,
 }
 
-impl State {
+impl ServiceState {
     fn new(retries: Window) -> Self {
         Self {
             retries,
             demand: DemandTotals::default(),
             margin: Margin::default(),
-            stretch: WaitFactor::default(),
-            paces: Paces::default(),
-            max_inter_token_latency: f64::MAX,
+            wait_factor: WaitFactor::default(),
+            latencies: Latencies::default(),
+            max_inter_token_latency_us: f64::MAX,
             queue: Arc::default(),
         }
     }
@@ -85,12 +85,12 @@
 #[derive(Debug)]
 pub struct RetryPermit {
     /// When it was taken from the budget.
-    taken_at: policy::Micros,
+    spent_at: policy::Micros,
 }
 
 /// This process's share of the operators' limits on retries.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Share {
+struct RetryShare {
     /// Retries per request.
     ratio: f64,
     /// Retries per window in addition to the ratio.
@@ -101,7 +101,7 @@
 
 /// The states of all services, sorted by service name.
 #[derive(Debug, Default)]
-pub struct Services(Mutex<Vec<(Arc<str>, State)>>);
+pub struct Services(Mutex<Vec<(Arc<str>, ServiceState)>>);
 
 impl Gateway {
     /// Counts a request to a service, which adds to the service's retry budget.
@@ -112,7 +112,7 @@
     }
 
     /// Takes one retry from a service's retry budget; `None` if it is exhausted.
-    pub fn take_retry(&self, service: &Arc<str>, request: &str) -> Option<RetryPermit> {
+    pub fn spend_retry(&self, service: &Arc<str>, request: &str) -> Option<RetryPermit> {
         let now = self.micros();
         let share = self.retry_share();
         let usage = self.with_service(service, |state| {
@@ -126,14 +126,14 @@
             limit = usage.allowed_retries, sharers = share.sharers, slack = share.slack;
             "a retry was requested"
         );
-        allowed.then_some(RetryPermit { taken_at: now })
+        allowed.then_some(RetryPermit { spent_at: now })
     }
 
     /// Returns a permit to the budget when no retry was sent.
-    pub fn return_retry(&self, service: &Arc<str>, request: &str, permit: &RetryPermit) {
+    pub fn refund_retry(&self, service: &Arc<str>, request: &str, permit: &RetryPermit) {
         let labels = [&**service, "given-back"];
         self.metrics.retries.with_label_values(&labels).inc();
-        self.with_service(service, |state| state.retries.refund(permit.taken_at));
+        self.with_service(service, |state| state.retries.refund(permit.spent_at));
         log::info!(request, service = &**service; "a retry was returned to the budget");
     }
 
@@ -162,12 +162,12 @@
     ///
     /// Unreachable peers keep their share for a while: what they have sent still counts, and those that are
     /// only cut off go on sending.
-    fn retry_share(&self) -> Share {
+    fn retry_share(&self) -> RetryShare {
         let bounds = self.bounds.read();
         let sharers = self.peers.budget_sharers(self.started.elapsed());
         let sharers = sharers.map(|peers| peers + 1);
         let slack = sharers.map_or(0.0, |sharers| bounds.retry_slack / policy::to_f64(sharers));
-        Share {
+        RetryShare {
             ratio: bounds.retry_ratio,
             slack,
             sharers,
@@ -176,7 +176,7 @@
 
     /// Adds to the demand of a service.
     pub fn count_demand(&self, service: &Arc<str>, demand: DemandTotals) {
-        self.with_service(service, |state| state.demand = state.demand.with(demand));
+        self.with_service(service, |state| state.demand = state.demand.plus(demand));
     }
 
     /// The cumulative demand of this process's callers for each service.
@@ -192,41 +192,41 @@
     /// each.
     pub fn demand(&self, service: &Arc<str>) -> DemandTotals {
         let own = self.with_service(service, |state| state.demand);
-        own.with(self.peers.demand(service))
+        own.plus(self.peers.demand(service))
     }
 
     /// Records a long answer of at most `tokens` tokens that has to be finished within `time`.
     pub fn record_long_answer(&self, service: &Arc<str>, tokens: u64, time: Duration) {
         let latency = policy::to_f64(policy::micros(time)) / policy::to_f64(tokens.max(1));
         self.with_service(service, |state| {
-            state.max_inter_token_latency = state.max_inter_token_latency.min(latency);
+            state.max_inter_token_latency_us = state.max_inter_token_latency_us.min(latency);
         });
     }
 
     /// The longest inter-token latency, in microseconds, with which every long answer so far could have met
     /// its deadline.
-    pub fn max_inter_token_latency(&self, service: &Arc<str>) -> f64 {
-        self.with_service(service, |state| state.max_inter_token_latency)
+    pub fn max_inter_token_latency_us(&self, service: &Arc<str>) -> f64 {
+        self.with_service(service, |state| state.max_inter_token_latency_us)
     }
 
     /// How much later than expected most answers of a service begin, in microseconds.
-    pub fn margin(&self, service: &Arc<str>) -> f64 {
+    pub fn margin_us(&self, service: &Arc<str>) -> f64 {
         self.with_service(service, |state| state.margin.us())
     }
 
     /// Learns from the expected and the actual time to first token of an answer.
-    pub fn learn_margin(&self, service: &Arc<str>, expected: f64, took: policy::Micros) {
-        self.with_service(service, |state| state.margin.observe(expected, took));
+    pub fn learn_margin(&self, service: &Arc<str>, expected_us: f64, took: policy::Micros) {
+        self.with_service(service, |state| state.margin.observe(expected_us, took));
     }
 
     /// The ratio of the actual to the expected wait of a service's low-priority prompts.
-    pub fn stretch(&self, service: &Arc<str>) -> WaitFactor {
-        self.with_service(service, |state| state.stretch)
+    pub fn wait_factor(&self, service: &Arc<str>) -> WaitFactor {
+        self.with_service(service, |state| state.wait_factor)
     }
 
     /// Learns from the wait of a low-priority prompt.
-    pub fn learn_stretch(&self, service: &Arc<str>, learn: impl FnOnce(&mut WaitFactor)) {
-        self.with_service(service, |state| learn(&mut state.stretch));
+    pub fn learn_wait_factor(&self, service: &Arc<str>, learn: impl FnOnce(&mut WaitFactor)) {
+        self.with_service(service, |state| learn(&mut state.wait_factor));
     }
 
     /// The queue of requests of a service that wait for capacity.
@@ -235,68 +235,68 @@
     }
 
     /// Average speed of the engines of a service.
-    pub fn paces(&self, service: &Arc<str>) -> Paces {
-        self.with_service(service, |state| state.paces)
+    pub fn latencies(&self, service: &Arc<str>) -> Latencies {
+        self.with_service(service, |state| state.latencies)
     }
 
     /// Properties that all engines of a service have in common.
-    pub fn common(&self, service: &Arc<str>) -> ServiceDefaults {
-        let version = self.configuration();
-        let engines = version
+    pub fn service_defaults(&self, service: &Arc<str>) -> ServiceDefaults {
+        let configuration = self.configuration();
+        let engines = configuration
             .as_ref()
-            .and_then(|version| version.service(service)?.engines.as_ref());
+            .and_then(|configuration| configuration.service(service)?.engines.as_ref());
         ServiceDefaults {
-            paces: self.paces(service),
-            memory_tokens: engines.map_or(0, |engines| engines.kv_capacity_tokens),
+            latencies: self.latencies(service),
+            kv_capacity_tokens: engines.map_or(0, |engines| engines.kv_capacity_tokens),
         }
     }
 
     /// Learns the speed of an engine, both for the engine itself and for the average of its service.
-    pub fn learn_pace(&self, target: &Target, learn: impl Fn(&mut Latency)) {
+    pub fn learn_latency(&self, target: &Target, learn: impl Fn(&mut Latency)) {
         let (service, stage) = target.with(|state| {
             let stage = state.profile.stage.unwrap_or(Stage::Decode);
             (Arc::clone(&state.profile.service), stage)
         });
-        let common = self.with_service(&service, |state| {
-            let pace = state.paces.for_stage_mut(stage);
-            learn(pace);
-            *pace
+        let service_latency = self.with_service(&service, |state| {
+            let latency = state.latencies.for_stage_mut(stage);
+            learn(latency);
+            *latency
         });
-        target.with(|state| match &mut state.pace {
-            Some(pace) => learn(pace),
-            None => state.pace = Some(common),
+        target.with(|state| match &mut state.latency {
+            Some(latency) => learn(latency),
+            None => state.latency = Some(service_latency),
         });
     }
 
     /// Learnt speeds of the engines of each service. Without `include_known` only values that are still being
     /// learnt; peers have learnt the others themselves.
-    pub fn own_paces(&self, include_known: bool) -> Vec<(Arc<str>, Paces)> {
+    pub fn own_latencies(&self, include_known: bool) -> Vec<(Arc<str>, Latencies)> {
         let services = self.services.0.lock();
         let learnt = services.iter().filter(|(_, state)| {
-            let Paces { prefill, decode } = &state.paces;
+            let Latencies { prefill, decode } = &state.latencies;
             prefill.is_converging()
                 || decode.is_converging()
-                || (include_known && state.paces != Paces::default())
+                || (include_known && state.latencies != Latencies::default())
         });
         learnt
-            .map(|(service, state)| (Arc::clone(service), state.paces))
+            .map(|(service, state)| (Arc::clone(service), state.latencies))
             .collect()
     }
 
     /// Adopts a peer's learnt speed of a service's engines in one stage. Without it, a process that has just
     /// started would place its first prompts by a guess: the prefill of 44,958 tokens was expected to take
     /// 0.3 s and took 1.9 s.
-    pub fn adopt_pace(&self, service: &Arc<str>, stage: Stage, received: &Latency) {
+    pub fn adopt_latency(&self, service: &Arc<str>, stage: Stage, received: &Latency) {
         let adopted = self.with_service(service, |state| {
-            state.paces.for_stage_mut(stage).adopt(received)
+            state.latencies.for_stage_mut(stage).adopt(received)
         });
         if !adopted {
             return;
         }
         for target in self.registry.fleet(service).subset() {
-            target.with(|state| match &mut state.pace {
-                Some(pace) if state.profile.stage == Some(stage) => {
-                    pace.adopt(received);
+            target.with(|state| match &mut state.latency {
+                Some(latency) if state.profile.stage == Some(stage) => {
+                    latency.adopt(received);
                 }
                 Some(_) | None => {}
             });
@@ -308,12 +308,12 @@
         );
     }
 
-    fn with_service<T>(&self, service: &Arc<str>, f: impl FnOnce(&mut State) -> T) -> T {
+    fn with_service<T>(&self, service: &Arc<str>, f: impl FnOnce(&mut ServiceState) -> T) -> T {
         let mut services = self.services.0.lock();
         let index = match services.binary_search_by(|(name, _)| name.cmp(service)) {
             Ok(index) => index,
             Err(index) => {
-                let state = State::new(self.empty_window());
+                let state = ServiceState::new(self.empty_window());
                 services.insert(index, (Arc::clone(service), state));
                 index
             }
--- a/components/gateway/src/process/shutdown.rs
+++ b/components/gateway/src/process/shutdown.rs
@@ -57,11 +57,12 @@
     let _ = clock::timeout_at(shutdown.deadline, wait_until_idle(&gateway)).await;
     // requests read from now on are refused, so that a process about to exit forwards none
     gateway.phase.send_replace(Phase::Closing);
-    let cut = match clock::timeout(FINAL_RESPONSE_TIMEOUT, wait_until_idle(&gateway)).await {
+    let interrupted = match clock::timeout(FINAL_RESPONSE_TIMEOUT, wait_until_idle(&gateway)).await
+    {
         Ok(()) => 0,
         Err(_) => *gateway.in_flight.borrow(),
     };
-    log::info!(cut; "planned stop ends");
+    log::info!(cut = interrupted; "planned stop ends");
     gateway.phase.send_replace(Phase::Stopped);
 }
 
--- a/components/gateway/src/process/status.rs
+++ b/components/gateway/src/process/status.rs
@@ -59,7 +59,9 @@
         gauge.set(i64::try_from(count).unwrap_or(i64::MAX));
     };
     let count = |count: usize| u64::try_from(count).unwrap_or(u64::MAX);
-    let version = gateway.configuration().map_or(0, |version| version.version);
+    let version = gateway
+        .configuration()
+        .map_or(0, |configuration| configuration.version);
     set(&metrics.configuration_version, version);
     let list = List::Configuration;
     set(
--- a/components/gateway/src/process/suspects.rs
+++ b/components/gateway/src/process/suspects.rs
@@ -1,5 +1,5 @@
 //! Requests suspected of crashing endpoints, from what this process has seen and what peers have reported.
-//! See `docs/DESIGN.md#requests-that-end-endpoints`.
+//! See `docs/DESIGN.md#requests-that-crash-endpoints`.
 
 use std::{
     sync::atomic::{AtomicBool, Ordering},
@@ -20,7 +20,7 @@
 const RESEND_INTERVAL: Duration = Duration::from_secs(1);
 /// How long a request under which a single endpoint crashed is sent again; those with more crashes are sent
 /// as long as they are known.
-const SINGLE_CRASH_RESEND_PERIOD: Moment = 5_000_000;
+const SINGLE_CRASH_RESEND_PERIOD_US: Moment = 5_000_000;
 /// The maximum number of suspects sent again at once, the most recent first, so that a datagram fits in a
 /// packet.
 const MAX_RESENT: usize = 32;
@@ -199,7 +199,7 @@
     }
 
     /// Drops requests whose last crash or success was long ago.
-    pub fn forget_old_suspects(&self) {
+    pub fn evict_expired_suspects(&self) {
         let mut known = self.suspects.known.lock();
         known.evict_expired(self.moment());
         let any = !known.records().is_empty();
@@ -229,7 +229,7 @@
         let is_recent = |record: &Record| {
             record
                 .last_update()
-                .is_some_and(|last| now - last < SINGLE_CRASH_RESEND_PERIOD)
+                .is_some_and(|last| now - last < SINGLE_CRASH_RESEND_PERIOD_US)
         };
         records.retain(|(_, record)| record.crashes.len() > 1 || is_recent(record));
         records.sort_by_key(|(_, record)| std::cmp::Reverse(record.last_update()));
@@ -248,7 +248,7 @@
     let crashes: Vec<String> = record
         .crashes
         .iter()
-        .map(|end| format!("{:08x}", end.endpoint))
+        .map(|crash| format!("{:08x}", crash.endpoint))
         .collect();
     crashes.join(" ")
 }
--- a/components/gateway/src/process/withheld.rs
+++ b/components/gateway/src/process/withheld.rs
@@ -42,7 +42,7 @@
 /// Reads the rows, then writes and removes them for the lifetime of the process.
 pub async fn run(gateway: &Gateway) {
     let mut rows = loop {
-        match read(gateway).await {
+        match read_rows(gateway).await {
             Some(rows) => break rows,
             None => clock::sleep(STORE_POLL_INTERVAL).await,
         }
@@ -54,7 +54,7 @@
             clock::timeout_at(next_cleanup, gateway.suspects.next_to_store()).await
         {
             if rows.contains(&fingerprint) || rows.len() < MAX_ROWS {
-                write(gateway, fingerprint).await;
+                write_row(gateway, fingerprint).await;
                 rows.push(fingerprint);
                 rows.sort_unstable();
                 rows.dedup();
@@ -62,18 +62,18 @@
                 log::warn!(content:% = fingerprint; "a withheld request was not written to the store: the maximum number of rows is reached");
             }
         }
-        gateway.forget_old_suspects();
+        gateway.evict_expired_suspects();
         let (kept, expired) = rows
             .into_iter()
             .partition(|fingerprint| gateway.suspect(*fingerprint).is_some());
         rows = kept;
-        remove(gateway, &expired).await;
+        remove_rows(gateway, &expired).await;
     }
 }
 
 /// Reads all rows and merges their records. Returns the requests, or `None` if the store did not answer.
 /// While the store fails other calls it is not asked, as in an outage all gateways would ask at once.
-async fn read(gateway: &Gateway) -> Option<Vec<Fingerprint>> {
+async fn read_rows(gateway: &Gateway) -> Option<Vec<Fingerprint>> {
     if !gateway.peers.is_membership_known() || !gateway.store_available() {
         return None;
     }
@@ -93,7 +93,10 @@
     };
     let mut fingerprints = Vec::new();
     for row in rows {
-        match (parse_key(&row.key), serde_json::from_str::<Row>(&row.value)) {
+        match (
+            parse_row_key(&row.key),
+            serde_json::from_str::<Row>(&row.value),
+        ) {
             (Some(fingerprint), Ok(row)) => {
                 gateway.merge_suspect(fingerprint, &row.record(gateway.moment()), Source::Store);
                 fingerprints.push(fingerprint);
@@ -111,7 +114,7 @@
 }
 
 /// Writes the row of a request, retrying until the store accepts it or the request is no longer suspected.
-async fn write(gateway: &Gateway, fingerprint: Fingerprint) {
+async fn write_row(gateway: &Gateway, fingerprint: Fingerprint) {
     while let Some(record) = gateway.suspect(fingerprint) {
         if !gateway.store_available() {
             clock::sleep(STORE_POLL_INTERVAL).await;
@@ -119,7 +122,7 @@
         }
         // a row of plain fields always has a JSON form
         let value = serde_json::to_string(&Row::new(&record, gateway.moment())).unwrap_or_default();
-        let transaction = Transaction::default().write(&key(fingerprint), value);
+        let transaction = Transaction::default().write(&row_key(fingerprint), value);
         let outcome = gateway.adapters.table.commit(transaction).await;
         gateway.count_store_call("withhold", outcome.is_ok());
         match outcome {
@@ -133,9 +136,9 @@
 }
 
 /// Removes rows. A row whose removal fails is removed by a process that starts later.
-async fn remove(gateway: &Gateway, fingerprints: &[Fingerprint]) {
+async fn remove_rows(gateway: &Gateway, fingerprints: &[Fingerprint]) {
     for fingerprint in fingerprints {
-        let transaction = Transaction::default().remove(&key(*fingerprint));
+        let transaction = Transaction::default().remove(&row_key(*fingerprint));
         let outcome = gateway.adapters.table.commit(transaction).await;
         gateway.count_store_call("withhold", outcome.is_ok());
         if let Err(error) = outcome {
@@ -147,29 +150,29 @@
 impl Row {
     fn new(record: &Record, now: Moment) -> Self {
         let unix_now = unix_millis();
-        let ends = record.crashes.iter().map(|end| StoredCrash {
-            endpoint: end.endpoint,
-            at_ms: unix_now - (now - end.at) / MICROS_PER_MILLI,
+        let crashes = record.crashes.iter().map(|crash| StoredCrash {
+            endpoint: crash.endpoint,
+            at_ms: unix_now - (now - crash.at) / MICROS_PER_MILLI,
         });
         Self {
-            ends: ends.collect(),
+            ends: crashes.collect(),
         }
     }
 
     fn record(&self, now: Moment) -> Record {
         let unix_now = unix_millis();
-        let mut ends: Vec<Crash> = self
+        let mut crashes: Vec<Crash> = self
             .ends
             .iter()
-            .map(|end| Crash {
-                endpoint: end.endpoint,
+            .map(|crash| Crash {
+                endpoint: crash.endpoint,
                 // a crash that clock skew puts into the future counts as happening now
-                at: now - (unix_now - end.at_ms).max(0) * MICROS_PER_MILLI,
+                at: now - (unix_now - crash.at_ms).max(0) * MICROS_PER_MILLI,
             })
             .collect();
-        ends.sort_unstable_by_key(|end| end.at);
+        crashes.sort_unstable_by_key(|crash| crash.at);
         Record {
-            crashes: ends,
+            crashes,
             last_served: None,
         }
     }
@@ -183,11 +186,11 @@
     })
 }
 
-fn key(fingerprint: Fingerprint) -> String {
+fn row_key(fingerprint: Fingerprint) -> String {
     format!("{ROW_PREFIX}{fingerprint}")
 }
 
-fn parse_key(key: &str) -> Option<Fingerprint> {
+fn parse_row_key(key: &str) -> Option<Fingerprint> {
     let number = key.strip_prefix(ROW_PREFIX)?;
     u64::from_str_radix(number, 16).ok().map(Fingerprint::from)
 }
--- a/components/gateway/src/request/attempt.rs
+++ b/components/gateway/src/request/attempt.rs
@@ -187,7 +187,7 @@
         Phase::Run
     };
     if !job.arrivals.record(job, phase) {
-        target.return_connection(connection);
+        target.put_back_connection(connection);
         return Err(Cause::RetryBudgetExhausted);
     }
     let request = build_request(job, directive);
@@ -282,7 +282,7 @@
     let target = Arc::clone(target);
     tokio::spawn(async move {
         if body.collect().await.is_ok() {
-            target.return_connection(connection);
+            target.put_back_connection(connection);
         }
     });
 }
@@ -322,6 +322,6 @@
         Some((status, body.await.ok()?.to_bytes()))
     };
     let answer = clock::timeout(timeout, exchange).await.ok()??;
-    target.return_connection(connection);
+    target.put_back_connection(connection);
     Some(answer)
 }
--- a/components/gateway/src/request/attempts.rs
+++ b/components/gateway/src/request/attempts.rs
@@ -242,10 +242,10 @@
 }
 
 fn spend_retry(job: &Job) -> Option<RetryPermit> {
-    job.gateway.take_retry(&job.service.name, &job.metadata.id)
+    job.gateway.spend_retry(&job.service.name, &job.metadata.id)
 }
 
 fn return_retry(job: &Job, retry: &RetryPermit) {
     let gateway = &job.gateway;
-    gateway.return_retry(&job.service.name, &job.metadata.id, retry);
+    gateway.refund_retry(&job.service.name, &job.metadata.id, retry);
 }
--- a/components/gateway/src/request/generate/prefill.rs
+++ b/components/gateway/src/request/generate/prefill.rs
@@ -40,14 +40,13 @@
     let engine = &snapshot.engines[at];
     let held = engine.cached_tokens + engine.fetch.tokens;
     let work = policy::prompt::prefill_work(placement_request(job).prompt_tokens, held);
-    let paces = job.gateway.paces(&job.service.name);
+    let paces = job.gateway.latencies(&job.service.name);
     let now = Instant::now();
     let ahead = target.with(|state| {
         let common = paces.for_stage(state.profile.stage);
         let load = state.total_load();
         let left = state.remaining_prefill(now, common);
-        let ahead =
-            policy::place::work_ahead(left, load.low_priority_work, load.low_priority_prompts);
+        let ahead = policy::place::work_ahead(left, load.deferred_work, load.deferred_prompts);
         if !deferred {
             state.record_prefill(now, common, work);
         }
@@ -64,7 +63,7 @@
 /// otherwise once it has prefilled them.
 pub fn note_parts(job: &Job, target: &Arc<Target>, fetched: bool) {
     if let Some(prompt) = &job.metadata.prompt {
-        let common = job.gateway.common(&job.service.name);
+        let common = job.gateway.service_defaults(&job.service.name);
         target.with(|state| state.record_prompt(Instant::now(), &common, &prompt.parts, fetched));
         job.gateway
             .peers
@@ -124,7 +123,7 @@
         if let Some(expected) = self.expected.take() {
             let took = policy::micros(self.begun.elapsed());
             let gateway = &self.job.gateway;
-            gateway.learn_stretch(&self.job.service.name, |wait_factor| {
+            gateway.learn_wait_factor(&self.job.service.name, |wait_factor| {
                 learn(wait_factor, expected, took);
             });
         }
@@ -202,7 +201,7 @@
     if !deferred {
         learn_pace(job, target, in_flight.ahead + in_flight.guard.work(), begun);
     }
-    target.return_connection(answer.connection);
+    target.put_back_connection(answer.connection);
     log::info!(
         request = job.metadata.id, endpoint = &*target.id.0, late = deferred, ahead = in_flight.ahead,
         work = in_flight.guard.work(), took_us = policy::micros(begun.elapsed());
@@ -221,7 +220,7 @@
 pub fn learn_pace(job: &Job, target: &Target, work: u64, begun: Instant) {
     let took = policy::micros(begun.elapsed());
     job.gateway
-        .learn_pace(target, |pace| pace.observe_prefill(work, took));
+        .learn_latency(target, |pace| pace.observe_prefill(work, took));
 }
 
 /// A KV cache held by an engine, which is released if no other engine fetches it.
--- a/components/gateway/src/request/generate/snapshot.rs
+++ b/components/gateway/src/request/generate/snapshot.rs
@@ -48,7 +48,7 @@
             .map_or(&[][..], |prompt| &prompt.parts);
         let local = &job.gateway.settings.gateway.data_centre;
         let cut_off = job.gateway.peers.unreachable_data_centres();
-        let common = job.gateway.common(&job.service.name);
+        let common = job.gateway.service_defaults(&job.service.name);
         let mut candidates: Vec<(Arc<Target>, endpoint::Snapshot)> = fleet
             .subset()
             .iter()
@@ -182,7 +182,7 @@
         log::info!(
             request = job.metadata.id, reads = names.0, writes = names.1,
             expected_us = policy::to_u64(choice.first_event_us),
-            margin_us = policy::to_u64(job.gateway.margin(&job.service.name)), left_us = request.first_event_timeout,
+            margin_us = policy::to_u64(job.gateway.margin_us(&job.service.name)), left_us = request.first_event_timeout,
             prompt = request.prompt_tokens, held = prefill_engine.cached_tokens, fetched = prefill_engine.fetch.tokens, output = request.expected_output_tokens,
             content:% = job.fingerprint, parts = format_parts(job), reading = prefill_engine.prefill_work, writing = decode_engine.answers,
             long = decode_engine.long_answers, start_us = policy::to_u64(decode_engine.latency.overhead_us),
@@ -233,14 +233,14 @@
             Stage::Decode => place::Stage::Decode,
         },
         prefill_work: seen.load.prefill_work,
-        deferred_work: seen.load.low_priority_work,
-        deferred_prompts: seen.load.low_priority_prompts,
+        deferred_work: seen.load.deferred_work,
+        deferred_prompts: seen.load.deferred_prompts,
         answers: seen.load.decoding,
         long_answers: seen.load.long_answers,
         decode_slots: seen.profile.slots,
         cached_tokens: seen.cached_tokens,
         fetch: place::Fetch::default(),
-        latency: seen.pace,
+        latency: seen.latency,
         extra_round_trip: if *seen.profile.data_centre == *local {
             0
         } else {
@@ -279,7 +279,7 @@
 /// Returns the longest inter-token latency that long answers of the request's service tolerate, in
 /// microseconds.
 fn max_inter_token_latency(job: &Job) -> f64 {
-    let whole = job.gateway.max_inter_token_latency(&job.service.name);
+    let whole = job.gateway.max_inter_token_latency_us(&job.service.name);
     let event = tokens_per_event(job);
     let limit = job.max_stall.map_or(f64::MAX, |stall| {
         policy::to_f64(policy::micros(stall)) / policy::to_f64(event)
--- a/components/gateway/src/request/generate/timing.rs
+++ b/components/gateway/src/request/generate/timing.rs
@@ -45,7 +45,7 @@
 /// Decides whether a request is served in time, deferred or refused; a refusal is sent immediately.
 pub fn decide(job: &Job, snapshot: &Snapshot, choice: &Choice) -> Result<Timing, Reason> {
     let left = policy::micros(job.objective.saturating_duration_since(Instant::now()));
-    let margin = job.gateway.margin(&job.service.name);
+    let margin = job.gateway.margin_us(&job.service.name);
     let expected = policy::to_u64(choice.first_event_us + margin);
     if expected <= left {
         snapshot.log_placement(job, choice, "placed");
@@ -77,7 +77,7 @@
 fn max_deferred_prefill_us(job: &Job) -> f64 {
     let begin = policy::to_f64(policy::micros(job.first_event_timeout()));
     let whole = policy::to_f64(policy::micros(job.time_left())) * DEFERRED_PREFILL_RATIO;
-    let wait_factor = job.gateway.stretch(&job.service.name).factor();
+    let wait_factor = job.gateway.wait_factor(&job.service.name).factor();
     (begin * FIRST_EVENT_RATIO / wait_factor).min(whole)
 }
 
@@ -105,7 +105,7 @@
 
 /// Returns the longest time for which a healthy engine makes no progress.
 fn max_silence(job: &Job, expected: f64) -> Duration {
-    let expected = expected + job.gateway.margin(&job.service.name);
+    let expected = expected + job.gateway.margin_us(&job.service.name);
     let limit = Duration::from_micros(policy::to_u64(expected)) * SILENCE_FACTOR;
     limit.max(job.time_left() / MIN_WAIT_DIVISOR)
 }
--- a/components/gateway/src/request/relay.rs
+++ b/components/gateway/src/request/relay.rs
@@ -236,7 +236,7 @@
         };
         let gap = source.last_event.replace(now).map(|last| now - last);
         let gateway = &self.job.gateway;
-        let common = gateway.common(&self.job.service.name);
+        let common = gateway.service_defaults(&self.job.service.name);
         let left = source
             .target
             .with(|state| state.remaining_prefill_time(now, &common));
@@ -246,7 +246,7 @@
         let engines = self.job.service.engines.as_ref();
         if let (Some(gap), Some(engines)) = (gap, engines) {
             let gap = policy::micros(gap);
-            gateway.learn_pace(&source.target, |pace| {
+            gateway.learn_latency(&source.target, |pace| {
                 pace.observe_event(engines.tokens_per_event, gap, before, left);
             });
         }
@@ -266,7 +266,7 @@
             source
                 .target
                 .record_verdict(Verdict::Fine, &self.job.metadata.id);
-            source.target.return_connection(source.connection);
+            source.target.put_back_connection(source.connection);
         }
         rest
     }
--- a/components/gateway/src/steward/change.rs
+++ b/components/gateway/src/steward/change.rs
@@ -28,22 +28,22 @@
 /// Marks an engine as changing; gateways send requests to it again when this is dropped.
 struct ChangeGuard {
     gateway: Arc<Gateway>,
-    short: u32,
+    short_id: u32,
 }
 
 impl ChangeGuard {
-    fn new(gateway: &Arc<Gateway>, short: u32) -> Self {
-        gateway.steward.begin_change(short);
+    fn new(gateway: &Arc<Gateway>, short_id: u32) -> Self {
+        gateway.steward.begin_change(short_id);
         Self {
             gateway: Arc::clone(gateway),
-            short,
+            short_id,
         }
     }
 }
 
 impl Drop for ChangeGuard {
     fn drop(&mut self) {
-        self.gateway.steward.end_change(self.short);
+        self.gateway.steward.end_change(self.short_id);
     }
 }
 
@@ -120,8 +120,8 @@
         fencing_token: epoch,
         accepted_orders: report.accepted_orders,
     };
-    let answer = call(&change.target, gateway.adapters.dialect.order_call(&order)).await;
-    let ordered = answer.map(|(status, _)| gateway.adapters.dialect.parse_order_reply(status));
+    let response = call(&change.target, gateway.adapters.dialect.order_call(&order)).await;
+    let ordered = response.map(|(status, _)| gateway.adapters.dialect.parse_order_reply(status));
     let label = ordered.map_or_else(|| "unanswered".to_owned(), |ordered| ordered.to_string());
     gateway.metrics.orders.with_label_values(&[&label]).inc();
     let outcome = ordered.map_or("no answer".to_owned(), |ordered| ordered.to_string());
@@ -177,7 +177,15 @@
     let service = target.with(|state| Arc::clone(&state.profile.service));
     gateway
         .configuration()
-        .and_then(|version| Some(version.service(&service)?.engines.as_ref()?.stage_switch))
+        .and_then(|configuration| {
+            Some(
+                configuration
+                    .service(&service)?
+                    .engines
+                    .as_ref()?
+                    .stage_switch,
+            )
+        })
         .unwrap_or_default()
 }
 
--- a/components/gateway/src/steward/lease.rs
+++ b/components/gateway/src/steward/lease.rs
@@ -29,7 +29,7 @@
 
 /// What this process knows of the lease, and its part in acquiring and holding it.
 #[derive(Debug, Default)]
-pub struct Election {
+pub struct LeaseKeeper {
     watch: Option<Watch>,
     held: Option<Held>,
     /// The last epoch in which this process acquired the lease.
@@ -46,15 +46,15 @@
     version: u64,
     renewals: u64,
     /// Until when this process may act as the steward.
-    until: Instant,
+    valid_until: Instant,
     /// From when on it may give orders: long enough after the last order of the previous holder.
-    orders_from: Instant,
+    may_order_from: Instant,
 }
 
-impl Election {
+impl LeaseKeeper {
     /// Until when this process may act as the steward.
-    pub fn until(&self) -> Option<Instant> {
-        self.held.map(|held| held.until)
+    pub fn lease_end(&self) -> Option<Instant> {
+        self.held.map(|held| held.valid_until)
     }
 
     /// The fencing token of its orders: higher than that of all previous stewards.
@@ -65,7 +65,7 @@
     /// Whether this process may give orders now.
     pub fn may_order(&self, now: Instant) -> bool {
         self.held
-            .is_some_and(|held| held.orders_from <= now && now < held.until)
+            .is_some_and(|held| held.may_order_from <= now && now < held.valid_until)
     }
 
     /// Renews the lease, or checks whether it can be acquired, when either is due.
@@ -79,7 +79,7 @@
         match self.held {
             _ if !due && (self.held.is_some() || ceded <= self.last_epoch) => {}
             Some(_) if *gateway.phase.borrow() != Phase::Serving => self.release(gateway).await,
-            Some(held) if now >= held.until => {
+            Some(held) if now >= held.valid_until => {
                 self.step_down(gateway, "the lease was not renewed in time");
             }
             Some(held) => self.renew(gateway, held, term).await,
@@ -115,13 +115,13 @@
             Ok(Outcome::Committed(_)) => {
                 self.held = Some(Held {
                     renewals: renewal.count,
-                    until: until(sent, term),
+                    valid_until: lease_end(sent, term),
                     ..held
                 });
             }
             Ok(Outcome::Conflict(_)) => self.step_down(gateway, "another gateway holds the lease"),
             Err(error) => {
-                gateway.record_store_call(false);
+                gateway.record_store_availability(false);
                 log::warn!(error:%; "failed to renew the steward's lease");
                 // a peer that still reaches the store takes over sooner than the lease expires
                 if gateway.peers.is_store_available() {
@@ -162,7 +162,7 @@
         let rows = match read {
             Ok(rows) => rows,
             Err(error) => {
-                gateway.record_store_call(false);
+                gateway.record_store_availability(false);
                 log::warn!(error:%; "failed to read the steward's lease");
                 return;
             }
@@ -179,19 +179,20 @@
             Some(watch) => watch.observe(renewal, now_ms),
             None => self.watch = Some(Watch::new(renewal, now_ms)),
         }
-        let lapsed = self
+        let is_expired = self
             .watch
             .is_some_and(|watch| watch.is_expired(lease.as_ref(), now_ms, millis(term)));
         let epoch = lease.map_or(0, |lease| lease.epoch);
         let released = epoch > 0 && ceded >= epoch;
-        if lapsed || released {
+        if is_expired || released {
             let version = row.map_or(0, |row| row.version);
-            let pause = match gateway.peers.time_since_last_order() {
+            let first_order_delay = match gateway.peers.time_since_last_order() {
                 // the former holder has reported when it gave its last order
                 Some(ago) if released => gateway.settings.bounds.lease_ms.saturating_sub(ago),
                 _ => order_delay(gateway, lease.as_ref(), term),
             };
-            self.acquire(gateway, lease, version, term, pause).await;
+            self.acquire(gateway, lease, version, term, first_order_delay)
+                .await;
         }
     }
 
@@ -201,7 +202,7 @@
         lease: Option<Lease>,
         version: u64,
         term: Duration,
-        pause: Duration,
+        first_order_delay: Duration,
     ) {
         let sent = Instant::now();
         let next = lease::acquire(lease.as_ref(), Incarnation(gateway.incarnation));
@@ -222,10 +223,10 @@
                     epoch: next.epoch,
                     version,
                     renewals: 0,
-                    until: until(sent, term),
-                    orders_from: Instant::now() + pause,
+                    valid_until: lease_end(sent, term),
+                    may_order_from: Instant::now() + first_order_delay,
                 });
-                log::info!(epoch = next.epoch, pause_ms = millis(pause); "became the steward");
+                log::info!(epoch = next.epoch, pause_ms = millis(first_order_delay); "became the steward");
             }
             Ok(Outcome::Conflict(_)) => self.watch = None,
             Err(error) => {
@@ -257,7 +258,7 @@
         && gateway.peers.store_rank(gateway.settings.gateway.peers) < CANDIDATES
 }
 
-fn until(sent: Instant, term: Duration) -> Instant {
+fn lease_end(sent: Instant, term: Duration) -> Instant {
     // the same margin as in the model-checked protocol
     sent + Duration::from_millis(lease::valid_until(0, millis(term)))
 }
--- a/components/gateway/src/steward/mod.rs
+++ b/components/gateway/src/steward/mod.rs
@@ -15,7 +15,7 @@
 use tokio::task::JoinSet;
 
 use crate::{endpoint::Stage, process::Gateway};
-use lease::Election;
+use lease::LeaseKeeper;
 use plan::Planner;
 
 /// The average interval between two checks of the lease and the plan.
@@ -66,7 +66,7 @@
         state
             .stages
             .iter()
-            .map(|(short, stage, _)| (*short, *stage))
+            .map(|(short_id, stage, _)| (*short_id, *stage))
             .collect()
     }
 
@@ -85,11 +85,11 @@
     fn may_order(&self, epoch: u64) -> bool {
         let now = Instant::now();
         let mut state = self.state.lock();
-        let may = state.ceded < epoch && state.lease_until.is_some_and(|until| until > now);
-        if may {
+        let may_order = state.ceded < epoch && state.lease_until.is_some_and(|until| until > now);
+        if may_order {
             state.last_order = Some(now);
         }
-        may
+        may_order
     }
 
     /// Gives up an epoch for good.
@@ -99,18 +99,21 @@
         state.lease_until = None;
     }
 
-    fn announce(&self, short: u32, stage: Stage) {
+    fn announce(&self, short_id: u32, stage: Stage) {
         let stages = &mut self.state.lock().stages;
-        stages.retain(|(other, ..)| *other != short);
-        stages.push((short, stage, Instant::now()));
+        stages.retain(|(other, ..)| *other != short_id);
+        stages.push((short_id, stage, Instant::now()));
     }
 
-    fn begin_change(&self, short: u32) {
-        self.state.lock().changing.push(short);
+    fn begin_change(&self, short_id: u32) {
+        self.state.lock().changing.push(short_id);
     }
 
-    fn end_change(&self, short: u32) {
-        self.state.lock().changing.retain(|other| *other != short);
+    fn end_change(&self, short_id: u32) {
+        self.state
+            .lock()
+            .changing
+            .retain(|other| *other != short_id);
     }
 }
 
@@ -126,23 +129,23 @@
 
 /// Acquires, renews and uses the lease for the lifetime of the process.
 pub async fn run(gateway: Arc<Gateway>) {
-    let mut election = Election::default();
+    let mut lease_keeper = LeaseKeeper::default();
     let mut planner = Planner::default();
     let mut tasks = JoinSet::new();
     loop {
         let jitter = rand::random_range(0.8..1.2);
         clock::sleep(POLL_INTERVAL.mul_f64(jitter)).await;
         while tasks.try_join_next().is_some() {}
-        election.update(&gateway).await;
+        lease_keeper.update(&gateway).await;
         if is_steward_or_successor(&gateway) {
             planner.observe(&gateway);
         }
-        let may = election.may_order(Instant::now());
-        gateway.steward.state.lock().lease_until = election.until();
-        if !may {
+        let may_order = lease_keeper.may_order(Instant::now());
+        gateway.steward.state.lock().lease_until = lease_keeper.lease_end();
+        if !may_order {
             continue;
         }
-        let Some(epoch) = election.epoch() else {
+        let Some(epoch) = lease_keeper.epoch() else {
             continue;
         };
         for change in planner.changes(&gateway) {
--- a/components/gateway/src/steward/plan.rs
+++ b/components/gateway/src/steward/plan.rs
@@ -39,10 +39,10 @@
     target: Arc<Target>,
     stage: Stage,
     data_centre: Arc<str>,
-    reading: u64,
+    prefill_work: u64,
     prompts: u64,
-    writing: u64,
-    long: u64,
+    decoding: u64,
+    long_answers: u64,
     slots: u64,
 }
 
@@ -50,8 +50,8 @@
     /// The slots in use, and those that its prompts in prefill will need at another engine.
     fn slots_taken(&self) -> u64 {
         match self.stage {
-            Stage::Prefill => self.writing + self.prompts,
-            Stage::Decode => self.writing,
+            Stage::Prefill => self.decoding + self.prompts,
+            Stage::Decode => self.decoding,
         }
     }
 }
@@ -67,15 +67,15 @@
 impl Planner {
     /// Records the demand since the last observation.
     pub fn observe(&mut self, gateway: &Gateway) {
-        let Some(version) = gateway.configuration() else {
+        let Some(configuration) = gateway.configuration() else {
             return;
         };
         let now = gateway.micros();
-        for service in version.services() {
+        for service in configuration.services() {
             if service.engines.is_none() {
                 continue;
             }
-            let engines = engines(gateway, &service.name);
+            let engines = available_engines(gateway, &service.name);
             let total = gateway.demand(&service.name);
             let index = match self
                 .services
@@ -98,16 +98,17 @@
             };
             let known = &mut self.services[index];
             let new = total.since(std::mem::replace(&mut known.total, total));
-            let paces = gateway.paces(&service.name);
+            let latencies = gateway.latencies(&service.name);
             let taken: u64 = engines.iter().map(Engine::slots_taken).sum();
-            let readers = || engines.iter().filter(|e| e.stage == Stage::Prefill);
-            let busy = readers().filter(|engine| engine.reading > 0);
+            let prefill_engines = || engines.iter().filter(|e| e.stage == Stage::Prefill);
+            let busy = prefill_engines().filter(|engine| engine.prefill_work > 0);
             let sample = Sample {
-                prefill_us: policy::to_f64(new.prefill_work) * paces.prefill.prefill_token_us,
-                decode_slot_us: policy::to_f64(new.decode_tokens) * paces.decode.decode_token_us,
+                prefill_us: policy::to_f64(new.prefill_work) * latencies.prefill.prefill_token_us,
+                decode_slot_us: policy::to_f64(new.decode_tokens)
+                    * latencies.decode.decode_token_us,
                 occupied_slots: policy::to_f64(taken),
                 busy_prefill_engines: to_f64(busy.count()),
-                prefill_engines: to_f64(readers().count()),
+                prefill_engines: to_f64(prefill_engines().count()),
             };
             known.demand.observe(now, &sample);
         }
@@ -123,9 +124,9 @@
 }
 
 fn plan_change(gateway: &Gateway, service: &Service) -> Option<StageChange> {
-    let engines = engines(gateway, &service.name);
+    let engines = available_engines(gateway, &service.name);
     let changing = gateway.steward.changing();
-    let members = members(&engines, &changing);
+    let members = members_after_changes(&engines, &changing);
     let fleet = Fleet {
         engines: to_u64(engines.len()),
         prefill_engines: to_u64(members.iter().filter(|member| !member.decodes).count()),
@@ -140,22 +141,22 @@
         return None;
     }
     let wanted = stage::plan_prefill_engines(&service.demand, &fleet, &weights);
-    let free: Vec<(usize, &Engine)> = engines
+    let candidates: Vec<(usize, &Engine)> = engines
         .iter()
         .enumerate()
         .filter(|(_, engine)| !is_changing(engine))
         .collect();
-    let (engine, stage) = uncovered_prefill_engine(gateway, &free, &members)
+    let (engine, stage) = uncovered_prefill_engine(gateway, &candidates, &members)
         .map(|engine| (engine, Stage::Decode))
         .or_else(|| {
             let change = stage::choose_change(&service.demand, wanted, &fleet, &weights)?;
-            cheapest(change, &free, &members)
+            cheapest(change, &candidates, &members)
         })?;
     log::info!(
         service = &*service.name, engine = &*engine.target.id.0, to:% = stage, wanted, away,
         reading = fleet.prefill_engines, count = fleet.engines, demand_reading = service.demand.prefill_engines,
         demand_lately = service.demand.recent_prefill_engines, demand_writing = service.demand.decode_slots,
-        long = engine.long, data_centre = &*engine.data_centre;
+        long = engine.long_answers, data_centre = &*engine.data_centre;
         "planned to change an engine's stage"
     );
     Some(StageChange {
@@ -165,15 +166,15 @@
 }
 
 /// The engines as they will be after the changes in flight.
-fn members<'a>(engines: &'a [Engine], changing: &[u32]) -> Vec<Member<'a>> {
+fn members_after_changes<'a>(engines: &'a [Engine], changing: &[u32]) -> Vec<Member<'a>> {
     engines
         .iter()
         .map(|engine| {
-            let writes = engine.stage == Stage::Decode;
+            let decodes = engine.stage == Stage::Decode;
             Member {
                 data_centre: &engine.data_centre,
                 // one that is changing will be of the other kind
-                decodes: writes != changing.contains(&engine.target.short_id),
+                decodes: decodes != changing.contains(&engine.target.short_id),
             }
         })
         .collect()
@@ -183,40 +184,42 @@
 /// off later. One in a data centre that is cut off already cannot be reached.
 fn uncovered_prefill_engine<'a>(
     gateway: &Gateway,
-    free: &[(usize, &'a Engine)],
+    candidates: &[(usize, &'a Engine)],
     members: &[Member],
 ) -> Option<&'a Engine> {
-    let cut_off = gateway.peers.unreachable_data_centres();
-    let uncovered = free.iter().filter(|(index, engine)| {
+    let unreachable = gateway.peers.unreachable_data_centres();
+    let uncovered = candidates.iter().filter(|(index, engine)| {
         let lacks_decode = !stage::can_serve_alone(members, members[*index].data_centre);
-        lacks_decode && engine.stage == Stage::Prefill && !cut_off.contains(&engine.data_centre)
+        lacks_decode && engine.stage == Stage::Prefill && !unreachable.contains(&engine.data_centre)
     });
-    let engine = uncovered.min_by_key(|(_, engine)| engine.reading)?;
+    let engine = uncovered.min_by_key(|(_, engine)| engine.prefill_work)?;
     Some(engine.1)
 }
 
 /// The engine for which a change costs least, with its new stage.
 fn cheapest<'a>(
     change: Change,
-    free: &[(usize, &'a Engine)],
+    candidates: &[(usize, &'a Engine)],
     members: &[Member],
 ) -> Option<(&'a Engine, Stage)> {
-    let local_readers = |engine: &Engine| {
-        let is_local_reader =
+    let local_prefill_engines = |engine: &Engine| {
+        let is_local_prefill_engine =
             |member: &&Member| !member.decodes && *member.data_centre == *engine.data_centre;
-        members.iter().filter(is_local_reader).count()
+        members.iter().filter(is_local_prefill_engine).count()
     };
     let (found, stage) = match change {
         Change::MorePrefill => {
-            let writers = free.iter().filter(|(index, engine)| {
+            let decode_engines = candidates.iter().filter(|(index, engine)| {
                 engine.stage == Stage::Decode && stage::may_switch_to_prefill(members, *index)
             });
-            let found = writers.min_by_key(|(_, e)| (e.long, local_readers(e), e.writing));
+            let found = decode_engines
+                .min_by_key(|(_, e)| (e.long_answers, local_prefill_engines(e), e.decoding));
             (found, Stage::Prefill)
         }
         Change::MoreDecode => {
-            let readers = free.iter().filter(|(_, e)| e.stage == Stage::Prefill);
-            let found = readers.min_by_key(|(_, e)| (Reverse(local_readers(e)), e.reading));
+            let prefill_engines = candidates.iter().filter(|(_, e)| e.stage == Stage::Prefill);
+            let found = prefill_engines
+                .min_by_key(|(_, e)| (Reverse(local_prefill_engines(e)), e.prefill_work));
             (found, Stage::Decode)
         }
     };
@@ -224,7 +227,7 @@
 }
 
 /// The engines of a service that are listed, ready and healthy.
-fn engines(gateway: &Gateway, service: &str) -> Vec<Engine> {
+fn available_engines(gateway: &Gateway, service: &str) -> Vec<Engine> {
     let fleet = gateway.registry.fleet(service);
     fleet
         .targets()
@@ -240,10 +243,10 @@
                     target: Arc::clone(target),
                     stage,
                     data_centre: Arc::clone(&state.profile.data_centre),
-                    reading: load.prefill_work,
+                    prefill_work: load.prefill_work,
                     prompts: load.prompts,
-                    writing: load.decoding,
-                    long: load.long_answers,
+                    decoding: load.decoding,
+                    long_answers: load.long_answers,
                     slots: state.profile.slots,
                 })
             })
--- a/components/gateway/tests/loads.rs
+++ b/components/gateway/tests/loads.rs
@@ -31,7 +31,7 @@
     registry
 }
 
-fn writing(count: u64) -> Load {
+fn decoding(count: u64) -> Load {
     Load {
         decoding: count,
         ..Load::default()
@@ -41,17 +41,17 @@
 #[test]
 fn loads_match_the_requests_in_flight() {
     let registry = registry(&["e1", "e2", "e3"]);
-    let short = |name: &str| profile(name).short_id();
-    let target = |name: &str| registry.find(short(name)).expect("listed");
+    let short_id = |name: &str| profile(name).short_id();
+    let target = |name: &str| registry.find(short_id(name)).expect("listed");
     assert_eq!(registry.busy().loads(), []);
 
     let first = DecodeGuard::new(&target("e1"), false);
     let second = DecodeGuard::new(&target("e1"), false);
     let other = PrefillGuard::new(&target("e3"), 50, false);
     let mut expected = vec![
-        (short("e1"), writing(2)),
+        (short_id("e1"), decoding(2)),
         (
-            short("e3"),
+            short_id("e3"),
             Load {
                 prefill_work: 50,
                 prompts: 1,
@@ -59,30 +59,30 @@
             },
         ),
     ];
-    expected.sort_unstable_by_key(|(short, _)| *short);
+    expected.sort_unstable_by_key(|(short_id, _)| *short_id);
     assert_eq!(registry.busy().loads(), expected);
 
     drop((first, other));
-    assert_eq!(registry.busy().loads(), [(short("e1"), writing(1))]);
+    assert_eq!(registry.busy().loads(), [(short_id("e1"), decoding(1))]);
     drop(second);
     // it begins again before the loads have been read
     let third = DecodeGuard::new(&target("e1"), false);
-    assert_eq!(registry.busy().loads(), [(short("e1"), writing(1))]);
+    assert_eq!(registry.busy().loads(), [(short_id("e1"), decoding(1))]);
     drop(third);
     assert_eq!(registry.busy().loads(), []);
     let fourth = DecodeGuard::new(&target("e1"), false);
-    assert_eq!(registry.busy().loads(), [(short("e1"), writing(1))]);
+    assert_eq!(registry.busy().loads(), [(short_id("e1"), decoding(1))]);
     drop(fourth);
 }
 
 #[test]
 fn a_removed_endpoint_still_counts_while_it_answers() {
     let registry = registry(&["e1"]);
-    let short = profile("e1").short_id();
-    let target = registry.find(short).expect("listed");
+    let short_id = profile("e1").short_id();
+    let target = registry.find(short_id).expect("listed");
     let answer = DecodeGuard::new(&target, false);
     registry.apply(&[Change::Gone(target.id.clone())], false);
-    assert_eq!(registry.busy().loads(), [(short, writing(1))]);
+    assert_eq!(registry.busy().loads(), [(short_id, decoding(1))]);
     drop(answer);
     assert_eq!(registry.busy().loads(), []);
 }
--- a/components/gateway/tests/registry.rs
+++ b/components/gateway/tests/registry.rs
@@ -46,16 +46,16 @@
 }
 
 #[test]
-fn a_bounded_subset_of_a_large_fleet_is_used_mostly_in_the_own_data_centre() {
+fn a_bounded_and_mostly_local_subset_of_a_large_fleet_is_used() {
     let registry = registry("g1", 3_000);
     let fleet = registry.fleet("engines");
     assert_eq!(fleet.targets().len(), 3_000);
     assert_eq!(fleet.subset().len(), 96);
-    let near = fleet
+    let local = fleet
         .subset()
         .iter()
         .filter(|target| target.with(|state| &*state.profile.data_centre == "a"));
-    assert_eq!(near.count(), 64);
+    assert_eq!(local.count(), 64);
 }
 
 #[test]
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn many_processes_use_near_endpoints_about_equally_often() {
+fn many_processes_use_local_endpoints_about_equally_often() {
     let mut counts = vec![0_usize; 900];
     for process in 0..100 {
         for id in used(&registry(&format!("g{process}"), counts.len())) {
@@ -78,17 +78,17 @@
             counts[n] += 1;
         }
     }
-    let near: Vec<usize> = counts.iter().copied().step_by(DATA_CENTRES.len()).collect();
+    let local: Vec<usize> = counts.iter().copied().step_by(DATA_CENTRES.len()).collect();
     // each of 100 processes uses 64 of the 300 endpoints in its data centre, so 21 use an endpoint
     // on average
     assert!(
-        near.iter().all(|count| (6..=40).contains(count)),
-        "{near:?}"
+        local.iter().all(|count| (6..=40).contains(count)),
+        "{local:?}"
     );
 }
 
 #[test]
-fn endpoints_are_found_by_their_short_numbers() {
+fn endpoints_are_found_by_their_short_ids() {
     let registry = registry("g1", 200);
     for target in registry.all().iter() {
         let found = registry.find(target.short_id).expect("an endpoint");
@@ -119,33 +119,36 @@
 async fn a_restarted_endpoint_is_a_new_target() {
     let registry = Registry::new("g1", "a");
     registry.apply(&[started(Some(1_000))], true);
-    let former = only_target(&registry);
+    let previous = only_target(&registry);
     let parts = [policy::prompt::Part {
         key: 1,
         tokens: 100,
     }];
-    former.with(|state| {
-        state.memory = policy::prefix_cache::PrefixCache::new(1_000);
-        state.memory.record_use(&parts, 0);
-        state.pace = Some(policy::estimate::Latency::initial_decode());
+    previous.with(|state| {
+        state.prefix_cache = policy::prefix_cache::PrefixCache::new(1_000);
+        state.prefix_cache.record_use(&parts, 0);
+        state.latency = Some(policy::estimate::Latency::initial_decode());
         state.peer_load.decoding = 5;
     });
-    let _in_flight = DecodeGuard::new(&former, false);
+    let _in_flight = DecodeGuard::new(&previous, false);
     registry.apply(&[started(Some(2_000))], false);
     let next = only_target(&registry);
-    assert!(!Arc::ptr_eq(&former, &next));
+    assert!(!Arc::ptr_eq(&previous, &next));
     // requests in flight there are over
-    former.terminated().await;
+    previous.terminated().await;
     next.with(|state| {
         assert_eq!(
             (state.own_load, state.peer_load),
             (Load::default(), Load::default())
         );
-        assert_eq!((state.pace, state.memory.cached_tokens(&parts)), (None, 0));
+        assert_eq!(
+            (state.latency, state.prefix_cache.cached_tokens(&parts)),
+            (None, 0)
+        );
     });
     // peers that do not know of the restart yet still report the former incarnation
-    assert_ne!(former.short_id, next.short_id);
-    assert!(registry.find(former.short_id).is_none());
+    assert_ne!(previous.short_id, next.short_id);
+    assert!(registry.find(previous.short_id).is_none());
 }
 
 #[test]
