--- a/benches/daemon.rs
+++ b/benches/daemon.rs
@@ -29,9 +29,9 @@
 const STREAMS: usize = 32;
 const TOKENS: u64 = 2_000;
 
-type Http = Client<HttpConnector, Full<Bytes>>;
+type HttpClient = Client<HttpConnector, Full<Bytes>>;
 
-fn any() -> SocketAddr {
+fn any_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
@@ -94,18 +94,23 @@
         .expect("a fixed request is well formed")
 }
 
-async fn whole(http: &Http, address: SocketAddr, direct: bool, tokens: u64) -> Duration {
-    let began = Instant::now();
+async fn time_request(
+    http: &HttpClient,
+    address: SocketAddr,
+    direct: bool,
+    tokens: u64,
+) -> Duration {
+    let started = Instant::now();
     let response = http.request(request(address, direct, tokens)).await;
     let mut body = response.expect("answered").into_body();
     while let Some(frame) = body.frame().await {
         frame.expect("whole");
     }
-    began.elapsed()
+    started.elapsed()
 }
 
 /// Processor time of this process, in microseconds.
-fn processor_us() -> u64 {
+fn cpu_time_us() -> u64 {
     let stat = std::fs::read_to_string("/proc/self/stat").expect("a process has its figures");
     let fields: Vec<&str> = stat
         .rsplit(") ")
@@ -120,7 +125,7 @@
 
 #[tokio::main]
 async fn main() {
-    let platform = Platform::start(any()).await.expect("platform");
+    let platform = Platform::start(any_port()).await.expect("platform");
     let speed = Speed {
         step_us: 1,
         write_us: 0,
@@ -131,45 +136,47 @@
         speed,
         ..Setup::default()
     };
-    let engine = Engine::start(any(), setup).await.expect("engine");
+    let engine = Engine::start(any_port(), setup).await.expect("engine");
     write_settings(&platform, engine.address());
     let daemon = daemon::start(settings(platform.address()))
         .await
         .expect("daemon");
     tokio::time::sleep(Duration::from_secs(2)).await;
     let http = Client::builder(TokioExecutor::new()).build_http();
-    let (direct, through) = (engine.address(), daemon.addresses().callers);
+    let (direct, via_daemon) = (engine.address(), daemon.addresses().callers);
     // in turn, so that a drift of the machine's speed hits both
-    let mut times = [Histogram::<u64>::new(3), Histogram::new(3)].map(|h| h.expect("fine"));
+    let mut latencies = [Histogram::<u64>::new(3), Histogram::new(3)].map(|h| h.expect("fine"));
     for _ in 0..ROUNDS {
-        for (at, (address, is_direct)) in [(direct, true), (through, false)].into_iter().enumerate()
+        for (at, (address, is_direct)) in [(direct, true), (via_daemon, false)]
+            .into_iter()
+            .enumerate()
         {
-            let took = whole(&http, address, is_direct, 1).await;
-            let us = u64::try_from(took.as_micros()).expect("short");
-            times[at].record(us).expect("it grows by itself");
+            let latency = time_request(&http, address, is_direct, 1).await;
+            let us = u64::try_from(latency.as_micros()).expect("short");
+            latencies[at].record(us).expect("it grows by itself");
         }
     }
-    for (name, times) in ["direct", "through a daemon"].iter().zip(&times) {
+    for (name, latencies) in ["direct", "through a daemon"].iter().zip(&latencies) {
         println!(
             "{name}: one request of one token, p50 {} us, p99 {} us",
-            times.value_at_quantile(0.5),
-            times.value_at_quantile(0.99)
+            latencies.value_at_quantile(0.5),
+            latencies.value_at_quantile(0.99)
         );
     }
     println!(
         "added at the median: {} us",
-        times[1]
+        latencies[1]
             .value_at_quantile(0.5)
-            .saturating_sub(times[0].value_at_quantile(0.5))
+            .saturating_sub(latencies[0].value_at_quantile(0.5))
     );
-    let mut costs = Vec::new();
-    for (address, is_direct) in [(direct, true), (through, false)] {
-        let before = processor_us();
-        let began = Instant::now();
-        let streams = (0..STREAMS).map(|_| whole(&http, address, is_direct, TOKENS));
+    let mut cpu_costs = Vec::new();
+    for (address, is_direct) in [(direct, true), (via_daemon, false)] {
+        let before = cpu_time_us();
+        let started = Instant::now();
+        let streams = (0..STREAMS).map(|_| time_request(&http, address, is_direct, TOKENS));
         futures::future::join_all(streams).await;
         let chunks = TOKENS * u64::try_from(STREAMS).expect("few");
-        let cost = policy::to_f64(processor_us() - before) / policy::to_f64(chunks);
+        let cost = policy::to_f64(cpu_time_us() - before) / policy::to_f64(chunks);
         println!(
             "{}: {chunks} chunks in {} ms, {cost:.2} us of processor a chunk (engine, daemon and caller together)",
             if is_direct {
@@ -177,21 +184,24 @@
             } else {
                 "through a daemon"
             },
-            began.elapsed().as_millis(),
+            started.elapsed().as_millis(),
         );
-        costs.push(cost);
+        cpu_costs.push(cost);
     }
-    println!("added: {:.2} us of processor a chunk", costs[1] - costs[0]);
-    let before = processor_us();
-    let began = Instant::now();
+    println!(
+        "added: {:.2} us of processor a chunk",
+        cpu_costs[1] - cpu_costs[0]
+    );
+    let before = cpu_time_us();
+    let started = Instant::now();
     for _ in 0..20 {
-        let requests = (0..100).map(|_| whole(&http, through, false, 1));
+        let requests = (0..100).map(|_| time_request(&http, via_daemon, false, 1));
         futures::future::join_all(requests).await;
     }
-    let cost = policy::to_f64(processor_us() - before) / 2_000.0;
+    let cost = policy::to_f64(cpu_time_us() - before) / 2_000.0;
     println!(
         "2000 requests of one token in {} ms, {cost:.0} us of processor each (all parts), {:.0} requests a second a core",
-        began.elapsed().as_millis(),
+        started.elapsed().as_millis(),
         1e6 / cost
     );
 }
--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -11,12 +11,12 @@
 
 fn engines(count: u64) -> Vec<Engine> {
     (0..count)
-        .map(|at| Engine {
+        .map(|index| Engine {
             role: Role::Mixed,
-            prefill_tokens_ahead: at * 131 % 1_000,
-            prefill_tokens: at * 137 % 2_000,
-            decode_requests: at * 7 % 40,
-            cached_tokens: at * 64 % 640,
+            prefill_tokens_ahead: index * 131 % 1_000,
+            prefill_tokens: index * 137 % 2_000,
+            decode_requests: index * 7 % 40,
+            cached_tokens: index * 64 % 640,
             one_way_delay: 0,
             latency: BatchLatency::default(),
         })
@@ -24,7 +24,7 @@
 }
 
 fn routing(criterion: &mut Criterion) {
-    let ask = Request {
+    let request = Request {
         prompt_tokens: 1_000,
         expected_output_tokens: 100,
         urgent: false,
@@ -34,7 +34,7 @@
     for count in [12, 64, 256] {
         let engines = engines(count);
         criterion.bench_function(&format!("route, {count} engines"), |bencher| {
-            bencher.iter(|| choose(black_box(&engines), &ask, &weights, 7));
+            bencher.iter(|| choose(black_box(&engines), &request, &weights, 7));
         });
     }
 }
@@ -42,8 +42,8 @@
 fn admission(criterion: &mut Criterion) {
     for count in [1_000, 10_000, 45_000_usize] {
         let groups: Vec<Group> = (0..count)
-            .map(|at| Group {
-                parent: (at >= 100).then_some(at % 100),
+            .map(|index| Group {
+                parent: (index >= 100).then_some(index % 100),
                 share: 1,
             })
             .collect();
@@ -52,7 +52,7 @@
         for id in 0..2_048_u64 {
             queue.push(
                 100 + usize::try_from(id).expect("small") % (count - 100),
-                waiting(id),
+                queued_request(id),
             );
         }
         let mut id = 10_000;
@@ -60,7 +60,7 @@
             bencher.iter(|| {
                 id += 1;
                 let group = 100 + usize::try_from(id * 31).expect("small") % (count - 100);
-                queue.push(group, waiting(id));
+                queue.push(group, queued_request(id));
                 let (next, _) = queue.peek(1)[0];
                 black_box(queue.pop(next))
             });
@@ -68,7 +68,7 @@
     }
 }
 
-fn waiting(id: u64) -> QueuedRequest {
+fn queued_request(id: u64) -> QueuedRequest {
     QueuedRequest {
         id,
         priority: 4,
--- a/tests/outcomes.rs
+++ b/tests/outcomes.rs
@@ -8,7 +8,7 @@
     parts::Parts,
 };
 
-fn read(gateway: &str, placed_ms: u64, done_ms: Option<u64>, unread: u64) -> Read {
+fn prefill(gateway: &str, placed_ms: u64, done_ms: Option<u64>, unread: u64) -> Read {
     Read {
         gateway: gateway.to_owned(),
         placed_ms,
@@ -20,38 +20,38 @@
     }
 }
 
-fn printed(print: impl Fn(&mut Vec<u8>) -> std::io::Result<()>) -> String {
+fn print_to_string(print: impl Fn(&mut Vec<u8>) -> std::io::Result<()>) -> String {
     let mut text = Vec::new();
     print(&mut text).expect("written");
     String::from_utf8(text).expect("text")
 }
 
 #[test]
-fn what_stood_before_a_prompt_is_found_in_all_gateways_lines() {
+fn slow_prefills_are_attributed_to_placements_of_all_gateways() {
     let mut lines = Lines::default();
     // one that gives way and whose end nobody saw, then one behind it
-    let late = Read {
+    let deferred = Read {
         late: true,
-        ..read("g1", 0, None, 9_000)
+        ..prefill("g1", 0, None, 9_000)
     };
-    lines.place("r1", "e1", late);
-    lines.place("r2", "e1", read("g2", 1_000, None, 1_000));
+    lines.place("r1", "e1", deferred);
+    lines.place("r2", "e1", prefill("g2", 1_000, None, 1_000));
     lines.read("r2", 1_400);
     // two gateways at the same engine ten milliseconds apart, of which the first is read as expected
-    lines.place("r3", "e2", read("g1", 0, None, 1_000));
+    lines.place("r3", "e2", prefill("g1", 0, None, 1_000));
     lines.read("r3", 20);
-    lines.place("r4", "e2", read("g2", 10, None, 1_000));
+    lines.place("r4", "e2", prefill("g2", 10, None, 1_000));
     lines.read("r4", 110);
     // two of one gateway, the first long under way and not believed to be
     let slow = Read {
         expected_us: 250_000,
-        ..read("g1", 0, None, 5_000)
+        ..prefill("g1", 0, None, 5_000)
     };
     lines.place("r5", "e3", slow);
     lines.read("r5", 300);
-    lines.place("r6", "e3", read("g1", 200, None, 1_000));
+    lines.place("r6", "e3", prefill("g1", 200, None, 1_000));
     lines.read("r6", 320);
-    let printed = printed(|text| lines.print(text));
+    let printed = print_to_string(|text| lines.print(text));
     let rows: Vec<Vec<&str>> = printed
         .lines()
         .skip(1)
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn shared_parts_are_read_for_the_first_time_or_again() {
+fn prefilled_shared_parts_are_counted_by_cause() {
     let mut parts = Parts::default();
     parts.place("g1", 1_000, "a:2000 x:10", 0);
     // read at this moment, then known, then unknown to a gateway that has started since
@@ -82,7 +82,7 @@
     parts.start("g2", 3_000);
     parts.place("g2", 4_000, "a:2000 w:10", 0);
     parts.place("g1", 5_000, "a:2000 v:10", 0);
-    let printed = printed(|text| parts.print(text));
+    let printed = print_to_string(|text| parts.print(text));
     let tokens: Vec<&str> = printed
         .lines()
         .skip(1)
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -12,12 +12,12 @@
 use soak::{Addresses, Options, run_seed};
 
 /// Seeds that are played at a time: each has three daemons and ends with a planned stop's wait.
-const AT_ONCE: usize = 3;
+const MAX_CONCURRENT_SEEDS: usize = 3;
 
 /// Seeds of the short run: one in three has planned work only.
 const SEEDS: [u64; 3] = [3, 7, 11];
 /// Seeds that once broke a promise, with a line on the cause each.
-const CASES: [&[u64]; 7] = [
+const REGRESSION_SEEDS: [&[u64]; 7] = [
     // a silent stand-in of an engine counted a prompt that was only to be read as run
     &[104, 115, 130, 148],
     // a restarted gateway took its part of the slack for repeats anew
@@ -35,7 +35,7 @@
 ];
 
 #[test]
-fn two_soaks_side_by_side_share_no_address() {
+fn concurrent_soaks_use_distinct_addresses() {
     let from = std::process::id() * 7;
     let first = Addresses::claim(from).expect("addresses");
     let second = Addresses::claim(from).expect("addresses");
@@ -43,7 +43,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_short_soak_breaks_no_promise() {
+async fn a_short_soak_violates_no_guarantee() {
     let options = Options {
         daemon: PathBuf::from(env!("CARGO_BIN_EXE_wrenrampd")),
         gateways: 3,
@@ -53,10 +53,10 @@
     let mut reports = stream::iter(
         SEEDS
             .into_iter()
-            .chain(CASES.into_iter().flatten().copied()),
+            .chain(REGRESSION_SEEDS.into_iter().flatten().copied()),
     )
     .map(|seed| run_seed(seed, &options))
-    .buffer_unordered(AT_ONCE);
+    .buffer_unordered(MAX_CONCURRENT_SEEDS);
     while let Some(report) = reports.next().await {
         let report = report.expect("the fleet is set up");
         assert!(report.violations.is_empty(), "{report:#?}");
@@ -65,18 +65,21 @@
 }
 
 /// A seed in which a gateway's process is stopped and started again within two seconds.
-const RESTARTS: u64 = 3;
+const RESTART_SEED: u64 = 3;
 /// How long no process can be started in that run: well over what counts as standing still.
-const SLOW_START: Duration = Duration::from_secs(10);
+const START_DELAY: Duration = Duration::from_secs(10);
 
 /// Puts pipes where logs of second starts go: a start that opens one waits until somebody reads from it.
-fn hold_starts(folder: &Path, gateways: usize) {
+fn delay_restarts(folder: &Path, gateways: usize) {
     for gateway in 0..gateways {
         let pipe = folder.join(format!("g{gateway}-1.log"));
-        let made = Command::new("mkfifo").arg(&pipe).status();
-        assert!(made.is_ok_and(|made| made.success()), "a pipe is made");
+        let created = Command::new("mkfifo").arg(&pipe).status();
+        assert!(
+            created.is_ok_and(|created| created.success()),
+            "a pipe is made"
+        );
         std::thread::spawn(move || {
-            std::thread::sleep(SLOW_START);
+            std::thread::sleep(START_DELAY);
             let mut pipe = File::open(pipe).expect("the pipe is there");
             // what is logged is of no use here; its end is the process's
             let _ = pipe.read_to_end(&mut Vec::new());
@@ -85,7 +88,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_process_that_is_slow_to_start_holds_no_stand_in_up() {
+async fn a_slow_process_start_does_not_block_the_stand_ins() {
     let folder = std::env::temp_dir().join(format!("slow-start-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     let options = Options {
@@ -94,17 +97,17 @@
         seconds: 5,
         logs: Some(folder.clone()),
     };
-    hold_starts(&folder, options.gateways);
-    let report = run_seed(RESTARTS, &options)
+    delay_restarts(&folder, options.gateways);
+    let report = run_seed(RESTART_SEED, &options)
         .await
         .expect("the fleet is set up");
-    let told = |text: &str| {
+    let logged = |text: &str| {
         report
             .timeline
             .iter()
             .any(|entry| entry.description.contains(text))
     };
     std::fs::remove_dir_all(&folder).expect("the folder is there");
-    assert!(told("the start of a process took"), "{report:#?}");
-    assert!(!told("stood still"), "{report:#?}");
+    assert!(logged("the start of a process took"), "{report:#?}");
+    assert!(!logged("stood still"), "{report:#?}");
 }
--- a/tests/system/once.rs
+++ b/tests/system/at_most_once.rs
@@ -3,40 +3,40 @@
 use std::time::Duration;
 
 use hyper::StatusCode;
-use standin::{platform::Faults as Store, service::Faults};
+use standin::{platform::Faults as TableFault, service::Faults};
 
-use crate::fleet::{Answer, Caller, Fleet, KEY, eventually};
+use crate::fleet::{Caller, FIELD_KEY, Fleet, Response, eventually};
 
-async fn report(
+async fn send_reading(
     caller: &Caller,
     fleet: &Fleet,
     daemon: usize,
     key: Option<&str>,
     body: &str,
-) -> Option<Answer> {
-    let bearer = format!("Bearer {KEY}");
+) -> Option<Response> {
+    let bearer = format!("Bearer {FIELD_KEY}");
     let mut headers = vec![("authorization", bearer.as_str())];
     headers.extend(key.map(|key| ("idempotency-key", key)));
-    let address = fleet.daemons[daemon].callers;
+    let address = fleet.daemons[daemon].caller_address;
     caller
-        .ask(address, "/services/readings/load", &headers, body)
+        .request(address, "/services/readings/load", &headers, body)
         .await
 }
 
 /// The word of an answer must be true: `not-run` only if it did not run.
-fn truthful(fleet: &Fleet, answer: Option<&Answer>, body: &str) {
+fn check_outcome(fleet: &Fleet, response: Option<&Response>, body: &str) {
     let runs = fleet.service.runs(body);
     assert!(runs <= 1, "{body} ran {runs} times");
-    if answer.and_then(Answer::run) == Some("not-run") {
-        assert_eq!(runs, 0, "{body}: {answer:?}");
+    if response.and_then(Response::run_header) == Some("not-run") {
+        assert_eq!(runs, 0, "{body}: {response:?}");
     }
-    if answer.is_some_and(|answer| answer.status == StatusCode::OK) {
-        assert_eq!(runs, 1, "{body}: {answer:?}");
+    if response.is_some_and(|response| response.status == StatusCode::OK) {
+        assert_eq!(runs, 1, "{body}: {response:?}");
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn whatever_the_service_does_it_runs_at_most_once() {
+async fn service_faults_cause_at_most_one_run() {
     let fleet = Fleet::start(Vec::new(), 2).await;
     let caller = Caller::new();
     let faults = [
@@ -52,17 +52,17 @@
             fleet.service.fail(fault);
             // a daemon that lost an answer leaves the endpoint alone for a moment
             eventually("the endpoint takes requests", async || {
-                let (_, text) = fleet.operate(0, &["status"]);
+                let (_, text) = fleet.run_client(0, &["status"]);
                 text.contains("readings mixed open")
             })
             .await;
-            let answer = report(&caller, &fleet, 0, key.as_deref(), &body).await;
-            truthful(&fleet, answer.as_ref(), &body);
+            let response = send_reading(&caller, &fleet, 0, key.as_deref(), &body).await;
+            check_outcome(&fleet, response.as_ref(), &body);
             fleet.service.fail(Faults::None);
             if key.is_some() {
                 for daemon in [0, 1] {
-                    let again = report(&caller, &fleet, daemon, key.as_deref(), &body).await;
-                    truthful(&fleet, again.as_ref(), &body);
+                    let again = send_reading(&caller, &fleet, daemon, key.as_deref(), &body).await;
+                    check_outcome(&fleet, again.as_ref(), &body);
                 }
             }
         }
@@ -70,61 +70,62 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn whatever_the_table_does_a_key_runs_at_most_once() {
+async fn table_faults_cause_at_most_one_run_per_key() {
     let fleet = Fleet::start(Vec::new(), 2).await;
     let caller = Caller::new();
     let faults = [
-        Store::Down,
-        Store::LostAnswers,
-        Store::LostWrites,
-        Store::Slow(Duration::from_millis(900)),
-        Store::Garbage,
+        TableFault::Down,
+        TableFault::LostAnswers,
+        TableFault::LostWrites,
+        TableFault::Slow(Duration::from_millis(900)),
+        TableFault::Garbage,
     ];
     for (nth, fault) in faults.into_iter().enumerate() {
         let body = format!("{fault:?}");
         let key = format!("table key {nth}");
         fleet.platform.fail(fault);
         for daemon in [0, 1, 0] {
-            let answer = report(&caller, &fleet, daemon, Some(&key), &body).await;
-            truthful(&fleet, answer.as_ref(), &body);
-            let refused = answer.as_ref().and_then(Answer::run);
+            let response = send_reading(&caller, &fleet, daemon, Some(&key), &body).await;
+            check_outcome(&fleet, response.as_ref(), &body);
+            let refused = response.as_ref().and_then(Response::run_header);
             assert_ne!(refused, Some("not-run"), "an earlier try may have run");
         }
-        fleet.platform.fail(Store::None);
+        fleet.platform.fail(TableFault::None);
         eventually("the key runs, or is known never to", async || {
-            let answer = report(&caller, &fleet, 0, Some(&key), &body).await;
-            truthful(&fleet, answer.as_ref(), &body);
-            let answer = answer.expect("an answer");
-            answer.status == StatusCode::OK || answer.body.contains("outcome_unknown")
+            let response = send_reading(&caller, &fleet, 0, Some(&key), &body).await;
+            check_outcome(&fleet, response.as_ref(), &body);
+            let response = response.expect("a response");
+            response.status == StatusCode::OK || response.body.contains("outcome_unknown")
         })
         .await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_without_a_key_runs_in_an_outage() {
+async fn a_request_without_a_key_runs_during_a_table_outage() {
     let fleet = Fleet::start(Vec::new(), 1).await;
-    fleet.platform.fail(Store::Down);
-    let answer = report(&Caller::new(), &fleet, 0, None, "no key").await;
-    assert_eq!(answer.expect("an answer").status, StatusCode::OK);
+    fleet.platform.fail(TableFault::Down);
+    let response = send_reading(&Caller::new(), &fleet, 0, None, "no key").await;
+    assert_eq!(response.expect("a response").status, StatusCode::OK);
     assert_eq!(fleet.service.runs("no key"), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_same_key_at_all_daemons_at_once_runs_once() {
+async fn concurrent_requests_with_one_key_at_all_daemons_run_once() {
     let fleet = Fleet::start(Vec::new(), 3).await;
     fleet.service.fail(Faults::Slow(Duration::from_millis(50)));
     let caller = Caller::new();
-    let tries = (0..30).map(|nth| report(&caller, &fleet, nth % 3, Some("burst"), "alarm"));
-    let answers = futures::future::join_all(tries).await;
+    let requests =
+        (0..30).map(|nth| send_reading(&caller, &fleet, nth % 3, Some("burst"), "alarm"));
+    let responses = futures::future::join_all(requests).await;
     assert_eq!(fleet.service.runs("alarm"), 1);
-    let told = answers.iter().flatten().filter_map(Answer::run);
-    assert!(told.into_iter().all(|run| run == "unknown"));
+    let outcomes = responses.iter().flatten().filter_map(Response::run_header);
+    assert!(outcomes.into_iter().all(|run| run == "unknown"));
     assert!(
-        answers
+        responses
             .iter()
             .flatten()
-            .any(|answer| answer.status == StatusCode::OK)
+            .any(|response| response.status == StatusCode::OK)
     );
 }
 
@@ -133,14 +134,14 @@
     let mut fleet = Fleet::start(Vec::new(), 2).await;
     fleet.service.fail(Faults::Slow(Duration::from_millis(400)));
     let caller = Caller::new();
-    let bearer = format!("Bearer {KEY}");
-    let address = fleet.daemons[0].callers;
-    let lost = tokio::spawn({
+    let bearer = format!("Bearer {FIELD_KEY}");
+    let address = fleet.daemons[0].caller_address;
+    let interrupted = tokio::spawn({
         let caller = caller.clone();
         async move {
             let headers = [("authorization", bearer.as_str()), ("idempotency-key", "k")];
             caller
-                .ask(address, "/services/readings/load", &headers, "killed")
+                .request(address, "/services/readings/load", &headers, "killed")
                 .await
         }
     });
@@ -153,13 +154,13 @@
     })
     .await;
     fleet.daemons[0].child.kill().expect("killed");
-    assert!(lost.await.expect("no panic").is_none());
+    assert!(interrupted.await.expect("no panic").is_none());
     fleet.service.fail(Faults::None);
     eventually("the claimant is known to be gone", async || {
-        let answer = report(&caller, &fleet, 1, Some("k"), "killed").await;
-        let answer = answer.expect("an answer");
-        assert_eq!(answer.run(), Some("unknown"));
-        answer.body.contains("outcome_unknown")
+        let response = send_reading(&caller, &fleet, 1, Some("k"), "killed").await;
+        let response = response.expect("a response");
+        assert_eq!(response.run_header(), Some("unknown"));
+        response.body.contains("outcome_unknown")
     })
     .await;
     assert!(fleet.service.runs("killed") <= 1);
@@ -170,7 +171,7 @@
     let fleet = Fleet::start(Vec::new(), 2).await;
     fleet.service.fail(Faults::Slow(Duration::from_millis(300)));
     let caller = Caller::new();
-    let first = report(&caller, &fleet, 0, Some("p"), "paused");
+    let first = send_reading(&caller, &fleet, 0, Some("p"), "paused");
     let others = async {
         eventually("the claim is written", async || {
             let read = cloud::table::Read {
@@ -182,11 +183,11 @@
         .await;
         fleet.daemons[0].signal("STOP");
         for _ in 0..5 {
-            let answer = report(&caller, &fleet, 1, Some("p"), "paused").await;
-            assert_eq!(answer.expect("an answer").run(), Some("unknown"));
+            let response = send_reading(&caller, &fleet, 1, Some("p"), "paused").await;
+            assert_eq!(response.expect("a response").run_header(), Some("unknown"));
         }
         fleet.daemons[0].signal("CONT");
     };
-    let (answer, ()) = tokio::join!(first, others);
-    truthful(&fleet, answer.as_ref(), "paused");
+    let (response, ()) = tokio::join!(first, others);
+    check_outcome(&fleet, response.as_ref(), "paused");
 }
--- a/tests/system/decisions.rs
+++ b/tests/system/decisions.rs
@@ -8,42 +8,48 @@
 use protocol::order::Role;
 use standin::{batch::Speed, engine::Setup};
 
-use crate::fleet::{ALARM_KEY, Caller, Fleet, KEY, completion, eventually, setup, streamed};
+use crate::fleet::{
+    ALARM_KEY, Caller, FIELD_KEY, Fleet, completion_body, engine_setup, eventually, parse_stream,
+};
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_steward_moves_an_engine_to_the_phase_that_lacks_it() {
+async fn adaptive_roles_move_an_engine_to_the_overloaded_phase() {
     let engines = vec![
-        setup(Role::Prefill, false),
-        setup(Role::Decode, false),
-        setup(Role::Decode, false),
+        engine_setup(Role::Prefill, false),
+        engine_setup(Role::Decode, false),
+        engine_setup(Role::Decode, false),
     ];
     let fleet = Fleet::start(engines, 2).await;
-    let (code, text) = fleet.operate(0, &["set", "--wait", "fleet/roles", "roles=adaptive"]);
+    let (code, text) = fleet.run_client(0, &["set", "--wait", "fleet/roles", "roles=adaptive"]);
     assert_eq!(code, 0, "{text}");
     let stop = Arc::new(AtomicBool::new(false));
     let callers: Vec<_> = (0..6)
         .map(|nth| {
-            let address = fleet.daemons[nth % 2].callers;
+            let address = fleet.daemons[nth % 2].caller_address;
             let stop = Arc::clone(&stop);
             tokio::spawn(async move {
                 let caller = Caller::new();
                 // half a second of reading for the quick engine, and hardly any writing
                 let prompt = format!("{nth} {}", "dossier ".repeat(120_000));
                 while !stop.load(Ordering::Relaxed) {
-                    let answer = caller.complete(address, &prompt, 2, true).await;
-                    let answer = answer.expect("an answer");
-                    let refused = answer.run() == Some("not-run");
-                    assert!(refused || streamed(&answer.body).1, "{:?}", answer.status);
+                    let response = caller.complete(address, &prompt, 2, true).await;
+                    let response = response.expect("a response");
+                    let refused = response.run_header() == Some("not-run");
+                    assert!(
+                        refused || parse_stream(&response.body).1,
+                        "{:?}",
+                        response.status
+                    );
                 }
             })
         })
         .collect();
     eventually("a writer becomes a reader", async || {
-        let readers = fleet
+        let prefill_engines = fleet
             .engines
             .iter()
             .filter(|e| e.holds().role == Role::Prefill);
-        readers.count() == 2
+        prefill_engines.count() == 2
     })
     .await;
     stop.store(true, Ordering::Relaxed);
@@ -54,28 +60,33 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn what_cannot_come_in_time_is_refused_as_not_run() {
-    let fleet = Fleet::start(vec![setup(Role::Mixed, false)], 1).await;
-    let bearer = format!("Bearer {KEY}");
+async fn a_request_that_cannot_meet_its_deadline_is_refused_as_not_run() {
+    let fleet = Fleet::start(vec![engine_setup(Role::Mixed, false)], 1).await;
+    let bearer = format!("Bearer {FIELD_KEY}");
     let headers = [
         ("authorization", bearer.as_str()),
         ("x-wrenramp-deadline-ms", "20"),
     ];
-    let body = completion("long", 100_000, true);
-    let answer = Caller::new()
-        .ask(fleet.daemons[0].callers, "/v1/completions", &headers, &body)
+    let body = completion_body("long", 100_000, true);
+    let response = Caller::new()
+        .request(
+            fleet.daemons[0].caller_address,
+            "/v1/completions",
+            &headers,
+            &body,
+        )
         .await
         .expect("a refusal");
     assert_eq!(
-        (answer.status.as_u16(), answer.run()),
+        (response.status.as_u16(), response.run_header()),
         (429, Some("not-run"))
     );
-    assert!(answer.headers.contains_key("retry-after"));
+    assert!(response.headers.contains_key("retry-after"));
     assert_eq!(fleet.engines[0].counts().attempts, 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn groups_that_flood_get_their_shares() {
+async fn saturating_groups_are_served_in_proportion_to_their_shares() {
     let slow = Setup {
         speed: Speed {
             step_us: 10_000,
@@ -89,44 +100,45 @@
         ["set", "--wait", "group/alarm", "priority=4", "share=1"],
         ["set", "--wait", "group/field", "priority=4", "share=3"],
     ] {
-        let (code, text) = fleet.operate(0, &change);
+        let (code, text) = fleet.run_client(0, &change);
         assert_eq!(code, 0, "{text}");
     }
-    let done = Arc::new([AtomicUsize::new(0), AtomicUsize::new(0)]);
+    let completed = Arc::new([AtomicUsize::new(0), AtomicUsize::new(0)]);
     let callers: Vec<_> = (0..300)
         .map(|nth| {
-            let done = Arc::clone(&done);
-            let address = fleet.daemons[0].callers;
+            let completed = Arc::clone(&completed);
+            let address = fleet.daemons[0].caller_address;
             tokio::spawn(async move {
                 let caller = Caller::new();
-                let key = [KEY, ALARM_KEY][nth % 2];
+                let key = [FIELD_KEY, ALARM_KEY][nth % 2];
                 let bearer = format!("Bearer {key}");
                 let headers = [("authorization", bearer.as_str())];
-                let body = completion("share", 20, true);
+                let body = completion_body("share", 20, true);
                 loop {
-                    let answer = caller
-                        .ask(address, "/v1/completions", &headers, &body)
+                    let response = caller
+                        .request(address, "/v1/completions", &headers, &body)
                         .await;
-                    if answer.is_none_or(|answer| !answer.status.is_success()) {
+                    if response.is_none_or(|response| !response.status.is_success()) {
                         return;
                     }
-                    done[nth % 2].fetch_add(1, Ordering::Relaxed);
+                    completed[nth % 2].fetch_add(1, Ordering::Relaxed);
                 }
             })
         })
         .collect();
     // the first ones were served before there was a queue
     eventually("the queue has formed", async || {
-        done[0].load(Ordering::Relaxed) > 100
+        completed[0].load(Ordering::Relaxed) > 100
     })
     .await;
-    let before = [0, 1].map(|at: usize| done[at].load(Ordering::Relaxed));
+    let before = [0, 1].map(|group: usize| completed[group].load(Ordering::Relaxed));
     eventually("enough were served", async || {
-        done[0].load(Ordering::Relaxed) + done[1].load(Ordering::Relaxed)
+        completed[0].load(Ordering::Relaxed) + completed[1].load(Ordering::Relaxed)
             > before[0] + before[1] + 600
     })
     .await;
-    let served = [0, 1].map(|at: usize| done[at].load(Ordering::Relaxed) - before[at]);
+    let served =
+        [0, 1].map(|group: usize| completed[group].load(Ordering::Relaxed) - before[group]);
     callers.iter().for_each(tokio::task::JoinHandle::abort);
     // three to one, give or take what was in flight at either end
     assert!(
--- a/tests/system/failure.rs
+++ b/tests/system/failure.rs
@@ -7,10 +7,12 @@
 use protocol::order::Role;
 use standin::engine::{Engine, Faults, Setup, expected};
 
-use crate::fleet::{Caller, Fleet, KEY, completion, eventually, setup, streamed};
+use crate::fleet::{
+    Caller, FIELD_KEY, Fleet, completion_body, engine_setup, eventually, parse_stream,
+};
 
 /// Long enough to be under way while something happens, a step of the quick engine being 1 ms.
-const LONG: u64 = 1_500;
+const LONG_ANSWER_TOKENS: u64 = 1_500;
 
 fn start_streams(
     caller: &Caller,
@@ -22,74 +24,81 @@
             let caller = caller.clone();
             tokio::spawn(async move {
                 let prompt = format!("dossier {nth}");
-                let answer = caller.complete(address, &prompt, LONG, true).await?;
-                let (text, whole) = streamed(&answer.body);
+                let response = caller
+                    .complete(address, &prompt, LONG_ANSWER_TOKENS, true)
+                    .await?;
+                let (text, complete) = parse_stream(&response.body);
                 // a part that looks whole would be a lie
-                assert_eq!(whole, text == expected(&prompt, 0, LONG));
-                whole.then_some(text)
+                assert_eq!(complete, text == expected(&prompt, 0, LONG_ANSWER_TOKENS));
+                complete.then_some(text)
             })
         })
         .collect()
 }
 
-async fn count_whole(streams: Vec<tokio::task::JoinHandle<Option<String>>>) -> usize {
-    let mut whole = 0;
+async fn count_complete(streams: Vec<tokio::task::JoinHandle<Option<String>>>) -> usize {
+    let mut complete = 0;
     for stream in streams {
-        whole += usize::from(stream.await.expect("no lie").is_some());
+        complete += usize::from(stream.await.expect("no lie").is_some());
     }
-    whole
+    complete
 }
 
-fn mixed(count: usize) -> Vec<Setup> {
-    (0..count).map(|_| setup(Role::Mixed, false)).collect()
+fn mixed_engines(count: usize) -> Vec<Setup> {
+    (0..count)
+        .map(|_| engine_setup(Role::Mixed, false))
+        .collect()
 }
 
-fn in_flight(fleet: &Fleet) -> u64 {
+fn total_attempts(fleet: &Fleet) -> u64 {
     fleet.engines.iter().map(|e| e.counts().attempts).sum()
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_planned_stop_cuts_no_stream() {
-    let mut fleet = Fleet::start(mixed(2), 2).await;
+async fn a_graceful_shutdown_interrupts_no_stream() {
+    let mut fleet = Fleet::start(mixed_engines(2), 2).await;
     let caller = Caller::new();
-    let streams = start_streams(&caller, fleet.daemons[0].callers, 12);
+    let streams = start_streams(&caller, fleet.daemons[0].caller_address, 12);
     eventually("all streams are under way", async || {
-        in_flight(&fleet) == 12
+        total_attempts(&fleet) == 12
     })
     .await;
     fleet.daemons[0].signal("TERM");
-    assert_eq!(count_whole(streams).await, 12);
+    assert_eq!(count_complete(streams).await, 12);
     let status = fleet.daemons[0].child.wait().expect("it ends");
     assert!(status.success(), "{status}");
-    let answer = caller
-        .complete(fleet.daemons[1].callers, "on", 5, true)
+    let response = caller
+        .complete(fleet.daemons[1].caller_address, "on", 5, true)
         .await;
-    assert!(streamed(&answer.expect("an answer").body).1);
+    assert!(parse_stream(&response.expect("a response").body).1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_killed_daemon_ends_no_stream_as_if_whole() {
-    let mut fleet = Fleet::start(mixed(2), 2).await;
+async fn streams_of_a_killed_daemon_do_not_end_as_complete() {
+    let mut fleet = Fleet::start(mixed_engines(2), 2).await;
     let caller = Caller::new();
-    let lost = start_streams(&caller, fleet.daemons[0].callers, 6);
-    let kept = start_streams(&caller, fleet.daemons[1].callers, 6);
+    let lost = start_streams(&caller, fleet.daemons[0].caller_address, 6);
+    let kept = start_streams(&caller, fleet.daemons[1].caller_address, 6);
     eventually("all streams are under way", async || {
-        in_flight(&fleet) == 12
+        total_attempts(&fleet) == 12
     })
     .await;
     fleet.daemons[0].child.kill().expect("killed");
-    assert_eq!(count_whole(lost).await, 0);
-    assert_eq!(count_whole(kept).await, 6);
+    assert_eq!(count_complete(lost).await, 0);
+    assert_eq!(count_complete(kept).await, 6);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stream_goes_on_at_another_engine_when_its_engine_crashes() {
-    let mut fleet = Fleet::start(mixed(3), 1).await;
+async fn a_stream_resumes_on_another_engine_after_an_engine_crash() {
+    let mut fleet = Fleet::start(mixed_engines(3), 1).await;
     let caller = Caller::new();
-    let streams = start_streams(&caller, fleet.daemons[0].callers, 9);
-    eventually("all streams are under way", async || in_flight(&fleet) == 9).await;
+    let streams = start_streams(&caller, fleet.daemons[0].caller_address, 9);
+    eventually("all streams are under way", async || {
+        total_attempts(&fleet) == 9
+    })
+    .await;
     drop(fleet.engines.remove(0));
-    assert_eq!(count_whole(streams).await, 9);
+    assert_eq!(count_complete(streams).await, 9);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -104,56 +113,64 @@
         (Faults::Garbage, true),
         (Faults::Refuse, true),
     ];
-    for (fault, must) in cases {
-        let fleet = Fleet::start(mixed(2), 1).await;
+    for (fault, must_complete) in cases {
+        let fleet = Fleet::start(mixed_engines(2), 1).await;
         fleet.engines[0].fail(fault);
         let caller = Caller::new();
         for nth in 0..6 {
             let prompt = format!("case {nth}");
-            let answer = caller
-                .complete(fleet.daemons[0].callers, &prompt, 12, true)
+            let response = caller
+                .complete(fleet.daemons[0].caller_address, &prompt, 12, true)
                 .await
-                .expect("an answer");
-            let (text, whole) = streamed(&answer.body);
-            assert_eq!(whole, must, "{fault:?}: {answer:?}");
+                .expect("a response");
+            let (text, complete) = parse_stream(&response.body);
+            assert_eq!(complete, must_complete, "{fault:?}: {response:?}");
             assert_eq!(text, expected(&prompt, 0, 12), "{fault:?}");
         }
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_answer_that_no_engine_finishes_is_never_ended_as_whole() {
+async fn an_unfinished_answer_never_ends_as_complete() {
     let faults = [Faults::CutAt(5), Faults::EndAt(5), Faults::SkipAt(5)];
-    futures::future::join_all(faults.map(never_whole)).await;
+    futures::future::join_all(faults.map(check_never_complete)).await;
 }
 
-async fn never_whole(fault: Faults) {
-    let fleet = Fleet::start(mixed(1), 1).await;
+async fn check_never_complete(fault: Faults) {
+    let fleet = Fleet::start(mixed_engines(1), 1).await;
     fleet.engines[0].fail(fault);
-    let bearer = format!("Bearer {KEY}");
+    let bearer = format!("Bearer {FIELD_KEY}");
     let headers = [("authorization", bearer.as_str())];
     let caller = Caller::new();
-    let address = fleet.daemons[0].callers;
+    let address = fleet.daemons[0].caller_address;
     let path = "/v1/completions";
-    let body = completion("never", 12, true);
-    let streamed = caller.ask(address, path, &headers, &body).await;
+    let body = completion_body("never", 12, true);
+    let streamed = caller.request(address, path, &headers, &body).await;
     assert!(streamed.is_none(), "{fault:?}: {streamed:?}");
-    let body = completion("never", 12, false);
-    let whole = caller.ask(address, path, &headers, &body).await;
-    let whole = whole.expect("a refusal");
-    assert_ne!(whole.status, StatusCode::OK, "{fault:?}");
-    assert!(whole.headers.contains_key("retry-after"), "{whole:?}");
+    let body = completion_body("never", 12, false);
+    let unstreamed = caller.request(address, path, &headers, &body).await;
+    let unstreamed = unstreamed.expect("a refusal");
+    assert_ne!(unstreamed.status, StatusCode::OK, "{fault:?}");
+    assert!(
+        unstreamed.headers.contains_key("retry-after"),
+        "{unstreamed:?}"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_caller_that_hangs_up_cancels_at_the_engine() {
-    let fleet = Fleet::start(mixed(1), 1).await;
+async fn a_caller_disconnect_cancels_the_attempt_at_the_engine() {
+    let fleet = Fleet::start(mixed_engines(1), 1).await;
     let caller = Caller::new();
-    let bearer = format!("Bearer {KEY}");
+    let bearer = format!("Bearer {FIELD_KEY}");
     let headers = [("authorization", bearer.as_str())];
-    let body = completion("gone", 100_000, true);
+    let body = completion_body("gone", 100_000, true);
     let response = caller
-        .send(fleet.daemons[0].callers, "/v1/completions", &headers, &body)
+        .send(
+            fleet.daemons[0].caller_address,
+            "/v1/completions",
+            &headers,
+            &body,
+        )
         .await
         .expect("a head");
     drop(response);
@@ -166,57 +183,63 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_planned_role_change_cuts_no_stream() {
+async fn a_role_change_interrupts_no_stream() {
     for fences in [false, true] {
-        let engines = vec![setup(Role::Mixed, fences), setup(Role::Mixed, fences)];
+        let engines = vec![
+            engine_setup(Role::Mixed, fences),
+            engine_setup(Role::Mixed, fences),
+        ];
         let fleet = Fleet::start(engines, 3).await;
         let caller = Caller::new();
         let mut streams = Vec::new();
         for daemon in &fleet.daemons {
-            streams.extend(start_streams(&caller, daemon.callers, 4));
+            streams.extend(start_streams(&caller, daemon.caller_address, 4));
         }
         eventually("all streams are under way", async || {
-            in_flight(&fleet) == 12
+            total_attempts(&fleet) == 12
         })
         .await;
-        let (code, text) = fleet.operate(1, &["role", "sala-a/1", "decode"]);
+        let (code, text) = fleet.run_client(1, &["role", "sala-a/1", "decode"]);
         assert_eq!(code, 0, "{text}");
-        assert_eq!(count_whole(streams).await, 12);
+        assert_eq!(count_complete(streams).await, 12);
         eventually("the engine has its role", async || {
             fleet.engines[0].holds().role == Role::Decode
         })
         .await;
         assert_eq!(fleet.engines[0].counts().cut, 0);
         assert_eq!(fleet.engines[0].counts().changes, 1);
-        let answer = caller
-            .complete(fleet.daemons[0].callers, "on", 5, true)
+        let response = caller
+            .complete(fleet.daemons[0].caller_address, "on", 5, true)
             .await;
-        assert!(streamed(&answer.expect("an answer").body).1);
+        assert!(parse_stream(&response.expect("a response").body).1);
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_drained_endpoint_gets_no_new_work_and_finishes_its_own() {
-    let fleet = Fleet::start(mixed(2), 2).await;
+    let fleet = Fleet::start(mixed_engines(2), 2).await;
     let caller = Caller::new();
-    let streams = start_streams(&caller, fleet.daemons[0].callers, 8);
-    eventually("all streams are under way", async || in_flight(&fleet) == 8).await;
-    let (code, text) = fleet.operate(1, &["drain", "sala-a/1"]);
+    let streams = start_streams(&caller, fleet.daemons[0].caller_address, 8);
+    eventually("all streams are under way", async || {
+        total_attempts(&fleet) == 8
+    })
+    .await;
+    let (code, text) = fleet.run_client(1, &["drain", "sala-a/1"]);
     assert_eq!(code, 0, "{text}");
     let before = fleet.engines[0].counts().attempts;
     for daemon in &fleet.daemons {
         for _ in 0..10 {
-            let answer = caller.complete(daemon.callers, "new", 3, true).await;
-            assert!(streamed(&answer.expect("an answer").body).1);
+            let response = caller.complete(daemon.caller_address, "new", 3, true).await;
+            assert!(parse_stream(&response.expect("a response").body).1);
         }
     }
     assert_eq!(fleet.engines[0].counts().attempts, before);
-    assert_eq!(count_whole(streams).await, 8);
+    assert_eq!(count_complete(streams).await, 8);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_leaving_endpoint_gets_no_new_work() {
-    let fleet = Fleet::start(mixed(2), 2).await;
+    let fleet = Fleet::start(mixed_engines(2), 2).await;
     let caller = Caller::new();
     let vm = |state| Vm {
         address: fleet.engines[0].address(),
@@ -228,7 +251,7 @@
     fleet.platform.leave(fleet.engines[0].address());
     for daemon in 0..2 {
         eventually("the daemon knows", async || {
-            let (_, text) = fleet.operate(daemon, &["status"]);
+            let (_, text) = fleet.run_client(daemon, &["status"]);
             text.contains("leaving")
         })
         .await;
@@ -236,35 +259,38 @@
     let before = fleet.engines[0].counts().attempts;
     for daemon in &fleet.daemons {
         for _ in 0..10 {
-            let answer = caller.complete(daemon.callers, "new", 3, true).await;
-            assert!(streamed(&answer.expect("an answer").body).1);
+            let response = caller.complete(daemon.caller_address, "new", 3, true).await;
+            assert!(parse_stream(&response.expect("a response").body).1);
         }
     }
     assert_eq!(fleet.engines[0].counts().attempts, before);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_paused_steward_that_wakes_has_no_effect() {
+async fn a_paused_steward_has_no_effect_after_it_resumes() {
     for fences in [false, true] {
-        let engines = vec![setup(Role::Mixed, fences), setup(Role::Mixed, fences)];
+        let engines = vec![
+            engine_setup(Role::Mixed, fences),
+            engine_setup(Role::Mixed, fences),
+        ];
         let fleet = Fleet::start(engines, 3).await;
-        let first = steward(&fleet, 0).await;
+        let first = find_steward(&fleet, 0).await;
         // the order is on its way, or nearly, when its sender stops
-        let (code, _) = fleet.operate(first, &["role", "sala-a/1", "decode"]);
+        let (code, _) = fleet.run_client(first, &["role", "sala-a/1", "decode"]);
         assert_eq!(code, 0);
         eventually("the order is begun", async || {
-            let (_, text) = fleet.operate(first, &["timeline"]);
+            let (_, text) = fleet.run_client(first, &["timeline"]);
             text.contains("order-")
         })
         .await;
         fleet.daemons[first].signal("STOP");
         let other = (first + 1) % 3;
         eventually("another daemon is steward", async || {
-            steward(&fleet, other).await != first
+            find_steward(&fleet, other).await != first
         })
         .await;
         eventually("the endpoint serves again", async || {
-            let (_, text) = fleet.operate(other, &["status"]);
+            let (_, text) = fleet.run_client(other, &["status"]);
             text.contains("sala-a/1 soil") && !text.contains("closed")
         })
         .await;
@@ -280,10 +306,10 @@
 }
 
 /// The daemon that holds the stewardship, as another one sees it.
-async fn steward(fleet: &Fleet, asked: usize) -> usize {
+async fn find_steward(fleet: &Fleet, asked_daemon: usize) -> usize {
     let mut found = None;
     eventually("there is a steward", async || {
-        let (_, text) = fleet.operate(asked, &["--json", "status"]);
+        let (_, text) = fleet.run_client(asked_daemon, &["--json", "status"]);
         let status: serde_json::Value = serde_json::from_str(&text).unwrap_or_default();
         let holder = status["stewards"][0]["holder"].clone();
         let address = status["daemons"]
@@ -296,7 +322,7 @@
             fleet
                 .daemons
                 .iter()
-                .position(|daemon| daemon.peers.to_string() == address)
+                .position(|daemon| daemon.peer_address.to_string() == address)
         });
         found.is_some()
     })
@@ -305,54 +331,56 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_engine_that_crashes_in_a_change_is_replaced() {
-    let mut fleet = Fleet::start(mixed(2), 2).await;
+async fn an_engine_that_crashes_during_a_role_change_gets_the_role_after_its_restart() {
+    let mut fleet = Fleet::start(mixed_engines(2), 2).await;
     let address = fleet.engines[0].address();
-    let (code, _) = fleet.operate(0, &["role", "sala-a/1", "decode"]);
+    let (code, _) = fleet.run_client(0, &["role", "sala-a/1", "decode"]);
     assert_eq!(code, 0);
     eventually("the engine changes", async || {
         fleet.engines[0].counts().changes > 0
     })
     .await;
     drop(fleet.engines.remove(0));
-    let mut again = None;
+    let mut restarted = None;
     eventually("its port is free again", async || {
-        again = Engine::start(address, setup(Role::Mixed, false)).await.ok();
-        again.is_some()
+        restarted = Engine::start(address, engine_setup(Role::Mixed, false))
+            .await
+            .ok();
+        restarted.is_some()
     })
     .await;
-    let again = again.expect("started above");
+    let restarted = restarted.expect("started above");
     eventually("the new engine gets its role", async || {
-        again.holds().role == Role::Decode
+        restarted.holds().role == Role::Decode
     })
     .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_change_is_given_up_while_a_daemon_does_not_answer() {
-    let fleet = Fleet::start(mixed(2), 3).await;
+async fn a_role_change_is_aborted_while_a_daemon_is_unresponsive() {
+    let fleet = Fleet::start(mixed_engines(2), 3).await;
     let caller = Caller::new();
-    let first = steward(&fleet, 0).await;
-    let silent = (first + 1) % 3;
-    fleet.daemons[silent].signal("STOP");
-    let (code, text) = fleet.operate(first, &["role", "sala-a/1", "decode"]);
+    let first = find_steward(&fleet, 0).await;
+    let unresponsive = (first + 1) % 3;
+    fleet.daemons[unresponsive].signal("STOP");
+    let (code, text) = fleet.run_client(first, &["role", "sala-a/1", "decode"]);
     assert_eq!(code, 0, "{text}");
     eventually("the change is given up", async || {
-        let (_, text) = fleet.operate(first, &["timeline", "--engine", "sala-a/1"]);
+        let (_, text) = fleet.run_client(first, &["timeline", "--engine", "sala-a/1"]);
         text.contains("order-reopened")
     })
     .await;
     assert_eq!(fleet.engines[0].counts().changes, 0);
     eventually("the engine serves meanwhile", async || {
         let before = fleet.engines[0].counts().attempts;
-        let answer = caller
-            .complete(fleet.daemons[first].callers, "on", 5, true)
+        let response = caller
+            .complete(fleet.daemons[first].caller_address, "on", 5, true)
             .await;
-        assert!(streamed(&answer.expect("an answer").body).1);
+        assert!(parse_stream(&response.expect("a response").body).1);
         fleet.engines[0].counts().attempts > before
     })
     .await;
-    fleet.daemons[silent].signal("CONT");
+    fleet.daemons[unresponsive].signal("CONT");
     eventually("the change is carried out after all", async || {
         fleet.engines[0].holds().role == Role::Decode
     })
@@ -361,26 +389,26 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn operators_that_race_for_an_engine_cut_nothing() {
-    let fleet = Fleet::start(mixed(2), 3).await;
+async fn concurrent_role_changes_interrupt_no_stream() {
+    let fleet = Fleet::start(mixed_engines(2), 3).await;
     let caller = Caller::new();
     let mut streams = Vec::new();
     for daemon in &fleet.daemons {
-        streams.extend(start_streams(&caller, daemon.callers, 3));
+        streams.extend(start_streams(&caller, daemon.caller_address, 3));
     }
     std::thread::scope(|scope| {
         for nth in 0..6 {
             let fleet = &fleet;
             scope.spawn(move || {
                 let role = ["decode", "prefill", "mixed"][nth % 3];
-                let (code, text) = fleet.operate(nth % 3, &["role", "sala-a/1", role]);
+                let (code, text) = fleet.run_client(nth % 3, &["role", "sala-a/1", role]);
                 assert_eq!(code, 0, "{text}");
             });
         }
     });
-    assert_eq!(count_whole(streams).await, 9);
+    assert_eq!(count_complete(streams).await, 9);
     // the last wish is the one that holds in the end
-    let (code, _) = fleet.operate(0, &["role", "sala-a/1", "prefill"]);
+    let (code, _) = fleet.run_client(0, &["role", "sala-a/1", "prefill"]);
     assert_eq!(code, 0);
     eventually("the last wish holds", async || {
         fleet.engines[0].holds().role == Role::Prefill
@@ -391,15 +419,15 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_wish_that_comes_during_a_takeover_is_not_lost() {
+async fn a_role_change_requested_during_a_takeover_is_not_lost() {
     let slow = |role| {
-        let mut setup = setup(role, false);
-        setup.speed.change_ms = 3_000;
-        setup
+        let mut engine_setup = engine_setup(role, false);
+        engine_setup.speed.change_ms = 3_000;
+        engine_setup
     };
     let fleet = Fleet::start(vec![slow(Role::Mixed), slow(Role::Mixed)], 3).await;
-    let first = steward(&fleet, 0).await;
-    let (code, _) = fleet.operate(first, &["role", "sala-a/1", "decode"]);
+    let first = find_steward(&fleet, 0).await;
+    let (code, _) = fleet.run_client(first, &["role", "sala-a/1", "decode"]);
     assert_eq!(code, 0);
     eventually("the order has struck", async || {
         fleet.engines[0].counts().changes == 1
@@ -407,14 +435,14 @@
     .await;
     fleet.daemons[first].signal("STOP");
     let other = (first + 1) % 3;
-    let (code, _) = fleet.operate(other, &["role", "sala-a/1", "prefill"]);
+    let (code, _) = fleet.run_client(other, &["role", "sala-a/1", "prefill"]);
     assert_eq!(code, 0);
     eventually("another daemon is steward", async || {
-        steward(&fleet, other).await != first
+        find_steward(&fleet, other).await != first
     })
     .await;
     eventually("the first order's outcome is known", async || {
-        let (_, text) = fleet.operate(other, &["timeline", "--engine", "sala-a/1"]);
+        let (_, text) = fleet.run_client(other, &["timeline", "--engine", "sala-a/1"]);
         text.contains("order-done")
     })
     .await;
--- a/tests/system/fleet.rs
+++ b/tests/system/fleet.rs
@@ -25,17 +25,17 @@
     service::Service,
 };
 
-pub const TOKEN: &str = "operators-token";
-pub const KEY: &str = "field-key";
+pub const OPERATOR_TOKEN: &str = "operators-token";
+pub const FIELD_KEY: &str = "field-key";
 pub const ALARM_KEY: &str = "alarm-key";
-const WAIT: Duration = Duration::from_secs(30);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A daemon in a process of its own; dropping it kills it.
 pub struct Daemon {
     pub child: Child,
-    pub callers: SocketAddr,
-    pub peers: SocketAddr,
-    pub status: SocketAddr,
+    pub caller_address: SocketAddr,
+    pub peer_address: SocketAddr,
+    pub status_address: SocketAddr,
 }
 
 impl Drop for Daemon {
@@ -62,7 +62,7 @@
     pub service: Service,
     pub daemons: Vec<Daemon>,
     /// Where the next daemon finds the platform; its own address when none.
-    pub through: Option<SocketAddr>,
+    pub platform_address_override: Option<SocketAddr>,
     /// How long daemons wait for the table.
     pub table_timeout: &'static str,
     folder: PathBuf,
@@ -74,11 +74,11 @@
     }
 }
 
-fn any() -> SocketAddr {
+fn any_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-pub fn setup(role: Role, fences: bool) -> Setup {
+pub fn engine_setup(role: Role, fences: bool) -> Setup {
     Setup {
         speed: Speed::quick(),
         fences,
@@ -92,20 +92,24 @@
 impl Fleet {
     /// Starts stand-ins with these engines, and so many daemons, all in one data centre.
     pub async fn start(engines: Vec<Setup>, daemons: usize) -> Self {
-        let platform = Platform::start(any()).await.expect("platform");
-        let service = Service::start(any()).await.expect("service");
-        let mut running = Vec::new();
-        for setup in engines {
-            running.push(Engine::start(any(), setup).await.expect("engine"));
+        let platform = Platform::start(any_port()).await.expect("platform");
+        let service = Service::start(any_port()).await.expect("service");
+        let mut started_engines = Vec::new();
+        for engine_setup in engines {
+            started_engines.push(
+                Engine::start(any_port(), engine_setup)
+                    .await
+                    .expect("engine"),
+            );
         }
         let folder = std::env::temp_dir().join(format!("wrenramp-{:016x}", rand::random::<u64>()));
         std::fs::create_dir_all(&folder).expect("folder");
         let mut fleet = Self {
             platform,
-            engines: running,
+            engines: started_engines,
             service,
             daemons: Vec::new(),
-            through: None,
+            platform_address_override: None,
             table_timeout: "500ms",
             folder,
         };
@@ -114,7 +118,7 @@
             fleet.add_daemon();
         }
         for daemon in &fleet.daemons {
-            ready(daemon).await;
+            wait_until_ready(daemon).await;
         }
         fleet
     }
@@ -128,7 +132,7 @@
             set("model/proctor", "service", "soil"),
             set("model/proctor", "version", "1"),
             set("fleet/roles", "roles", "fixed"),
-            set("group/field", "keys", &resolve::secret_digest(KEY)),
+            set("group/field", "keys", &resolve::secret_digest(FIELD_KEY)),
             set("group/alarm", "keys", &resolve::secret_digest(ALARM_KEY)),
             set("group/alarm", "priority", "9"),
             set("group/alarm", "priority_max", "9"),
@@ -151,19 +155,19 @@
             edits,
             token: 1,
         };
-        let json = |value: &dyn erased::Json| value.text();
+        let to_json = |value: &dyn json::ToJson| value.to_json();
         let mut transaction = Transaction::default()
             .write("settings/head", r#"{"version":1,"token":1}"#.to_owned())
-            .write("settings/log/000000000001", json(&change));
+            .write("settings/log/000000000001", to_json(&change));
         for node in &tree.nodes {
-            transaction = transaction.write(&format!("settings/node/{}", node.path), json(node));
+            transaction = transaction.write(&format!("settings/node/{}", node.path), to_json(node));
         }
         let _ = self.platform.commit(&transaction);
     }
 
     /// Gives the settings in the table so many groups more, as a second version. For before any daemon starts, as the
     /// change itself is not told.
-    pub fn grow(&self, groups: usize) {
+    pub fn add_groups(&self, groups: usize) {
         let mut transaction =
             Transaction::default().write("settings/head", r#"{"version":2,"token":2}"#.to_owned());
         for n in 0..groups {
@@ -175,19 +179,21 @@
                 ],
             };
             let row = format!("settings/node/{}", node.path);
-            transaction = transaction.write(&row, erased::Json::text(&node));
+            transaction = transaction.write(&row, json::ToJson::to_json(&node));
         }
         let _ = self.platform.commit(&transaction);
     }
 
     /// The settings file of a daemon.
-    fn file(&self, number: usize) -> String {
+    fn settings_file(&self, number: usize) -> String {
         let seeds: Vec<String> = self
             .daemons
             .iter()
-            .map(|daemon| format!("\"{}\"", daemon.peers))
+            .map(|daemon| format!("\"{}\"", daemon.peer_address))
             .collect();
-        let address = self.through.unwrap_or(self.platform.address());
+        let address = self
+            .platform_address_override
+            .unwrap_or(self.platform.address());
         format!(
             r#"[daemon]
 name = "entry-{number}"
@@ -214,7 +220,7 @@
 stop_lag = "300ms"
 "#,
             seeds.join(", "),
-            resolve::secret_digest(TOKEN),
+            resolve::secret_digest(OPERATOR_TOKEN),
             self.table_timeout,
         )
     }
@@ -225,7 +231,7 @@
         let path = self
             .folder
             .join(format!("{number}-{:x}.toml", rand::random::<u32>()));
-        std::fs::write(&path, self.file(number)).expect("settings file");
+        std::fs::write(&path, self.settings_file(number)).expect("settings file");
         let mut child = Command::new(env!("CARGO_BIN_EXE_wrenrampd"))
             .arg("-c")
             .arg(&path)
@@ -242,19 +248,19 @@
         let address = |at: usize| words[at].parse().expect("an address");
         self.daemons.push(Daemon {
             child,
-            callers: address(1),
-            peers: address(3),
-            status: address(5),
+            caller_address: address(1),
+            peer_address: address(3),
+            status_address: address(5),
         });
     }
 
     /// Runs the operators' client against a daemon; gives its exit code and what it printed.
-    pub fn operate(&self, daemon: usize, arguments: &[&str]) -> (i32, String) {
+    pub fn run_client(&self, daemon: usize, arguments: &[&str]) -> (i32, String) {
         let output = Command::new(env!("CARGO_BIN_EXE_wrenramp"))
             .arg("--daemon")
-            .arg(self.daemons[daemon].peers.to_string())
+            .arg(self.daemons[daemon].peer_address.to_string())
             .args(arguments)
-            .env("WRENRAMP_TOKEN", TOKEN)
+            .env("WRENRAMP_TOKEN", OPERATOR_TOKEN)
             .output()
             .expect("client runs");
         let mut text = String::from_utf8_lossy(&output.stdout).into_owned();
@@ -263,15 +269,15 @@
     }
 }
 
-mod erased {
+mod json {
     //! A value that has a JSON form.
 
-    pub trait Json {
-        fn text(&self) -> String;
+    pub trait ToJson {
+        fn to_json(&self) -> String;
     }
 
-    impl<T: serde::Serialize> Json for T {
-        fn text(&self) -> String {
+    impl<T: serde::Serialize> ToJson for T {
+        fn to_json(&self) -> String {
             serde_json::to_string(self).expect("a JSON form")
         }
     }
@@ -291,14 +297,14 @@
 
 /// A whole answer.
 #[derive(Debug)]
-pub struct Answer {
+pub struct Response {
     pub status: StatusCode,
     pub headers: HeaderMap,
     pub body: String,
 }
 
-impl Answer {
-    pub fn run(&self) -> Option<&str> {
+impl Response {
+    pub fn run_header(&self) -> Option<&str> {
         self.headers.get("x-wrenramp-run")?.to_str().ok()
     }
 }
@@ -325,17 +331,17 @@
     }
 
     /// Sends a request and reads the whole answer; none when it breaks.
-    pub async fn ask(
+    pub async fn request(
         &self,
         address: SocketAddr,
         path: &str,
         headers: &[(&str, &str)],
         body: &str,
-    ) -> Option<Answer> {
+    ) -> Option<Response> {
         let response = self.send(address, path, headers, body).await.ok()?;
         let (head, body) = response.into_parts();
         let bytes = body.collect().await.ok()?.to_bytes();
-        Some(Answer {
+        Some(Response {
             status: head.status,
             headers: head.headers,
             body: String::from_utf8_lossy(&bytes).into_owned(),
@@ -349,48 +355,49 @@
         prompt: &str,
         tokens: u64,
         stream: bool,
-    ) -> Option<Answer> {
-        let bearer = format!("Bearer {KEY}");
+    ) -> Option<Response> {
+        let bearer = format!("Bearer {FIELD_KEY}");
         let headers = [("authorization", bearer.as_str())];
-        let body = completion(prompt, tokens, stream);
-        self.ask(address, "/v1/completions", &headers, &body).await
+        let body = completion_body(prompt, tokens, stream);
+        self.request(address, "/v1/completions", &headers, &body)
+            .await
     }
 }
 
-pub fn completion(prompt: &str, tokens: u64, stream: bool) -> String {
+pub fn completion_body(prompt: &str, tokens: u64, stream: bool) -> String {
     format!(r#"{{"model":"proctor","prompt":"{prompt}","max_tokens":{tokens},"stream":{stream}}}"#)
 }
 
 /// The text of a streamed answer, and whether it ended as a whole one does.
-pub fn streamed(body: &str) -> (String, bool) {
+pub fn parse_stream(body: &str) -> (String, bool) {
     let mut text = String::new();
-    let mut whole = false;
+    let mut complete = false;
     for line in body.lines().filter_map(|line| line.strip_prefix("data: ")) {
         if line == "[DONE]" {
-            whole = true;
+            complete = true;
         } else if let Ok(event) = serde_json::from_str::<serde_json::Value>(line) {
             text.push_str(event["choices"][0]["text"].as_str().unwrap_or_default());
         }
     }
-    (text, whole)
+    (text, complete)
 }
 
 /// Waits until a daemon is ready.
-pub async fn ready(daemon: &Daemon) {
+pub async fn wait_until_ready(daemon: &Daemon) {
     let caller = Caller::new();
     eventually("a daemon is ready", async || {
-        let request = Request::get(format!("http://{}/readyz", daemon.status))
+        let request = Request::get(format!("http://{}/readyz", daemon.status_address))
             .body(Full::default())
             .expect("request");
-        let answer = caller.0.request(request).await;
-        answer.is_ok_and(|answer| answer.status() == StatusCode::OK)
+        let response = caller.0.request(request).await;
+        response.is_ok_and(|response| response.status() == StatusCode::OK)
     })
     .await;
 }
 
 /// Waits until something holds; the bound only ends a test that would never end.
 pub async fn eventually(what: &str, mut holds: impl AsyncFnMut() -> bool) {
-    let until = Instant::now() + WAIT;
+    let until = Instant::now() + WAIT_TIMEOUT;
     while !holds().await {
         assert!(Instant::now() < until, "never: {what}");
         tokio::time::sleep(Duration::from_millis(20)).await;
--- a/tests/system/main.rs
+++ b/tests/system/main.rs
@@ -1,9 +1,9 @@
 //! Daemons as real processes against stand-ins: the whole path, and failures on the way.
 
-mod callers;
+mod at_most_once;
+mod bad_input;
 mod decisions;
+mod end_to_end;
 mod failure;
 mod fleet;
-mod once;
-mod path;
 mod settings;
--- a/tests/system/settings.rs
+++ b/tests/system/settings.rs
@@ -2,63 +2,63 @@
 
 use standin::{link::Link, platform::Faults};
 
-use crate::fleet::{Caller, Fleet, eventually, ready, setup, streamed};
+use crate::fleet::{Caller, Fleet, engine_setup, eventually, parse_stream, wait_until_ready};
 use protocol::order::Role;
 
-fn version(fleet: &Fleet, daemon: usize) -> u64 {
-    let (_, text) = fleet.operate(daemon, &["--json", "status"]);
+fn settings_version(fleet: &Fleet, daemon: usize) -> u64 {
+    let (_, text) = fleet.run_client(daemon, &["--json", "status"]);
     let status: serde_json::Value = serde_json::from_str(&text).unwrap_or_default();
     status["settings_version"].as_u64().unwrap_or(0)
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn of_racing_operators_one_wins_and_the_others_are_told() {
+async fn one_of_several_conflicting_changes_is_accepted_and_shown_to_the_others() {
     let fleet = Fleet::start(Vec::new(), 3).await;
     let outcomes: Vec<(i32, String)> = std::thread::scope(|scope| {
-        let tries: Vec<_> = (0..6)
+        let clients: Vec<_> = (0..6)
             .map(|nth| {
                 let fleet = &fleet;
                 scope.spawn(move || {
                     let share = format!("share={}", nth + 10);
-                    fleet.operate(nth % 3, &["set", "--base", "1", "group/field", &share])
+                    fleet.run_client(nth % 3, &["set", "--base", "1", "group/field", &share])
                 })
             })
             .collect();
-        tries
+        clients
             .into_iter()
-            .map(|one| one.join().expect("ran"))
+            .map(|client| client.join().expect("ran"))
             .collect()
     });
     let winners = outcomes.iter().filter(|(code, _)| *code == 0).count();
     assert_eq!(winners, 1, "{outcomes:?}");
-    let (_, share) = fleet.operate(0, &["get", "group/field", "share"]);
+    let (_, share) = fleet.run_client(0, &["get", "group/field", "share"]);
     for (code, text) in &outcomes {
         if *code != 0 {
-            let told = format!("group/field share={}", share.trim());
-            assert!(text.contains(&told), "{text} should tell {told}");
+            let current = format!("group/field share={}", share.trim());
+            assert!(text.contains(&current), "{text} should tell {current}");
         }
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn changes_without_a_base_all_hold() {
+async fn changes_without_a_base_version_all_take_effect() {
     let fleet = Fleet::start(Vec::new(), 3).await;
     std::thread::scope(|scope| {
         for nth in 0..6 {
             let fleet = &fleet;
             scope.spawn(move || {
                 let group = format!("g{nth}");
-                let (code, text) = fleet.operate(nth % 3, &["group", "add", &group]);
+                let (code, text) = fleet.run_client(nth % 3, &["group", "add", &group]);
                 assert_eq!(code, 0, "{text}");
             });
         }
     });
     for daemon in 0..3 {
         eventually("all six are in force", async || {
-            version(&fleet, daemon) == 7
+            settings_version(&fleet, daemon) == 7
         })
         .await;
-        let (_, tree) = fleet.operate(daemon, &["tree"]);
+        let (_, tree) = fleet.run_client(daemon, &["tree"]);
         for nth in 0..6 {
             assert!(tree.contains(&format!("group/g{nth}")));
         }
@@ -66,47 +66,52 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_lost_commit_answer_is_found_out() {
+async fn the_outcome_of_a_commit_whose_response_was_lost_is_determined() {
     let fleet = Fleet::start(Vec::new(), 2).await;
     fleet.platform.fail(Faults::LostAnswers);
-    let (code, text) = fleet.operate(0, &["set", "group/field", "share=5"]);
+    let (code, text) = fleet.run_client(0, &["set", "group/field", "share=5"]);
     assert_eq!(code, 0, "{text}");
     fleet.platform.fail(Faults::LostWrites);
-    let (code, text) = fleet.operate(0, &["set", "group/field", "share=6"]);
+    let (code, text) = fleet.run_client(0, &["set", "group/field", "share=6"]);
     assert_eq!(code, 3, "{text}");
     fleet.platform.fail(Faults::None);
     eventually("the accepted one is in force", async || {
-        version(&fleet, 1) == 2
+        settings_version(&fleet, 1) == 2
     })
     .await;
-    let (_, share) = fleet.operate(1, &["get", "group/field", "share"]);
+    let (_, share) = fleet.run_client(1, &["get", "group/field", "share"]);
     assert_eq!(share.trim(), "5");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_daemon_that_starts_in_an_outage_takes_the_newest_version_of_its_peers() {
-    let mut fleet = Fleet::start(vec![setup(Role::Mixed, false)], 2).await;
-    let (code, text) = fleet.operate(0, &["set", "--wait", "group/field", "share=4"]);
+async fn a_daemon_started_during_a_table_outage_gets_the_newest_settings_from_its_peers() {
+    let mut fleet = Fleet::start(vec![engine_setup(Role::Mixed, false)], 2).await;
+    let (code, text) = fleet.run_client(0, &["set", "--wait", "group/field", "share=4"]);
     assert_eq!(code, 0, "{text}");
     fleet.platform.fail(Faults::Down);
     fleet.add_daemon();
-    ready(&fleet.daemons[2]).await;
-    assert_eq!(version(&fleet, 2), 2);
+    wait_until_ready(&fleet.daemons[2]).await;
+    assert_eq!(settings_version(&fleet, 2), 2);
     let caller = Caller::new();
     for daemon in &fleet.daemons {
-        let answer = caller.complete(daemon.callers, "outage", 5, true).await;
-        assert!(streamed(&answer.expect("an answer").body).1);
+        let response = caller
+            .complete(daemon.caller_address, "outage", 5, true)
+            .await;
+        assert!(parse_stream(&response.expect("a response").body).1);
     }
-    let (code, text) = fleet.operate(2, &["set", "group/field", "share=5"]);
+    let (code, text) = fleet.run_client(2, &["set", "group/field", "share=5"]);
     assert_eq!(code, 1, "{text}");
     assert!(text.contains("nothing was changed"), "{text}");
     fleet.platform.fail(Faults::None);
     eventually("changes are taken again", async || {
-        fleet.operate(2, &["set", "group/field", "share=6"]).0 == 0
+        fleet.run_client(2, &["set", "group/field", "share=6"]).0 == 0
     })
     .await;
     for daemon in 0..3 {
-        eventually("it is in force", async || version(&fleet, daemon) == 3).await;
+        eventually("it is in force", async || {
+            settings_version(&fleet, daemon) == 3
+        })
+        .await;
     }
 }
 
@@ -114,17 +119,17 @@
 const GROUPS: usize = 45_000;
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_daemon_that_starts_in_an_outage_takes_a_great_many_groups_of_its_peers() {
+async fn a_daemon_started_during_a_table_outage_gets_45_000_groups_from_its_peers() {
     let mut fleet = Fleet::start(Vec::new(), 0).await;
     // a debug build's stand-in takes longer to write so many rows than others grant it
     fleet.table_timeout = "10s";
-    fleet.grow(GROUPS);
+    fleet.add_groups(GROUPS);
     fleet.add_daemon();
-    ready(&fleet.daemons[0]).await;
+    wait_until_ready(&fleet.daemons[0]).await;
     fleet.platform.fail(Faults::Down);
     fleet.add_daemon();
-    ready(&fleet.daemons[1]).await;
-    assert_eq!(version(&fleet, 1), 2);
+    wait_until_ready(&fleet.daemons[1]).await;
+    assert_eq!(settings_version(&fleet, 1), 2);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -133,42 +138,45 @@
     fleet.platform.fail(Faults::Down);
     fleet.add_daemon();
     let caller = Caller::new();
-    let answer = caller
-        .complete(fleet.daemons[0].callers, "who", 5, true)
+    let response = caller
+        .complete(fleet.daemons[0].caller_address, "who", 5, true)
         .await;
-    let answer = answer.expect("an answer");
-    assert_eq!(answer.run(), Some("not-run"));
+    let response = response.expect("a response");
+    assert_eq!(response.run_header(), Some("not-run"));
     fleet.platform.fail(Faults::None);
-    ready(&fleet.daemons[0]).await;
+    wait_until_ready(&fleet.daemons[0]).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_daemon_cut_from_the_table_hears_changes_from_its_peers_and_heals() {
-    let mut fleet = Fleet::start(vec![setup(Role::Mixed, false)], 1).await;
+async fn a_daemon_cut_off_from_the_table_gets_changes_from_its_peers_and_recovers() {
+    let mut fleet = Fleet::start(vec![engine_setup(Role::Mixed, false)], 1).await;
     let link = Link::start(fleet.platform.address()).await.expect("link");
-    fleet.through = Some(link.address());
+    fleet.platform_address_override = Some(link.address());
     fleet.add_daemon();
-    ready(&fleet.daemons[1]).await;
+    wait_until_ready(&fleet.daemons[1]).await;
     link.cut(true);
     eventually("the cut one knows", async || {
-        let (_, text) = fleet.operate(1, &["status"]);
+        let (_, text) = fleet.run_client(1, &["status"]);
         text.contains("does not answer")
     })
     .await;
-    let (code, text) = fleet.operate(0, &["set", "--wait", "group/field", "share=9"]);
+    let (code, text) = fleet.run_client(0, &["set", "--wait", "group/field", "share=9"]);
     assert_eq!(code, 0, "{text}");
-    let (_, share) = fleet.operate(1, &["get", "group/field", "share"]);
+    let (_, share) = fleet.run_client(1, &["get", "group/field", "share"]);
     assert_eq!(share.trim(), "9");
-    let answer = Caller::new()
-        .complete(fleet.daemons[1].callers, "cut off", 5, true)
+    let response = Caller::new()
+        .complete(fleet.daemons[1].caller_address, "cut off", 5, true)
         .await;
-    assert!(streamed(&answer.expect("an answer").body).1);
-    let (code, _) = fleet.operate(1, &["set", "group/field", "share=2"]);
+    assert!(parse_stream(&response.expect("a response").body).1);
+    let (code, _) = fleet.run_client(1, &["set", "group/field", "share=2"]);
     assert_eq!(code, 1, "without the table nothing is accepted");
     link.cut(false);
     eventually("changes are taken here again", async || {
-        fleet.operate(1, &["set", "group/field", "share=10"]).0 == 0
+        fleet.run_client(1, &["set", "group/field", "share=10"]).0 == 0
+    })
+    .await;
+    eventually("and hold everywhere", async || {
+        settings_version(&fleet, 0) == 3
     })
     .await;
-    eventually("and hold everywhere", async || version(&fleet, 0) == 3).await;
 }
