--- a/benches/daemon.rs
+++ b/benches/daemon.rs
@@ -1,5 +1,5 @@
-//! What a daemon adds: time to a request's first byte, and processor time a streamed chunk, against
-//! calling the stand-in directly in the same run.
+//! Overhead of a daemon compared with calling the stand-in engine directly in the same run: the latency of one-token
+//! requests, and the CPU time per streamed chunk.
 
 use std::{
     net::SocketAddr,
@@ -53,11 +53,11 @@
             set("endpoint/sala-a/1", "service", "soil"),
             set("endpoint/sala-a/1", "address", &engine.to_string()),
         ])
-        .expect("fixed settings are fine");
+        .expect("valid settings");
     let mut transaction =
         Transaction::default().write("settings/head", r#"{"version":1,"token":1}"#.to_owned());
     for node in &tree.nodes {
-        let text = serde_json::to_string(node).expect("a JSON form");
+        let text = serde_json::to_string(node).expect("serializable to JSON");
         transaction = transaction.write(&format!("settings/node/{}", node.path), text);
     }
     let _ = platform.commit(&transaction);
@@ -70,7 +70,7 @@
          [platform]\ntable = \"{platform}\"\nvms = \"{platform}\"\n",
         resolve::secret_digest("token")
     );
-    Settings::parse(&text, "bench").expect("fixed settings are fine")
+    Settings::parse(&text, "bench").expect("valid settings")
 }
 
 fn request(address: SocketAddr, direct: bool, tokens: u64) -> Request<Full<Bytes>> {
@@ -91,7 +91,7 @@
     Request::post(format!("http://{address}{path}"))
         .header("authorization", "Bearer key")
         .body(Full::from(body))
-        .expect("a fixed request is well formed")
+        .expect("a well-formed request")
 }
 
 async fn time_request(
@@ -102,16 +102,16 @@
 ) -> Duration {
     let started = Instant::now();
     let response = http.request(request(address, direct, tokens)).await;
-    let mut body = response.expect("answered").into_body();
+    let mut body = response.expect("a response").into_body();
     while let Some(frame) = body.frame().await {
-        frame.expect("whole");
+        frame.expect("an unbroken body");
     }
     started.elapsed()
 }
 
-/// Processor time of this process, in microseconds.
+/// Returns the CPU time of this process in microseconds.
 fn cpu_time_us() -> u64 {
-    let stat = std::fs::read_to_string("/proc/self/stat").expect("a process has its figures");
+    let stat = std::fs::read_to_string("/proc/self/stat").expect("could not read /proc/self/stat");
     let fields: Vec<&str> = stat
         .rsplit(") ")
         .next()
@@ -119,7 +119,7 @@
         .split(' ')
         .collect();
     // user and system time, in ticks of 10 ms
-    let ticks = |at: usize| fields[at].parse::<u64>().expect("a count");
+    let ticks = |index: usize| fields[index].parse::<u64>().expect("a number");
     (ticks(11) + ticks(12)) * 10_000
 }
 
@@ -144,16 +144,19 @@
     tokio::time::sleep(Duration::from_secs(2)).await;
     let http = Client::builder(TokioExecutor::new()).build_http();
     let (direct, via_daemon) = (engine.address(), daemon.addresses().callers);
-    // in turn, so that a drift of the machine's speed hits both
-    let mut latencies = [Histogram::<u64>::new(3), Histogram::new(3)].map(|h| h.expect("fine"));
+    // alternating, so that a drift of the machine's speed affects both equally
+    let mut latencies =
+        [Histogram::<u64>::new(3), Histogram::new(3)].map(|h| h.expect("valid precision"));
     for _ in 0..ROUNDS {
-        for (at, (address, is_direct)) in [(direct, true), (via_daemon, false)]
+        for (index, (address, is_direct)) in [(direct, true), (via_daemon, false)]
             .into_iter()
             .enumerate()
         {
             let latency = time_request(&http, address, is_direct, 1).await;
             let us = u64::try_from(latency.as_micros()).expect("short");
-            latencies[at].record(us).expect("it grows by itself");
+            latencies[index]
+                .record(us)
+                .expect("the histogram resizes itself");
         }
     }
     for (name, latencies) in ["direct", "through a daemon"].iter().zip(&latencies) {
--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -1,4 +1,4 @@
-//! What one decision costs: routing at 12 and 64 engines, admission among 45,000 groups.
+//! The cost of one decision: routing among 12 to 256 engines, admission among 1,000 to 45,000 groups.
 
 use std::hint::black_box;
 
@@ -48,7 +48,7 @@
             })
             .collect();
         let mut queue = Queue::new(&groups);
-        // as many wait as a daemon lets wait, over as many groups
+        // a queue as long as a daemon allows, with its requests spread over as many groups
         for id in 0..2_048_u64 {
             queue.push(
                 100 + usize::try_from(id).expect("small") % (count - 100),
--- a/tests/outcomes.rs
+++ b/tests/outcomes.rs
@@ -1,4 +1,4 @@
-//! The account of placements: what stood before a prompt, and why shared parts were read.
+//! The placement reports of the `outcomes` example: what delayed a prompt, and why shared prompt parts were prefilled.
 
 #[path = "../examples/outcomes_parts/mod.rs"]
 mod outcomes_parts;
@@ -22,14 +22,14 @@
 
 fn print_to_string(print: impl Fn(&mut Vec<u8>) -> std::io::Result<()>) -> String {
     let mut text = Vec::new();
-    print(&mut text).expect("written");
-    String::from_utf8(text).expect("text")
+    print(&mut text).expect("written to memory");
+    String::from_utf8(text).expect("UTF-8")
 }
 
 #[test]
 fn slow_prefills_are_attributed_to_placements_of_all_gateways() {
     let mut lines = Lines::default();
-    // one that gives way and whose end nobody saw, then one behind it
+    // a deferred prompt whose end was not logged, then one behind it
     let deferred = Read {
         late: true,
         ..prefill("g1", 0, None, 9_000)
@@ -37,12 +37,12 @@
     lines.place("r1", "e1", deferred);
     lines.place("r2", "e1", prefill("g2", 1_000, None, 1_000));
     lines.read("r2", 1_400);
-    // two gateways at the same engine ten milliseconds apart, of which the first is read as expected
+    // placements by two gateways on one engine, 10 ms apart; the first is prefilled in the expected time
     lines.place("r3", "e2", prefill("g1", 0, None, 1_000));
     lines.read("r3", 20);
     lines.place("r4", "e2", prefill("g2", 10, None, 1_000));
     lines.read("r4", 110);
-    // two of one gateway, the first long under way and not believed to be
+    // two placements by one gateway; the first is still in flight, and the gateway does not count it
     let slow = Read {
         expected_us: 250_000,
         ..prefill("g1", 0, None, 5_000)
@@ -76,7 +76,7 @@
 fn prefilled_shared_parts_are_counted_by_cause() {
     let mut parts = Parts::default();
     parts.place("g1", 1_000, "a:2000 x:10", 0);
-    // read at this moment, then known, then unknown to a gateway that has started since
+    // being prefilled, then cached, then unknown to a gateway that has restarted since
     parts.place("g1", 1_100, "a:2000 y:10", 0);
     parts.place("g1", 2_000, "a:2000 z:10", 2_000);
     parts.start("g2", 3_000);
@@ -88,6 +88,6 @@
         .skip(1)
         .filter_map(|row| row.split_whitespace().last())
         .collect();
-    // held; for the first time, after a start, while it was being read, and for no reason seen here
+    // cached; prefilled for the first time, after a restart, while being prefilled elsewhere, and for an unknown reason
     assert_eq!(tokens, ["2000"; 5]);
 }
--- a/tests/process.rs
+++ b/tests/process.rs
@@ -1,4 +1,4 @@
-//! The gateway as a real process: what its log says of requests whose connections end.
+//! The gateway as a separate process: what it logs about requests whose connections end, and at shutdown.
 
 use std::{
     io::Read,
@@ -20,10 +20,10 @@
 use serde_json::Value;
 use tokio::time::Instant;
 
-/// The longest that anything is waited for.
+/// The timeout of every wait.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A gateway's process before a store and one engine.
+/// A gateway process in front of a stand-in store and one stand-in engine.
 struct Gateway {
     child: Child,
     settings: PathBuf,
@@ -34,10 +34,10 @@
     _store: Arc<Store>,
 }
 
-/// A port that is free now.
+/// Returns an address with a port that is currently free.
 fn free_address() -> SocketAddr {
-    let listener = std::net::TcpListener::bind(any_port()).expect("a port");
-    listener.local_addr().expect("its address")
+    let listener = std::net::TcpListener::bind(any_port()).expect("a free port");
+    listener.local_addr().expect("local address")
 }
 
 impl Gateway {
@@ -76,7 +76,10 @@
         };
         let deadline = Instant::now() + WAIT_TIMEOUT;
         while !gateway.is_ready().await {
-            assert!(Instant::now() < deadline, "the gateway becomes ready");
+            assert!(
+                Instant::now() < deadline,
+                "the gateway did not become ready"
+            );
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
         gateway
@@ -89,24 +92,24 @@
             == 200
     }
 
-    /// Waits until an endpoint has got a request.
+    /// Waits until the endpoint has received the request.
     async fn wait_for_request(&self, id: &str) {
         let arrived = |seen: &[platform_standin::ledger::Arrival]| seen.iter().any(|s| s.id == id);
         assert!(
             self.ledger.wait_until(WAIT_TIMEOUT, arrived).await,
-            "{id} arrives"
+            "the endpoint did not receive {id}"
         );
     }
 
-    /// Stops it as operators do, and gives all that it logged.
+    /// Shuts the gateway down with SIGTERM and returns its whole log.
     fn stop_and_read_log(mut self) -> Vec<Value> {
         let id = self.child.id().to_string();
         let signalled = Command::new("kill").args(["-s", "TERM", &id]).status();
         assert!(signalled.is_ok_and(|status| status.success()));
         let mut text = String::new();
-        let mut output = self.child.stdout.take().expect("it is read here");
-        output.read_to_string(&mut text).expect("text");
-        self.child.wait().expect("it ends");
+        let mut output = self.child.stdout.take().expect("standard output is piped");
+        output.read_to_string(&mut text).expect("a log in UTF-8");
+        self.child.wait().expect("the gateway exits");
         let lines = text.lines().map(serde_json::from_str);
         lines.collect::<Result<_, _>>().expect("lines of JSON")
     }
@@ -114,7 +117,7 @@
 
 impl Drop for Gateway {
     fn drop(&mut self) {
-        // it has ended in most cases
+        // the process has usually exited already
         let _ = self.child.kill();
         let _ = self.child.wait();
         let _ = std::fs::remove_file(&self.settings);
@@ -132,7 +135,7 @@
     let gateway = Gateway::start("last-line", 3).await;
     let lines = tokio::task::spawn_blocking(|| gateway.stop_and_read_log()).await;
     let lines = lines.expect("stopped");
-    let last = lines.last().expect("lines");
+    let last = lines.last().expect("a log line");
     assert_eq!(last["message"], "planned stop ends", "{last}");
 }
 
@@ -146,7 +149,7 @@
     tokio::time::sleep(Duration::from_millis(500)).await;
     let lines = tokio::task::spawn_blocking(|| gateway.stop_and_read_log()).await;
     let lines = lines.expect("stopped");
-    let line = find_line(&lines, CONNECTION_ENDED).expect("a line of its end");
+    let line = find_line(&lines, CONNECTION_ENDED).expect("a log line for the connection");
     assert_eq!(line["request"], "r1");
     assert_eq!(line["endpoint"], "d1");
     assert_eq!(line["reason"], "the caller closed it");
@@ -155,7 +158,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_request_aborted_by_a_graceful_shutdown_is_logged_with_request_and_endpoint() {
     let gateway = Gateway::start("process-ends", 3).await;
-    // the answer's head has come, and nothing more will
+    // the engine sends the response headers and no events
     gateway.engine.fail(Faults::Stalls);
     let request = RequestSpec {
         deadline: WAIT_TIMEOUT,
@@ -166,8 +169,8 @@
     gateway.wait_for_request("r1").await;
     let lines = tokio::task::spawn_blocking(|| gateway.stop_and_read_log()).await;
     let lines = lines.expect("stopped");
-    assert!(!response.await.expect("asked").complete);
-    let line = find_line(&lines, CONNECTION_ENDED).expect("a line of its end");
+    assert!(!response.await.expect("the caller task").complete);
+    let line = find_line(&lines, CONNECTION_ENDED).expect("a log line for the connection");
     assert_eq!(line["request"], "r1");
     assert_eq!(line["endpoint"], "d1");
     assert_eq!(line["reason"], "the process ended");
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -1,4 +1,4 @@
-//! A short run of the soak: a few seeds, and each seed that ever broke a promise.
+//! A short run of the soak test: a few seeds, and every seed that once violated a guarantee.
 
 use std::{
     fs::File,
@@ -11,26 +11,26 @@
 use futures::{StreamExt, stream};
 use soak::{Addresses, Options, run_seed};
 
-/// Seeds that are played at a time: each has three daemons and ends with a planned stop's wait.
+/// The number of seeds run concurrently. Each runs three daemons and ends by waiting for a graceful shutdown.
 const MAX_CONCURRENT_SEEDS: usize = 3;
 
-/// Seeds of the short run: one in three has planned work only.
+/// The seeds of the short run; one in three has planned operations only.
 const SEEDS: [u64; 3] = [3, 7, 11];
-/// Seeds that once broke a promise, with a line on the cause each.
+/// Seeds that once violated a guarantee, each group with its cause.
 const REGRESSION_SEEDS: [&[u64]; 7] = [
-    // a silent stand-in of an engine counted a prompt that was only to be read as run
+    // an unresponsive stand-in engine counted a prefill-only prompt as executed
     &[104, 115, 130, 148],
-    // a restarted gateway took its part of the slack for repeats anew
+    // a restarted gateway claimed its share of the retry slack again
     &[1, 7, 8],
-    // callers waited for a step of a gateway's process, and all stand-ins with them
+    // an operation on a gateway's process blocked the callers and all stand-ins
     &[4038, 4041],
-    // the check did not grant a version on its way over a slow link its time when the next one was written
+    // once the next version was written, the check no longer allowed for the previous one's transfer over a slow link
     &[7002],
-    // readers on slow links read each version that they had missed, and missed more meanwhile
+    // readers on slow links fetched every version that they had missed, and missed more meanwhile
     &[8040],
-    // a gateway that started again did not count what the one before it had repeated
+    // a restarted gateway did not count the retries of its previous process
     &[11006, 12002, 12008, 12014],
-    // requests that end endpoints were passed on by all gateways
+    // every gateway retried requests that crash endpoints
     &[19],
 ];
 
@@ -58,30 +58,31 @@
     .map(|seed| run_seed(seed, &options))
     .buffer_unordered(MAX_CONCURRENT_SEEDS);
     while let Some(report) = reports.next().await {
-        let report = report.expect("the fleet is set up");
+        let report = report.expect("could not set up the fleet");
         assert!(report.violations.is_empty(), "{report:#?}");
         assert!(report.served > 0, "{report:#?}");
     }
 }
 
-/// A seed in which a gateway's process is stopped and started again within two seconds.
+/// A seed in which a gateway's process is stopped and restarted within two seconds.
 const RESTART_SEED: u64 = 3;
-/// How long no process can be started in that run: well over what counts as standing still.
+/// How long a restart is blocked in that run: well above the delay that is logged as blocked stand-ins.
 const START_DELAY: Duration = Duration::from_secs(10);
 
-/// Puts pipes where logs of second starts go: a start that opens one waits until somebody reads from it.
+/// Creates named pipes in place of the log files of each gateway's first restart. Opening a pipe for writing blocks the
+/// restart until the pipe is opened for reading.
 fn delay_restarts(folder: &Path, gateways: usize) {
     for gateway in 0..gateways {
         let pipe = folder.join(format!("g{gateway}-1.log"));
         let created = Command::new("mkfifo").arg(&pipe).status();
         assert!(
             created.is_ok_and(|created| created.success()),
-            "a pipe is made"
+            "could not create a named pipe"
         );
         std::thread::spawn(move || {
             std::thread::sleep(START_DELAY);
-            let mut pipe = File::open(pipe).expect("the pipe is there");
-            // what is logged is of no use here; its end is the process's
+            let mut pipe = File::open(pipe).expect("could not open the named pipe");
+            // the log is discarded; reading ends when the process exits
             let _ = pipe.read_to_end(&mut Vec::new());
         });
     }
@@ -90,7 +91,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_slow_process_start_does_not_block_the_stand_ins() {
     let folder = std::env::temp_dir().join(format!("slow-start-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder");
+    std::fs::create_dir_all(&folder).expect("could not create the log folder");
     let options = Options {
         daemon: PathBuf::from(env!("CARGO_BIN_EXE_wrenrampd")),
         gateways: 3,
@@ -100,14 +101,14 @@
     delay_restarts(&folder, options.gateways);
     let report = run_seed(RESTART_SEED, &options)
         .await
-        .expect("the fleet is set up");
+        .expect("could not set up the fleet");
     let logged = |text: &str| {
         report
             .timeline
             .iter()
             .any(|entry| entry.description.contains(text))
     };
-    std::fs::remove_dir_all(&folder).expect("the folder is there");
+    std::fs::remove_dir_all(&folder).expect("could not remove the log folder");
     assert!(logged("the start of a process took"), "{report:#?}");
     assert!(!logged("stood still"), "{report:#?}");
 }
--- a/tests/system/at_most_once.rs
+++ b/tests/system/at_most_once.rs
@@ -1,4 +1,4 @@
-//! Requests that may not be repeated: at most one run, and a truthful word, whatever fails.
+//! Requests that may not be retried run at most once under any failure, and the reported outcome is correct.
 
 use std::time::Duration;
 
@@ -23,7 +23,8 @@
         .await
 }
 
-/// The word of an answer must be true: `not-run` only if it did not run.
+/// Checks that a request ran at most once and that the reported outcome is correct: `not-run` only if it did not run,
+/// success only if it did.
 fn check_outcome(fleet: &Fleet, response: Option<&Response>, body: &str) {
     let runs = fleet.service.runs(body);
     assert!(runs <= 1, "{body} ran {runs} times");
@@ -50,8 +51,8 @@
         for key in [None, Some(format!("key {nth}"))] {
             let body = format!("{fault:?} {key:?}");
             fleet.service.fail(fault);
-            // a daemon that lost an answer leaves the endpoint alone for a moment
-            eventually("the endpoint takes requests", async || {
+            // after a lost response the daemon sends the endpoint no requests for a short time
+            eventually("the endpoint is open", async || {
                 let (_, text) = fleet.run_client(0, &["status"]);
                 text.contains("readings mixed open")
             })
@@ -88,15 +89,18 @@
             let response = send_reading(&caller, &fleet, daemon, Some(&key), &body).await;
             check_outcome(&fleet, response.as_ref(), &body);
             let refused = response.as_ref().and_then(Response::run_header);
-            assert_ne!(refused, Some("not-run"), "an earlier try may have run");
+            assert_ne!(refused, Some("not-run"), "an earlier attempt may have run");
         }
         fleet.platform.fail(TableFault::None);
-        eventually("the key runs, or is known never to", async || {
-            let response = send_reading(&caller, &fleet, 0, Some(&key), &body).await;
-            check_outcome(&fleet, response.as_ref(), &body);
-            let response = response.expect("a response");
-            response.status == StatusCode::OK || response.body.contains("outcome_unknown")
-        })
+        eventually(
+            "the request succeeds, or its outcome is reported as unknown",
+            async || {
+                let response = send_reading(&caller, &fleet, 0, Some(&key), &body).await;
+                check_outcome(&fleet, response.as_ref(), &body);
+                let response = response.expect("a response");
+                response.status == StatusCode::OK || response.body.contains("outcome_unknown")
+            },
+        )
         .await;
     }
 }
@@ -154,14 +158,17 @@
     })
     .await;
     fleet.daemons[0].child.kill().expect("killed");
-    assert!(interrupted.await.expect("no panic").is_none());
+    assert!(interrupted.await.expect("the caller task").is_none());
     fleet.service.fail(Faults::None);
-    eventually("the claimant is known to be gone", async || {
-        let response = send_reading(&caller, &fleet, 1, Some("k"), "killed").await;
-        let response = response.expect("a response");
-        assert_eq!(response.run_header(), Some("unknown"));
-        response.body.contains("outcome_unknown")
-    })
+    eventually(
+        "the daemon with the claim is known to be gone",
+        async || {
+            let response = send_reading(&caller, &fleet, 1, Some("k"), "killed").await;
+            let response = response.expect("a response");
+            assert_eq!(response.run_header(), Some("unknown"));
+            response.body.contains("outcome_unknown")
+        },
+    )
     .await;
     assert!(fleet.service.runs("killed") <= 1);
 }
--- a/tests/system/bad_input.rs
+++ b/tests/system/bad_input.rs
@@ -1,4 +1,4 @@
-//! Bad input of callers: one row a case, each with its clear, truthful answer.
+//! Bad input from callers: every case has a specific error response, and no endpoint executes the request.
 
 use std::time::Duration;
 
@@ -99,18 +99,19 @@
     let address = fleet.daemons[0].caller_address;
     let bearer = format!("Bearer {FIELD_KEY}");
     for bad_input in bad_inputs() {
-        // a connection of its own, since a refused body may end it
+        // a new connection each, as refusing a body may close it
         let caller = Caller::new();
         let headers = [("authorization", bearer.as_str()), bad_input.header];
         let response = caller
             .request(address, bad_input.path, &headers, &bad_input.body)
             .await;
         let Some(response) = response else {
-            // the daemon may close before a body that is too large has left
+            // the daemon may close the connection before the whole oversized body is sent
             assert_eq!(bad_input.status, 413, "{}", bad_input.description);
             continue;
         };
-        let parsed: serde_json::Value = serde_json::from_str(&response.body).expect("a typed body");
+        let parsed: serde_json::Value =
+            serde_json::from_str(&response.body).expect("a JSON error body");
         assert_eq!(
             response.status.as_u16(),
             bad_input.status,
@@ -153,7 +154,7 @@
     ];
     for case in cases {
         let mut stream = TcpStream::connect(address).await.expect("connected");
-        // the daemon may close before all of it has left
+        // the daemon may close the connection before everything is sent
         let _ = stream.write_all(case).await;
         let _ = stream.shutdown().await;
         let mut response = Vec::new();
--- a/tests/system/decisions.rs
+++ b/tests/system/decisions.rs
@@ -1,4 +1,4 @@
-//! The decisions as real daemons make them: a change of role, a refusal for want of time, shares.
+//! Policy decisions made by running daemons: role changes, refusals for missed deadlines, and fair shares.
 
 use std::sync::{
     Arc,
@@ -29,7 +29,7 @@
             let stop = Arc::clone(&stop);
             tokio::spawn(async move {
                 let caller = Caller::new();
-                // half a second of reading for the quick engine, and hardly any writing
+                // half a second of prefill on the fast stand-in engine, and almost no decode
                 let prompt = format!("{nth} {}", "dossier ".repeat(120_000));
                 while !stop.load(Ordering::Relaxed) {
                     let response = caller.complete(address, &prompt, 2, true).await;
@@ -44,7 +44,7 @@
             })
         })
         .collect();
-    eventually("a writer becomes a reader", async || {
+    eventually("a decode engine becomes a prefill engine", async || {
         let prefill_engines = fleet
             .engines
             .iter()
@@ -54,7 +54,7 @@
     .await;
     stop.store(true, Ordering::Relaxed);
     for caller in callers {
-        caller.await.expect("no answer was cut");
+        caller.await.expect("an answer was cut off");
     }
     assert!(fleet.engines.iter().all(|engine| engine.counts().cut == 0));
 }
@@ -95,7 +95,7 @@
         ..Setup::default()
     };
     let fleet = Fleet::start(vec![slow], 1).await;
-    // both below the priority that passes the queue
+    // both below the priority that bypasses the queue
     for change in [
         ["set", "--wait", "group/alarm", "priority=4", "share=1"],
         ["set", "--wait", "group/field", "priority=4", "share=3"],
@@ -126,13 +126,13 @@
             })
         })
         .collect();
-    // the first ones were served before there was a queue
+    // the first requests are served before a queue has formed
     eventually("the queue has formed", async || {
         completed[0].load(Ordering::Relaxed) > 100
     })
     .await;
     let before = [0, 1].map(|group: usize| completed[group].load(Ordering::Relaxed));
-    eventually("enough were served", async || {
+    eventually("600 more requests are served", async || {
         completed[0].load(Ordering::Relaxed) + completed[1].load(Ordering::Relaxed)
             > before[0] + before[1] + 600
     })
@@ -140,7 +140,7 @@
     let served =
         [0, 1].map(|group: usize| completed[group].load(Ordering::Relaxed) - before[group]);
     callers.iter().for_each(tokio::task::JoinHandle::abort);
-    // three to one, give or take what was in flight at either end
+    // three to one, within the tolerance for requests in flight at the start and end of the measurement
     assert!(
         served[0] > 2 * served[1] && served[0] < 5 * served[1],
         "{served:?}"
--- a/tests/system/end_to_end.rs
+++ b/tests/system/end_to_end.rs
@@ -1,4 +1,4 @@
-//! The whole path: a caller's request, a settings change, and an operator's command.
+//! End to end without failures: callers' requests, settings changes and operators' commands.
 
 use hyper::StatusCode;
 use protocol::order::Role;
@@ -38,8 +38,8 @@
     let fleet = Fleet::start(engines, 1).await;
     let caller = Caller::new();
     let address = fleet.daemons[0].caller_address;
-    // until the first reports have come, the daemon takes both engines for mixed ones
-    eventually("both engines have a part", async || {
+    // until the first reports arrive, the daemon treats both engines as mixed
+    eventually("both engines take part", async || {
         let response = caller.complete(address, "split", 9, true).await;
         let (text, complete) = parse_stream(&response.expect("a response").body);
         assert!(complete);
@@ -82,7 +82,7 @@
     let mut bodies = Vec::new();
     for daemon in [0, 1, 0] {
         let address = fleet.daemons[daemon].caller_address;
-        eventually("the answer is recorded", async || {
+        eventually("the response is recorded", async || {
             let response = caller
                 .request(address, "/services/readings/load", &headers, "9.7 kN")
                 .await
--- a/tests/system/failure.rs
+++ b/tests/system/failure.rs
@@ -1,4 +1,4 @@
-//! Failures under load: kills, pauses, broken streams, planned stops.
+//! Failures and operations under load: killed and paused processes, broken streams, graceful shutdowns, role changes.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
     Caller, FIELD_KEY, Fleet, completion_body, engine_setup, eventually, parse_stream,
 };
 
-/// Long enough to be under way while something happens, a step of the quick engine being 1 ms.
+/// Long enough for a stream to be in flight during an action: a step of the fast stand-in engine takes 1 ms.
 const LONG_ANSWER_TOKENS: u64 = 1_500;
 
 fn start_streams(
@@ -28,7 +28,7 @@
                     .complete(address, &prompt, LONG_ANSWER_TOKENS, true)
                     .await?;
                 let (text, complete) = parse_stream(&response.body);
-                // a part that looks whole would be a lie
+                // a partial answer must not end as a complete one
                 assert_eq!(complete, text == expected(&prompt, 0, LONG_ANSWER_TOKENS));
                 complete.then_some(text)
             })
@@ -39,7 +39,12 @@
 async fn count_complete(streams: Vec<tokio::task::JoinHandle<Option<String>>>) -> usize {
     let mut complete = 0;
     for stream in streams {
-        complete += usize::from(stream.await.expect("no lie").is_some());
+        complete += usize::from(
+            stream
+                .await
+                .expect("a partial answer ended as complete, or the reverse")
+                .is_some(),
+        );
     }
     complete
 }
@@ -59,13 +64,13 @@
     let mut fleet = Fleet::start(mixed_engines(2), 2).await;
     let caller = Caller::new();
     let streams = start_streams(&caller, fleet.daemons[0].caller_address, 12);
-    eventually("all streams are under way", async || {
+    eventually("all streams are in flight", async || {
         total_attempts(&fleet) == 12
     })
     .await;
     fleet.daemons[0].signal("TERM");
     assert_eq!(count_complete(streams).await, 12);
-    let status = fleet.daemons[0].child.wait().expect("it ends");
+    let status = fleet.daemons[0].child.wait().expect("the daemon exits");
     assert!(status.success(), "{status}");
     let response = caller
         .complete(fleet.daemons[1].caller_address, "on", 5, true)
@@ -79,7 +84,7 @@
     let caller = Caller::new();
     let lost = start_streams(&caller, fleet.daemons[0].caller_address, 6);
     let kept = start_streams(&caller, fleet.daemons[1].caller_address, 6);
-    eventually("all streams are under way", async || {
+    eventually("all streams are in flight", async || {
         total_attempts(&fleet) == 12
     })
     .await;
@@ -93,7 +98,7 @@
     let mut fleet = Fleet::start(mixed_engines(3), 1).await;
     let caller = Caller::new();
     let streams = start_streams(&caller, fleet.daemons[0].caller_address, 9);
-    eventually("all streams are under way", async || {
+    eventually("all streams are in flight", async || {
         total_attempts(&fleet) == 9
     })
     .await;
@@ -103,7 +108,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_broken_frame_never_reaches_a_caller() {
-    // whether the answer must come out whole, or may break as long as it doesn't look whole
+    // the fault, and whether the response must be complete; otherwise it may break off, but not end as complete
     let cases = [
         (Faults::Cross, true),
         (Faults::Double, true),
@@ -172,9 +177,9 @@
             &body,
         )
         .await
-        .expect("a head");
+        .expect("response headers");
     drop(response);
-    eventually("the attempt is over at the engine", async || {
+    eventually("the engine stops generating", async || {
         let before = fleet.engines[0].counts().tokens;
         tokio::time::sleep(Duration::from_millis(50)).await;
         fleet.engines[0].counts().tokens == before
@@ -195,7 +200,7 @@
         for daemon in &fleet.daemons {
             streams.extend(start_streams(&caller, daemon.caller_address, 4));
         }
-        eventually("all streams are under way", async || {
+        eventually("all streams are in flight", async || {
             total_attempts(&fleet) == 12
         })
         .await;
@@ -220,7 +225,7 @@
     let fleet = Fleet::start(mixed_engines(2), 2).await;
     let caller = Caller::new();
     let streams = start_streams(&caller, fleet.daemons[0].caller_address, 8);
-    eventually("all streams are under way", async || {
+    eventually("all streams are in flight", async || {
         total_attempts(&fleet) == 8
     })
     .await;
@@ -250,7 +255,7 @@
     fleet.platform.list(vm(State::Live));
     fleet.platform.leave(fleet.engines[0].address());
     for daemon in 0..2 {
-        eventually("the daemon knows", async || {
+        eventually("the daemon lists the endpoint as leaving", async || {
             let (_, text) = fleet.run_client(daemon, &["status"]);
             text.contains("leaving")
         })
@@ -275,27 +280,27 @@
         ];
         let fleet = Fleet::start(engines, 3).await;
         let first = find_steward(&fleet, 0).await;
-        // the order is on its way, or nearly, when its sender stops
+        // the steward is paused when its order is in flight or about to be sent
         let (code, _) = fleet.run_client(first, &["role", "sala-a/1", "decode"]);
         assert_eq!(code, 0);
-        eventually("the order is begun", async || {
+        eventually("the order has started", async || {
             let (_, text) = fleet.run_client(first, &["timeline"]);
             text.contains("order-")
         })
         .await;
         fleet.daemons[first].signal("STOP");
         let other = (first + 1) % 3;
-        eventually("another daemon is steward", async || {
+        eventually("another daemon is the steward", async || {
             find_steward(&fleet, other).await != first
         })
         .await;
-        eventually("the endpoint serves again", async || {
+        eventually("the endpoint is open again", async || {
             let (_, text) = fleet.run_client(other, &["status"]);
             text.contains("sala-a/1 soil") && !text.contains("closed")
         })
         .await;
         fleet.daemons[first].signal("CONT");
-        eventually("the order is carried out in the end", async || {
+        eventually("the order is executed eventually", async || {
             fleet.engines[0].holds().role == Role::Decode
         })
         .await;
@@ -305,10 +310,10 @@
     }
 }
 
-/// The daemon that holds the stewardship, as another one sees it.
+/// Returns the index of the daemon that is the steward, according to the status of `asked_daemon`.
 async fn find_steward(fleet: &Fleet, asked_daemon: usize) -> usize {
     let mut found = None;
-    eventually("there is a steward", async || {
+    eventually("there is a steward among the daemons", async || {
         let (_, text) = fleet.run_client(asked_daemon, &["--json", "status"]);
         let status: serde_json::Value = serde_json::from_str(&text).unwrap_or_default();
         let holder = status["stewards"][0]["holder"].clone();
@@ -327,7 +332,7 @@
         found.is_some()
     })
     .await;
-    found.expect("found above")
+    found.expect("set when the wait ended")
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -336,21 +341,21 @@
     let address = fleet.engines[0].address();
     let (code, _) = fleet.run_client(0, &["role", "sala-a/1", "decode"]);
     assert_eq!(code, 0);
-    eventually("the engine changes", async || {
+    eventually("the engine has begun its role change", async || {
         fleet.engines[0].counts().changes > 0
     })
     .await;
     drop(fleet.engines.remove(0));
     let mut restarted = None;
-    eventually("its port is free again", async || {
+    eventually("an engine can be started on the same port", async || {
         restarted = Engine::start(address, engine_setup(Role::Mixed, false))
             .await
             .ok();
         restarted.is_some()
     })
     .await;
-    let restarted = restarted.expect("started above");
-    eventually("the new engine gets its role", async || {
+    let restarted = restarted.expect("set when the wait ended");
+    eventually("the restarted engine gets the role", async || {
         restarted.holds().role == Role::Decode
     })
     .await;
@@ -365,13 +370,13 @@
     fleet.daemons[unresponsive].signal("STOP");
     let (code, text) = fleet.run_client(first, &["role", "sala-a/1", "decode"]);
     assert_eq!(code, 0, "{text}");
-    eventually("the change is given up", async || {
+    eventually("the change is aborted", async || {
         let (_, text) = fleet.run_client(first, &["timeline", "--engine", "sala-a/1"]);
         text.contains("order-reopened")
     })
     .await;
     assert_eq!(fleet.engines[0].counts().changes, 0);
-    eventually("the engine serves meanwhile", async || {
+    eventually("the engine serves after the aborted change", async || {
         let before = fleet.engines[0].counts().attempts;
         let response = caller
             .complete(fleet.daemons[first].caller_address, "on", 5, true)
@@ -381,9 +386,10 @@
     })
     .await;
     fleet.daemons[unresponsive].signal("CONT");
-    eventually("the change is carried out after all", async || {
-        fleet.engines[0].holds().role == Role::Decode
-    })
+    eventually(
+        "the change is executed once all daemons respond",
+        async || fleet.engines[0].holds().role == Role::Decode,
+    )
     .await;
     assert_eq!(fleet.engines[0].counts().cut, 0);
 }
@@ -407,10 +413,10 @@
         }
     });
     assert_eq!(count_complete(streams).await, 9);
-    // the last wish is the one that holds in the end
+    // the role requested last is the one that takes effect
     let (code, _) = fleet.run_client(0, &["role", "sala-a/1", "prefill"]);
     assert_eq!(code, 0);
-    eventually("the last wish holds", async || {
+    eventually("the role requested last takes effect", async || {
         fleet.engines[0].holds().role == Role::Prefill
     })
     .await;
@@ -429,7 +435,7 @@
     let first = find_steward(&fleet, 0).await;
     let (code, _) = fleet.run_client(first, &["role", "sala-a/1", "decode"]);
     assert_eq!(code, 0);
-    eventually("the order has struck", async || {
+    eventually("the first order has reached the engine", async || {
         fleet.engines[0].counts().changes == 1
     })
     .await;
@@ -437,7 +443,7 @@
     let other = (first + 1) % 3;
     let (code, _) = fleet.run_client(other, &["role", "sala-a/1", "prefill"]);
     assert_eq!(code, 0);
-    eventually("another daemon is steward", async || {
+    eventually("another daemon is the steward", async || {
         find_steward(&fleet, other).await != first
     })
     .await;
@@ -447,7 +453,7 @@
     })
     .await;
     fleet.daemons[first].signal("CONT");
-    eventually("the later wish holds", async || {
+    eventually("the role requested later takes effect", async || {
         fleet.engines[0].holds().role == Role::Prefill
     })
     .await;
--- a/tests/system/fleet.rs
+++ b/tests/system/fleet.rs
@@ -1,4 +1,4 @@
-//! A small fleet: stand-ins in the test's process, daemons as processes of their own.
+//! A small fleet for tests: stand-ins in the test's process, daemons as separate processes.
 
 use std::{
     io::{BufRead, BufReader},
@@ -30,7 +30,7 @@
 pub const ALARM_KEY: &str = "alarm-key";
 const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A daemon in a process of its own; dropping it kills it.
+/// A daemon process; dropping it kills the process.
 pub struct Daemon {
     pub child: Child,
     pub caller_address: SocketAddr,
@@ -40,19 +40,19 @@
 
 impl Drop for Daemon {
     fn drop(&mut self) {
-        // one that has ended needs no kill
+        // the process may have exited already
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
 impl Daemon {
-    /// Sends a signal by name.
+    /// Sends a signal, given by name.
     pub fn signal(&self, name: &str) {
         let sent = Command::new("kill")
             .args(["-s", name, &self.child.id().to_string()])
             .status();
-        assert!(sent.expect("kill runs").success());
+        assert!(sent.expect("could not run kill").success());
     }
 }
 
@@ -61,9 +61,9 @@
     pub engines: Vec<Engine>,
     pub service: Service,
     pub daemons: Vec<Daemon>,
-    /// Where the next daemon finds the platform; its own address when none.
+    /// The platform address given to daemons that are added from now on; `None` for the platform's own.
     pub platform_address_override: Option<SocketAddr>,
-    /// How long daemons wait for the table.
+    /// The setting `table_timeout` of daemons that are added from now on.
     pub table_timeout: &'static str,
     folder: PathBuf,
 }
@@ -90,7 +90,7 @@
 }
 
 impl Fleet {
-    /// Starts stand-ins with these engines, and so many daemons, all in one data centre.
+    /// Starts the stand-ins with these engines, and this many daemons, all in one data centre.
     pub async fn start(engines: Vec<Setup>, daemons: usize) -> Self {
         let platform = Platform::start(any_port()).await.expect("platform");
         let service = Service::start(any_port()).await.expect("service");
@@ -123,7 +123,7 @@
         fleet
     }
 
-    /// Writes the first settings as a daemon would.
+    /// Writes the initial settings to the table in the form in which a daemon writes them.
     fn write_settings(&self) {
         let mut edits = vec![
             set("service/soil", "kind", "engines"),
@@ -148,7 +148,7 @@
             edits.push(set(&path, "service", "soil"));
             edits.push(set(&path, "address", &engine.address().to_string()));
         }
-        let tree = Tree::default().apply(&edits).expect("settings are fine");
+        let tree = Tree::default().apply(&edits).expect("valid settings");
         let change = Change {
             version: 1,
             operator: "test".to_owned(),
@@ -165,8 +165,8 @@
         let _ = self.platform.commit(&transaction);
     }
 
-    /// Gives the settings in the table so many groups more, as a second version. For before any daemon starts, as the
-    /// change itself is not told.
+    /// Adds this many groups to the settings in the table, as version 2. Must be called before a daemon is started, as
+    /// the row of the change itself is not written.
     pub fn add_groups(&self, groups: usize) {
         let mut transaction =
             Transaction::default().write("settings/head", r#"{"version":2,"token":2}"#.to_owned());
@@ -184,7 +184,7 @@
         let _ = self.platform.commit(&transaction);
     }
 
-    /// The settings file of a daemon.
+    /// Returns the contents of the settings file of a daemon.
     fn settings_file(&self, number: usize) -> String {
         let seeds: Vec<String> = self
             .daemons
@@ -225,7 +225,7 @@
         )
     }
 
-    /// Starts one more daemon; it may not be ready yet.
+    /// Starts one more daemon, without waiting until it is ready.
     pub fn add_daemon(&mut self) {
         let number = self.daemons.len();
         let path = self
@@ -239,13 +239,13 @@
             .stdout(Stdio::piped())
             .stderr(Stdio::inherit())
             .spawn()
-            .expect("daemon starts");
+            .expect("could not start the daemon");
         let mut line = String::new();
         BufReader::new(child.stdout.take().expect("stdout"))
             .read_line(&mut line)
-            .expect("addresses");
+            .expect("a line with the addresses");
         let words: Vec<&str> = line.split_whitespace().collect();
-        let address = |at: usize| words[at].parse().expect("an address");
+        let address = |index: usize| words[index].parse().expect("an address");
         self.daemons.push(Daemon {
             child,
             caller_address: address(1),
@@ -254,7 +254,7 @@
         });
     }
 
-    /// Runs the operators' client against a daemon; gives its exit code and what it printed.
+    /// Runs the operators' client against a daemon. Returns its exit code and its output.
     pub fn run_client(&self, daemon: usize, arguments: &[&str]) -> (i32, String) {
         let output = Command::new(env!("CARGO_BIN_EXE_wrenramp"))
             .arg("--daemon")
@@ -262,7 +262,7 @@
             .args(arguments)
             .env("WRENRAMP_TOKEN", OPERATOR_TOKEN)
             .output()
-            .expect("client runs");
+            .expect("could not run the client");
         let mut text = String::from_utf8_lossy(&output.stdout).into_owned();
         text.push_str(&String::from_utf8_lossy(&output.stderr));
         (output.status.code().unwrap_or(-1), text)
@@ -270,7 +270,7 @@
 }
 
 mod json {
-    //! A value that has a JSON form.
+    //! Serialization to JSON through a trait object.
 
     pub trait ToJson {
         fn to_json(&self) -> String;
@@ -278,7 +278,7 @@
 
     impl<T: serde::Serialize> ToJson for T {
         fn to_json(&self) -> String {
-            serde_json::to_string(self).expect("a JSON form")
+            serde_json::to_string(self).expect("serializable to JSON")
         }
     }
 }
@@ -291,11 +291,11 @@
     }
 }
 
-/// A caller's client.
+/// An HTTP client of a caller.
 #[derive(Clone)]
 pub struct Caller(Client<HttpConnector, Full<Bytes>>);
 
-/// A whole answer.
+/// A complete HTTP response.
 #[derive(Debug)]
 pub struct Response {
     pub status: StatusCode,
@@ -314,7 +314,7 @@
         Self(Client::builder(TokioExecutor::new()).build_http())
     }
 
-    /// Sends a request and gives the answer's head.
+    /// Sends a request and returns the response once its headers have arrived.
     pub async fn send(
         &self,
         address: SocketAddr,
@@ -330,7 +330,7 @@
         self.0.request(request).await
     }
 
-    /// Sends a request and reads the whole answer; none when it breaks.
+    /// Sends a request and reads the whole response; `None` if the connection fails or breaks off.
     pub async fn request(
         &self,
         address: SocketAddr,
@@ -348,7 +348,7 @@
         })
     }
 
-    /// A completion with the field group's key.
+    /// Requests a completion with the key of the group `field`.
     pub async fn complete(
         &self,
         address: SocketAddr,
@@ -368,7 +368,7 @@
     format!(r#"{{"model":"proctor","prompt":"{prompt}","max_tokens":{tokens},"stream":{stream}}}"#)
 }
 
-/// The text of a streamed answer, and whether it ended as a whole one does.
+/// Returns the text of a streamed response, and whether it ended as a complete one.
 pub fn parse_stream(body: &str) -> (String, bool) {
     let mut text = String::new();
     let mut complete = false;
@@ -395,11 +395,14 @@
     .await;
 }
 
-/// Waits until something holds; the bound only ends a test that would never end.
-pub async fn eventually(what: &str, mut holds: impl AsyncFnMut() -> bool) {
-    let until = Instant::now() + WAIT_TIMEOUT;
+/// Waits until a condition holds. The timeout only ends a test that would otherwise hang.
+pub async fn eventually(condition: &str, mut holds: impl AsyncFnMut() -> bool) {
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     while !holds().await {
-        assert!(Instant::now() < until, "never: {what}");
+        assert!(
+            Instant::now() < deadline,
+            "timed out waiting until {condition}"
+        );
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
--- a/tests/system/main.rs
+++ b/tests/system/main.rs
@@ -1,4 +1,4 @@
-//! Daemons as real processes against stand-ins: the whole path, and failures on the way.
+//! System tests: daemons as separate processes against stand-ins, with and without failures.
 
 mod at_most_once;
 mod bad_input;
--- a/tests/system/settings.rs
+++ b/tests/system/settings.rs
@@ -1,4 +1,4 @@
-//! Settings: accepted changes hold everywhere and never go back, whatever fails.
+//! Settings: accepted changes take effect in all daemons and are never undone, under any failure.
 
 use standin::{link::Link, platform::Faults};
 
@@ -26,7 +26,7 @@
             .collect();
         clients
             .into_iter()
-            .map(|client| client.join().expect("ran"))
+            .map(|client| client.join().expect("the client thread"))
             .collect()
     });
     let winners = outcomes.iter().filter(|(code, _)| *code == 0).count();
@@ -35,7 +35,7 @@
     for (code, text) in &outcomes {
         if *code != 0 {
             let current = format!("group/field share={}", share.trim());
-            assert!(text.contains(&current), "{text} should tell {current}");
+            assert!(text.contains(&current), "{text} should contain {current}");
         }
     }
 }
@@ -54,7 +54,7 @@
         }
     });
     for daemon in 0..3 {
-        eventually("all six are in force", async || {
+        eventually("all six changes are in force", async || {
             settings_version(&fleet, daemon) == 7
         })
         .await;
@@ -75,7 +75,7 @@
     let (code, text) = fleet.run_client(0, &["set", "group/field", "share=6"]);
     assert_eq!(code, 3, "{text}");
     fleet.platform.fail(Faults::None);
-    eventually("the accepted one is in force", async || {
+    eventually("the accepted change is in force", async || {
         settings_version(&fleet, 1) == 2
     })
     .await;
@@ -103,25 +103,25 @@
     assert_eq!(code, 1, "{text}");
     assert!(text.contains("nothing was changed"), "{text}");
     fleet.platform.fail(Faults::None);
-    eventually("changes are taken again", async || {
+    eventually("changes are accepted again", async || {
         fleet.run_client(2, &["set", "group/field", "share=6"]).0 == 0
     })
     .await;
     for daemon in 0..3 {
-        eventually("it is in force", async || {
+        eventually("the change is in force", async || {
             settings_version(&fleet, daemon) == 3
         })
         .await;
     }
 }
 
-/// Groups of the size that the system is designed for, 5.6 MB as a peer sends them.
+/// The number of groups that the system is designed for; 5.6 MB in the form in which a peer sends them.
 const GROUPS: usize = 45_000;
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_daemon_started_during_a_table_outage_gets_45_000_groups_from_its_peers() {
     let mut fleet = Fleet::start(Vec::new(), 0).await;
-    // a debug build's stand-in takes longer to write so many rows than others grant it
+    // a stand-in in a debug build takes longer to write this many rows than the default timeout allows
     fleet.table_timeout = "10s";
     fleet.add_groups(GROUPS);
     fleet.add_daemon();
@@ -155,7 +155,7 @@
     fleet.add_daemon();
     wait_until_ready(&fleet.daemons[1]).await;
     link.cut(true);
-    eventually("the cut one knows", async || {
+    eventually("the daemon reports the table as unavailable", async || {
         let (_, text) = fleet.run_client(1, &["status"]);
         text.contains("does not answer")
     })
@@ -169,13 +169,13 @@
         .await;
     assert!(parse_stream(&response.expect("a response").body).1);
     let (code, _) = fleet.run_client(1, &["set", "group/field", "share=2"]);
-    assert_eq!(code, 1, "without the table nothing is accepted");
+    assert_eq!(code, 1, "a change was accepted without the table");
     link.cut(false);
-    eventually("changes are taken here again", async || {
+    eventually("the daemon accepts changes again", async || {
         fleet.run_client(1, &["set", "group/field", "share=10"]).0 == 0
     })
     .await;
-    eventually("and hold everywhere", async || {
+    eventually("the change is in force in the other daemon", async || {
         settings_version(&fleet, 0) == 3
     })
     .await;
