--- a/components/spec/src/explore.rs
+++ b/components/spec/src/explore.rs
@@ -1,35 +1,35 @@
-//! Breadth-first search for a broken invariant, with the shortest counter-example as a time line.
+//! Breadth-first search for a violated invariant. Yields the shortest counter-example.
 
 use std::{cell::Cell, fmt::Debug, hash::Hash};
 
 use pathfinding::directed::bfs::bfs;
 
-/// What a search found.
+/// The result of a search.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outcome {
-    /// States explored.
+    /// Number of states explored.
     pub states: usize,
-    /// The broken invariant and the steps that break it; none when all states hold.
-    pub broken: Option<Broken>,
+    /// The violated invariant and the steps to it; none if every state satisfies all invariants.
+    pub violation: Option<Violation>,
 }
 
 /// A counter-example.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Broken {
-    /// The invariant.
+pub struct Violation {
+    /// The violated invariant.
     pub invariant: &'static str,
-    /// The steps, in order.
+    /// The steps that lead to the violation, in order.
     pub steps: Vec<String>,
 }
 
-/// Explores all states that can be reached from `start`.
+/// Explores all states reachable from `start`.
 ///
-/// `next` gives the steps that can be taken with the states they lead to; `broken` names the
-/// invariant that a state breaks.
+/// `successors` returns the steps possible in a state, each with the state it leads to. `violation`
+/// returns the invariant that a state violates, if any.
 pub fn explore<S, L>(
     start: &S,
-    next: impl Fn(&S) -> Vec<(L, S)>,
-    broken: impl Fn(&S) -> Option<&'static str>,
+    successors: impl Fn(&S) -> Vec<(L, S)>,
+    violation: impl Fn(&S) -> Option<&'static str>,
 ) -> Outcome
 where
     S: Clone + Eq + Hash,
@@ -40,24 +40,24 @@
         start,
         |state| {
             states.set(states.get() + 1);
-            next(state).into_iter().map(|(_, state)| state)
+            successors(state).into_iter().map(|(_, state)| state)
         },
-        |state| broken(state).is_some(),
+        |state| violation(state).is_some(),
     );
-    let broken = path.and_then(|path| {
-        let invariant = broken(path.last()?)?;
+    let violation = path.and_then(|path| {
+        let invariant = violation(path.last()?)?;
         let steps = path
             .windows(2)
             .filter_map(|pair| {
-                let mut taken = next(&pair[0]).into_iter();
-                let (step, _) = taken.find(|(_, state)| *state == pair[1])?;
+                let mut transitions = successors(&pair[0]).into_iter();
+                let (step, _) = transitions.find(|(_, state)| *state == pair[1])?;
                 Some(format!("{step:?}"))
             })
             .collect();
-        Some(Broken { invariant, steps })
+        Some(Violation { invariant, steps })
     });
     Outcome {
         states: states.get(),
-        broken,
+        violation,
     }
 }
--- a/components/spec/src/versions.rs
+++ b/components/spec/src/versions.rs
@@ -1,5 +1,5 @@
-//! Settings: two daemons accept changes of operators and tell each other; messages are late, lost
-//! and doubled, the table's answers are lost.
+//! Versions of the settings: two daemons accept changes from operators and notify each other.
+//! Messages are delayed, lost or duplicated, and responses of the table are lost.
 
 use crate::{
     Case,
@@ -7,19 +7,20 @@
 };
 
 const DAEMONS: usize = 2;
-const VERSIONS: u8 = 3;
-const BOUNDS: &str = "2 daemons, 3 accepted changes, late, lost and doubled messages, lost answers";
+const MAX_CHANGES: u8 = 3;
+const BOUNDS: &str =
+    "2 daemons, 3 accepted changes, delayed, lost and duplicated messages, lost table responses";
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Variant {
-    Right,
-    /// A daemon applies whatever came last.
+    Correct,
+    /// A daemon applies the version that it received last, even if it is older.
     LastWins,
-    /// A commit doesn't compare the version that was read.
-    NoCompare,
+    /// A commit doesn't check that the table still has the version that was read.
+    UncheckedCommit,
 }
 
-/// A tree, reduced to the set of accepted changes that it holds, as bits.
+/// A settings tree, reduced to a bit set of the accepted changes that it contains.
 type Tree = u8;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -32,13 +33,13 @@
 struct State {
     table: Version,
     daemons: [Version; DAEMONS],
-    /// A commit that is being prepared: the version it was read at.
+    /// The version that each daemon's commit in preparation is based on.
     preparing: [Option<Version>; DAEMONS],
-    /// Versions on their way to a daemon; delivered any number of times.
+    /// Versions in transit to a daemon; each may be delivered any number of times.
     network: Vec<(usize, Version)>,
     accepted: Tree,
     changes: u8,
-    broken: Option<&'static str>,
+    violation: Option<&'static str>,
 }
 
 #[derive(Debug)]
@@ -48,11 +49,11 @@
     Commits { daemon: usize },
     CommitAnswerIsLost { daemon: usize },
     CommitRefused { daemon: usize },
-    Hears { daemon: usize, version: u8 },
+    ReceivesUpdate { daemon: usize, version: u8 },
     Polls { daemon: usize },
 }
 
-fn start() -> State {
+fn initial_state() -> State {
     let empty = Version { number: 0, tree: 0 };
     State {
         table: empty,
@@ -61,29 +62,29 @@
         network: Vec::new(),
         accepted: 0,
         changes: 0,
-        broken: None,
+        violation: None,
     }
 }
 
 fn apply(state: &mut State, daemon: usize, version: Version, variant: Variant) {
-    let now = state.daemons[daemon];
-    let newer = version.number > now.number;
+    let current = state.daemons[daemon];
+    let newer = version.number > current.number;
     if newer || variant == Variant::LastWins {
         state.daemons[daemon] = version;
-        if version.number < now.number {
-            state.broken = Some("an accepted configuration never reverts");
+        if version.number < current.number {
+            state.violation = Some("an accepted configuration never reverts");
         }
     }
 }
 
-fn next(state: &State, variant: Variant) -> Vec<(Label, State)> {
+fn successors(state: &State, variant: Variant) -> Vec<(Label, State)> {
     let mut steps = Vec::new();
     for daemon in 0..DAEMONS {
         let mut polled = state.clone();
         apply(&mut polled, daemon, state.table, variant);
         steps.push((Label::Polls { daemon }, polled));
         match state.preparing[daemon] {
-            None if state.changes < VERSIONS => {
+            None if state.changes < MAX_CHANGES => {
                 let mut next = state.clone();
                 next.preparing[daemon] = Some(state.daemons[daemon]);
                 steps.push((Label::Reads { daemon }, next));
@@ -96,7 +97,7 @@
         let mut next = state.clone();
         apply(&mut next, *daemon, *version, variant);
         steps.push((
-            Label::Hears {
+            Label::ReceivesUpdate {
                 daemon: *daemon,
                 version: version.number,
             },
@@ -115,11 +116,11 @@
 ) {
     let mut next = state.clone();
     next.preparing[daemon] = None;
-    if state.changes == VERSIONS {
+    if state.changes == MAX_CHANGES {
         steps.push((Label::CommitRefused { daemon }, next));
         return;
     }
-    if base.number != state.table.number && variant != Variant::NoCompare {
+    if base.number != state.table.number && variant != Variant::UncheckedCommit {
         steps.push((Label::CommitRefused { daemon }, next));
         return;
     }
@@ -132,9 +133,9 @@
     next.changes += 1;
     next.accepted |= bit;
     if version.tree != next.accepted {
-        next.broken = Some("an accepted configuration is in force and never reverts");
+        next.violation = Some("an accepted configuration is in force and never reverts");
     }
-    // a lost answer: the change is accepted, and this daemon hears of it later
+    // the response is lost: the change is accepted, and this daemon learns of it later
     let lost = next.clone();
     apply(&mut next, daemon, version, variant);
     for other in 0..DAEMONS {
@@ -149,22 +150,30 @@
 }
 
 fn run(variant: Variant) -> Outcome {
-    explore(&start(), |state| next(state, variant), |state| state.broken)
+    explore(
+        &initial_state(),
+        |state| successors(state, variant),
+        |state| state.violation,
+    )
 }
 
-const fn case(variant: &'static str, wrong: bool, run: fn() -> Outcome) -> Case {
+const fn case(variant: &'static str, expect_violation: bool, run: fn() -> Outcome) -> Case {
     Case {
         model: "versions",
         variant,
         bounds: BOUNDS,
-        wrong,
+        expect_violation,
         run,
     }
 }
 
-/// The model's cases.
+/// The cases of this model.
 pub const CASES: &[Case] = &[
-    case("as built", false, || run(Variant::Right)),
-    case("what came last is applied", true, || run(Variant::LastWins)),
-    case("commit without comparing", true, || run(Variant::NoCompare)),
+    case("as built", false, || run(Variant::Correct)),
+    case("version received last is applied", true, || {
+        run(Variant::LastWins)
+    }),
+    case("commit without comparing versions", true, || {
+        run(Variant::UncheckedCommit)
+    }),
 ];
--- a/components/standin/src/contract/mod.rs
+++ b/components/standin/src/contract/mod.rs
@@ -1,26 +1,26 @@
-//! What every adapter to a table service must do, as cases that its tests run.
+//! The contract of adapters to a table service, as test cases that the tests of each adapter call.
 
 use std::{future::Future, time::Duration};
 
 use cloud::table::{Error, Outcome, Read, Table, Transaction};
 
-use crate::platform::Faults;
+use crate::platform::Fault;
 
-/// An adapter and the stand-in that it speaks to.
-pub trait Pair: Send + Sync + Sized {
-    /// A fresh pair.
+/// An adapter and the stand-in of its table service.
+pub trait Harness: Send + Sync + Sized {
+    /// Starts a new stand-in and an adapter to it.
     fn start() -> impl Future<Output = Self> + Send;
 
-    /// The adapter.
+    /// The adapter under test.
     fn table(&self) -> &dyn Table;
 
-    /// How long the adapter waits for an answer.
+    /// The adapter's response timeout.
     fn timeout(&self) -> Duration;
 
-    /// Changes how the stand-in fails.
-    fn fail(&self, faults: Faults);
+    /// Sets the fault of the stand-in.
+    fn set_fault(&self, fault: Fault);
 
-    /// The value of a row, past the faults.
+    /// The value of a row, read without the injected fault.
     fn stored(&self, key: &str) -> Option<String>;
 }
 
@@ -31,14 +31,14 @@
     }
 }
 
-/// A transaction is whole and compares versions.
+/// A transaction is atomic and compares versions.
 ///
 /// # Panics
 ///
-/// When the pair does otherwise.
-pub async fn transaction_is_whole<P: Pair>() {
-    let pair = P::start().await;
-    let table = pair.table();
+/// When the adapter violates this.
+pub async fn transaction_is_atomic<H: Harness>() {
+    let harness = H::start().await;
+    let table = harness.table();
     let first = Transaction::default()
         .check("a", 0)
         .write("a", "1".to_owned());
@@ -46,7 +46,7 @@
         panic!("an absent row has version 0");
     };
     let Ok(Outcome::Conflict(rows)) = table.commit(first).await else {
-        panic!("the row is there now");
+        panic!("the row exists by now");
     };
     assert_eq!((rows[0].version, rows[0].value.as_str()), (version, "1"));
     let both = Transaction::default()
@@ -65,14 +65,14 @@
     assert_eq!(table.read(one("a")).await, Ok(Vec::new()));
 }
 
-/// A prefix reads its rows, sorted, and no others.
+/// A read by prefix returns the rows with this prefix, sorted, and no others.
 ///
 /// # Panics
 ///
-/// When the pair does otherwise.
-pub async fn prefix_reads_its_rows<P: Pair>() {
-    let pair = P::start().await;
-    let table = pair.table();
+/// When the adapter violates this.
+pub async fn prefix_reads_its_rows<H: Harness>() {
+    let harness = H::start().await;
+    let table = harness.table();
     let all = ["p/b", "q", "p/a", "o"]
         .iter()
         .fold(Transaction::default(), |all, key| {
@@ -88,35 +88,35 @@
     assert_eq!(keys, ["p/a", "p/b", "q"]);
 }
 
-/// Each failure says truly whether the write may have taken effect.
+/// Each error reports correctly whether the write may have taken effect.
 ///
 /// # Panics
 ///
-/// When the pair does otherwise.
-pub async fn failures_are_told_truly<P: Pair>() {
-    // what the adapter says, whether the write is there afterwards
+/// When the adapter violates this.
+pub async fn failures_report_whether_the_write_may_have_applied<H: Harness>() {
+    // fault, error that the adapter returns, whether the write has taken effect afterwards
     let cases = |timeout: Duration| {
         [
-            (Faults::Down, Error::NotApplied, false),
-            (Faults::LostAnswers, Error::OutcomeUnknown, true),
-            (Faults::LostWrites, Error::OutcomeUnknown, false),
-            (Faults::Slow(timeout * 2), Error::OutcomeUnknown, true),
-            (Faults::Garbage, Error::OutcomeUnknown, false),
+            (Fault::Unavailable, Error::NotApplied, false),
+            (Fault::LostResponses, Error::OutcomeUnknown, true),
+            (Fault::LostWrites, Error::OutcomeUnknown, false),
+            (Fault::Slow(timeout * 2), Error::OutcomeUnknown, true),
+            (Fault::MalformedResponse, Error::OutcomeUnknown, false),
         ]
     };
     for case in 0..cases(Duration::ZERO).len() {
-        let pair = P::start().await;
-        let (fault, told, there) = cases(pair.timeout())[case];
-        pair.fail(fault);
+        let harness = H::start().await;
+        let (fault, error, applied) = cases(harness.timeout())[case];
+        harness.set_fault(fault);
         let write = Transaction::default().write("k", "v".to_owned());
-        assert_eq!(pair.table().commit(write).await, Err(told), "{fault:?}");
-        // a slow one takes effect after its time-out
+        assert_eq!(harness.table().commit(write).await, Err(error), "{fault:?}");
+        // a slow write takes effect after the adapter has timed out
         for _ in 0..100 {
-            if !there || pair.stored("k").is_some() {
+            if !applied || harness.stored("k").is_some() {
                 break;
             }
-            tokio::time::sleep(pair.timeout() / 10).await;
+            tokio::time::sleep(harness.timeout() / 10).await;
         }
-        assert_eq!(pair.stored("k").is_some(), there, "{fault:?}");
+        assert_eq!(harness.stored("k").is_some(), applied, "{fault:?}");
     }
 }
--- a/components/standin/src/link/mod.rs
+++ b/components/standin/src/link/mod.rs
@@ -1,4 +1,5 @@
-//! A link that forwards bytes and fails on demand, to stand for the network between two processes.
+//! A TCP proxy that forwards bytes and fails on demand, in place of the network between two
+//! processes.
 
 use std::{
     net::SocketAddr,
@@ -19,44 +20,45 @@
     task::JoinHandle,
 };
 
-/// How a link does.
+/// The state of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum State {
-    /// It forwards at once.
+    /// Forwards without delay.
     #[default]
     Open,
-    /// It resets open connections and refuses new ones.
+    /// Closes open connections, and new ones at once.
     Cut,
-    /// It forwards everything so much later.
+    /// Forwards after this delay.
     Slow(Duration),
-    /// It takes connections and bytes and forwards nothing. What is held up comes when it heals.
+    /// Accepts connections and bytes and forwards nothing. The bytes held back are forwarded when
+    /// the link is restored.
     Silent,
-    /// It forwards requests, and holds answers up.
+    /// Forwards requests and holds back responses.
     NoAnswers,
 }
 
-/// What holds for the connections of a link.
+/// The conditions that apply to the connections of a link.
 #[derive(Clone, Copy, Debug, Default)]
 struct Condition {
     state: State,
-    /// Bytes a second that each way of each connection carries; none if there is no bound.
+    /// Bytes per second that each direction of each connection forwards; `None` for no limit.
     rate: Option<u32>,
-    /// How often all open connections went silent for good: those that were made before the last time
-    /// forward nothing any more.
-    silenced: u64,
+    /// How many times all open connections were stalled for good. Connections opened before the
+    /// last time forward nothing any more.
+    stall_count: u64,
 }
 
-/// A running link; dropping it closes its port.
+/// A running link. Dropping it closes its port.
 #[derive(Debug)]
 pub struct Link {
     address: SocketAddr,
     condition: Arc<watch::Sender<Condition>>,
-    carried: Arc<AtomicU64>,
+    response_bytes: Arc<AtomicU64>,
     task: JoinHandle<()>,
 }
 
 impl Link {
-    /// Forwards from a fresh loopback port to a target.
+    /// Forwards from a new loopback port to a target.
     ///
     /// # Errors
     ///
@@ -65,56 +67,57 @@
         let listener = TcpListener::bind(("127.0.0.1", 0)).await?;
         let address = listener.local_addr()?;
         let condition = Arc::new(watch::Sender::default());
-        let watching = Arc::clone(&condition);
-        let carried = Arc::new(AtomicU64::new(0));
-        let counter = Arc::clone(&carried);
+        let condition_source = Arc::clone(&condition);
+        let response_bytes = Arc::new(AtomicU64::new(0));
+        let counter = Arc::clone(&response_bytes);
         let task = tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let (condition, counter) = (watching.subscribe(), Arc::clone(&counter));
+                let (condition, counter) = (condition_source.subscribe(), Arc::clone(&counter));
                 tokio::spawn(async move { forward(stream, target, condition, counter).await });
             }
         });
         Ok(Self {
             address,
             condition,
-            carried,
+            response_bytes,
             task,
         })
     }
 
-    /// Where it listens.
+    /// The address on which it listens.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Bytes of answers that it has carried so far, on all connections.
+    /// Bytes of responses forwarded so far, on all connections.
     #[must_use]
-    pub fn carried(&self) -> u64 {
-        self.carried.load(Ordering::Relaxed)
+    pub fn response_bytes(&self) -> u64 {
+        self.response_bytes.load(Ordering::Relaxed)
     }
 
-    /// Cuts the link, or heals it.
+    /// Cuts the link, or restores it.
     pub fn cut(&self, cut: bool) {
         self.set(if cut { State::Cut } else { State::Open });
     }
 
-    /// Changes how it does.
+    /// Sets the state.
     pub fn set(&self, state: State) {
         self.condition
             .send_modify(|condition| condition.state = state);
     }
 
-    /// Has it carry so many bytes a second from now on, whatever else is done to it.
-    pub fn narrow(&self, rate: u32) {
+    /// Limits each direction of each connection to this many bytes per second from now on, in every
+    /// state.
+    pub fn limit_rate(&self, rate: u32) {
         self.condition
             .send_modify(|condition| condition.rate = Some(rate));
     }
 
-    /// Has all open connections go silent for good, without a reset; new ones work.
-    pub fn silence(&self) {
+    /// Stalls all open connections for good, without a reset; new connections work.
+    pub fn stall_connections(&self) {
         self.condition
-            .send_modify(|condition| condition.silenced += 1);
+            .send_modify(|condition| condition.stall_count += 1);
     }
 }
 
@@ -125,96 +128,96 @@
 }
 
 async fn forward(
-    near: TcpStream,
+    client: TcpStream,
     target: SocketAddr,
     mut condition: watch::Receiver<Condition>,
-    carried: Arc<AtomicU64>,
+    response_bytes: Arc<AtomicU64>,
 ) {
-    let born = *condition.borrow();
-    if born.state == State::Cut {
+    let initial = *condition.borrow();
+    if initial.state == State::Cut {
         return;
     }
-    let Ok(far) = TcpStream::connect(target).await else {
+    let Ok(server) = TcpStream::connect(target).await else {
         return;
     };
-    // sockets that are gone already need no option
-    let _ = (near.set_nodelay(true), far.set_nodelay(true));
-    let (near_read, near_write) = near.into_split();
-    let (far_read, far_write) = far.into_split();
-    let carry = |from, to, answers| Carrier {
+    // fails only if the connections are closed already
+    let _ = (client.set_nodelay(true), server.set_nodelay(true));
+    let (client_read, client_write) = client.into_split();
+    let (server_read, server_write) = server.into_split();
+    let direction = |from, to, is_response| Direction {
         from,
         to,
         condition: condition.clone(),
-        born: born.silenced,
-        answers,
-        carried: Arc::clone(&carried),
+        initial_stalls: initial.stall_count,
+        is_response,
+        response_bytes: Arc::clone(&response_bytes),
     };
-    let there = carry(near_read, far_write, false).run();
-    let back = carry(far_read, near_write, true).run();
+    let requests = direction(client_read, server_write, false).run();
+    let responses = direction(server_read, client_write, true).run();
     tokio::select! {
-        _ = async { tokio::join!(there, back) } => {}
+        _ = async { tokio::join!(requests, responses) } => {}
         _ = condition.wait_for(|condition| condition.state == State::Cut) => {}
     }
 }
 
-/// How long so many bytes take at a rate of bytes a second.
-fn span(bytes: usize, rate: u32) -> Duration {
+/// How long a number of bytes takes at a rate in bytes per second.
+fn transfer_time(bytes: usize, rate: u32) -> Duration {
     let bytes = u32::try_from(bytes).unwrap_or(u32::MAX);
     Duration::from_secs(1) * bytes / rate.max(1)
 }
 
-/// One way of a connection.
-struct Carrier {
+/// One direction of a connection.
+struct Direction {
     from: OwnedReadHalf,
     to: OwnedWriteHalf,
     condition: watch::Receiver<Condition>,
-    /// How often connections had gone silent when this one was made.
-    born: u64,
-    /// Whether it carries answers.
-    answers: bool,
-    /// Bytes of answers so far.
-    carried: Arc<AtomicU64>,
+    /// The stall count when this connection was opened.
+    initial_stalls: u64,
+    /// Whether this direction carries responses.
+    is_response: bool,
+    /// Bytes of responses forwarded by the link so far.
+    response_bytes: Arc<AtomicU64>,
 }
 
-impl Carrier {
-    /// Carries bytes until either end is gone.
+impl Direction {
+    /// Forwards bytes until either side closes.
     async fn run(mut self) {
         let mut buffer = vec![0; 16 << 10];
         while let Ok(length @ 1..) = self.from.read(&mut buffer).await {
-            self.let_through().await;
-            let now = *self.condition.borrow();
-            if let State::Slow(time) = now.state {
-                tokio::time::sleep(time).await;
+            self.wait_until_forwarding().await;
+            let condition = *self.condition.borrow();
+            if let State::Slow(delay) = condition.state {
+                tokio::time::sleep(delay).await;
             }
-            if let Some(rate) = now.rate {
-                tokio::time::sleep(span(length, rate)).await;
+            if let Some(rate) = condition.rate {
+                tokio::time::sleep(transfer_time(length, rate)).await;
             }
             if self.to.write_all(&buffer[..length]).await.is_err() {
                 return;
             }
-            if self.answers {
+            if self.is_response {
                 let length = u64::try_from(length).unwrap_or(u64::MAX);
-                self.carried.fetch_add(length, Ordering::Relaxed);
+                self.response_bytes.fetch_add(length, Ordering::Relaxed);
             }
         }
-        self.let_through().await;
-        // the other side may be gone already
+        self.wait_until_forwarding().await;
+        // the other side may be closed already
         let _ = self.to.shutdown().await;
     }
 
-    /// Waits until the link lets bytes through this way.
-    async fn let_through(&mut self) {
-        let (born, answers) = (self.born, self.answers);
-        let held_up = |condition: &Condition| match condition.state {
-            _ if condition.silenced > born => true,
+    /// Waits until the link forwards bytes in this direction.
+    async fn wait_until_forwarding(&mut self) {
+        let (initial_stalls, is_response) = (self.initial_stalls, self.is_response);
+        let is_held = |condition: &Condition| match condition.state {
+            _ if condition.stall_count > initial_stalls => true,
             State::Silent => true,
-            State::NoAnswers => answers,
+            State::NoAnswers => is_response,
             State::Open | State::Cut | State::Slow(_) => false,
         };
-        // the link lives longer than its connections, or they end with it
+        // an error means that the link was dropped, and its connections end with it
         let _ = self
             .condition
-            .wait_for(|condition| !held_up(condition))
+            .wait_for(|condition| !is_held(condition))
             .await;
     }
 }
--- a/tests/system/at_most_once.rs
+++ b/tests/system/at_most_once.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use hyper::StatusCode;
-use standin::{platform::Faults as TableFault, service::Faults};
+use standin::{platform::Fault as TableFault, service::Fault};
 
 use crate::fleet::{Caller, FIELD_KEY, Fleet, Response, eventually};
 
@@ -41,16 +41,16 @@
     let fleet = Fleet::start(Vec::new(), 2).await;
     let caller = Caller::new();
     let faults = [
-        Faults::None,
-        Faults::Refuse,
-        Faults::CutBefore,
-        Faults::CutAfter,
-        Faults::Slow(Duration::from_millis(300)),
+        Fault::None,
+        Fault::Refuse,
+        Fault::ResetBefore,
+        Fault::ResetAfter,
+        Fault::Slow(Duration::from_millis(300)),
     ];
     for (nth, fault) in faults.into_iter().enumerate() {
         for key in [None, Some(format!("key {nth}"))] {
             let body = format!("{fault:?} {key:?}");
-            fleet.service.fail(fault);
+            fleet.service.set_fault(fault);
             // after a lost response the daemon sends the endpoint no requests for a short time
             eventually("the endpoint is open", async || {
                 let (_, text) = fleet.run_client(0, &["status"]);
@@ -59,7 +59,7 @@
             .await;
             let response = send_reading(&caller, &fleet, 0, key.as_deref(), &body).await;
             check_outcome(&fleet, response.as_ref(), &body);
-            fleet.service.fail(Faults::None);
+            fleet.service.set_fault(Fault::None);
             if key.is_some() {
                 for daemon in [0, 1] {
                     let again = send_reading(&caller, &fleet, daemon, key.as_deref(), &body).await;
@@ -75,23 +75,23 @@
     let fleet = Fleet::start(Vec::new(), 2).await;
     let caller = Caller::new();
     let faults = [
-        TableFault::Down,
-        TableFault::LostAnswers,
+        TableFault::Unavailable,
+        TableFault::LostResponses,
         TableFault::LostWrites,
         TableFault::Slow(Duration::from_millis(900)),
-        TableFault::Garbage,
+        TableFault::MalformedResponse,
     ];
     for (nth, fault) in faults.into_iter().enumerate() {
         let body = format!("{fault:?}");
         let key = format!("table key {nth}");
-        fleet.platform.fail(fault);
+        fleet.platform.set_fault(fault);
         for daemon in [0, 1, 0] {
             let response = send_reading(&caller, &fleet, daemon, Some(&key), &body).await;
             check_outcome(&fleet, response.as_ref(), &body);
             let refused = response.as_ref().and_then(Response::run_header);
             assert_ne!(refused, Some("not-run"), "an earlier attempt may have run");
         }
-        fleet.platform.fail(TableFault::None);
+        fleet.platform.set_fault(TableFault::None);
         eventually(
             "the request succeeds, or its outcome is reported as unknown",
             async || {
@@ -108,7 +108,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_without_a_key_runs_during_a_table_outage() {
     let fleet = Fleet::start(Vec::new(), 1).await;
-    fleet.platform.fail(TableFault::Down);
+    fleet.platform.set_fault(TableFault::Unavailable);
     let response = send_reading(&Caller::new(), &fleet, 0, None, "no key").await;
     assert_eq!(response.expect("a response").status, StatusCode::OK);
     assert_eq!(fleet.service.runs("no key"), 1);
@@ -117,7 +117,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn concurrent_requests_with_one_key_at_all_daemons_run_once() {
     let fleet = Fleet::start(Vec::new(), 3).await;
-    fleet.service.fail(Faults::Slow(Duration::from_millis(50)));
+    fleet
+        .service
+        .set_fault(Fault::Slow(Duration::from_millis(50)));
     let caller = Caller::new();
     let requests =
         (0..30).map(|nth| send_reading(&caller, &fleet, nth % 3, Some("burst"), "alarm"));
@@ -136,7 +138,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_claim_of_a_killed_daemon_is_never_run_again() {
     let mut fleet = Fleet::start(Vec::new(), 2).await;
-    fleet.service.fail(Faults::Slow(Duration::from_millis(400)));
+    fleet
+        .service
+        .set_fault(Fault::Slow(Duration::from_millis(400)));
     let caller = Caller::new();
     let bearer = format!("Bearer {FIELD_KEY}");
     let address = fleet.daemons[0].caller_address;
@@ -159,7 +163,7 @@
     .await;
     fleet.daemons[0].child.kill().expect("killed");
     assert!(interrupted.await.expect("the caller task").is_none());
-    fleet.service.fail(Faults::None);
+    fleet.service.set_fault(Fault::None);
     eventually(
         "the daemon with the claim is known to be gone",
         async || {
@@ -176,7 +180,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_claim_of_a_paused_daemon_is_not_run_by_another() {
     let fleet = Fleet::start(Vec::new(), 2).await;
-    fleet.service.fail(Faults::Slow(Duration::from_millis(300)));
+    fleet
+        .service
+        .set_fault(Fault::Slow(Duration::from_millis(300)));
     let caller = Caller::new();
     let first = send_reading(&caller, &fleet, 0, Some("p"), "paused");
     let others = async {
--- a/tests/system/decisions.rs
+++ b/tests/system/decisions.rs
@@ -56,7 +56,12 @@
     for caller in callers {
         caller.await.expect("an answer was cut off");
     }
-    assert!(fleet.engines.iter().all(|engine| engine.counts().cut == 0));
+    assert!(
+        fleet
+            .engines
+            .iter()
+            .all(|engine| engine.counts().interrupted == 0)
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
--- a/tests/system/end_to_end.rs
+++ b/tests/system/end_to_end.rs
@@ -2,7 +2,7 @@
 
 use hyper::StatusCode;
 use protocol::order::Role;
-use standin::engine::expected;
+use standin::engine::expected_text;
 
 use crate::fleet::{ALARM_KEY, Caller, FIELD_KEY, Fleet, engine_setup, eventually, parse_stream};
 
@@ -18,13 +18,13 @@
         assert_eq!(response.status, StatusCode::OK);
         let (text, complete) = parse_stream(&response.body);
         assert!(complete);
-        assert_eq!(text, expected("is it dense enough", 0, 40));
+        assert_eq!(text, expected_text("is it dense enough", 0, 40));
         let response = caller
             .complete(daemon.caller_address, "again", 7, false)
             .await
             .expect("a response");
         let json: serde_json::Value = serde_json::from_str(&response.body).expect("JSON");
-        assert_eq!(json["choices"][0]["text"], expected("again", 0, 7));
+        assert_eq!(json["choices"][0]["text"], expected_text("again", 0, 7));
         assert_eq!(json["usage"]["completion_tokens"], 7);
     }
 }
@@ -43,7 +43,7 @@
         let response = caller.complete(address, "split", 9, true).await;
         let (text, complete) = parse_stream(&response.expect("a response").body);
         assert!(complete);
-        assert_eq!(text, expected("split", 0, 9));
+        assert_eq!(text, expected_text("split", 0, 9));
         fleet
             .engines
             .iter()
--- a/tests/system/failure.rs
+++ b/tests/system/failure.rs
@@ -5,7 +5,7 @@
 use cloud::vms::{Kind, State, Vm};
 use hyper::StatusCode;
 use protocol::order::Role;
-use standin::engine::{Engine, Faults, Setup, expected};
+use standin::engine::{Engine, Fault, Setup, expected_text};
 
 use crate::fleet::{
     Caller, FIELD_KEY, Fleet, completion_body, engine_setup, eventually, parse_stream,
@@ -29,7 +29,10 @@
                     .await?;
                 let (text, complete) = parse_stream(&response.body);
                 // a partial answer must not end as a complete one
-                assert_eq!(complete, text == expected(&prompt, 0, LONG_ANSWER_TOKENS));
+                assert_eq!(
+                    complete,
+                    text == expected_text(&prompt, 0, LONG_ANSWER_TOKENS)
+                );
                 complete.then_some(text)
             })
         })
@@ -110,17 +113,17 @@
 async fn a_broken_frame_never_reaches_a_caller() {
     // the fault, and whether the response must be complete; otherwise it may break off, but not end as complete
     let cases = [
-        (Faults::Cross, true),
-        (Faults::Double, true),
-        (Faults::CutAt(5), true),
-        (Faults::EndAt(5), true),
-        (Faults::SkipAt(5), true),
-        (Faults::Garbage, true),
-        (Faults::Refuse, true),
+        (Fault::ForeignFrames, true),
+        (Fault::DuplicateFrames, true),
+        (Fault::ResetAt(5), true),
+        (Fault::CloseAt(5), true),
+        (Fault::SkipAt(5), true),
+        (Fault::MalformedFrames, true),
+        (Fault::Refuse, true),
     ];
     for (fault, must_complete) in cases {
         let fleet = Fleet::start(mixed_engines(2), 1).await;
-        fleet.engines[0].fail(fault);
+        fleet.engines[0].set_fault(fault);
         let caller = Caller::new();
         for nth in 0..6 {
             let prompt = format!("case {nth}");
@@ -130,20 +133,20 @@
                 .expect("a response");
             let (text, complete) = parse_stream(&response.body);
             assert_eq!(complete, must_complete, "{fault:?}: {response:?}");
-            assert_eq!(text, expected(&prompt, 0, 12), "{fault:?}");
+            assert_eq!(text, expected_text(&prompt, 0, 12), "{fault:?}");
         }
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_unfinished_answer_never_ends_as_complete() {
-    let faults = [Faults::CutAt(5), Faults::EndAt(5), Faults::SkipAt(5)];
+    let faults = [Fault::ResetAt(5), Fault::CloseAt(5), Fault::SkipAt(5)];
     futures::future::join_all(faults.map(check_never_complete)).await;
 }
 
-async fn check_never_complete(fault: Faults) {
+async fn check_never_complete(fault: Fault) {
     let fleet = Fleet::start(mixed_engines(1), 1).await;
-    fleet.engines[0].fail(fault);
+    fleet.engines[0].set_fault(fault);
     let bearer = format!("Bearer {FIELD_KEY}");
     let headers = [("authorization", bearer.as_str())];
     let caller = Caller::new();
@@ -211,7 +214,7 @@
             fleet.engines[0].holds().role == Role::Decode
         })
         .await;
-        assert_eq!(fleet.engines[0].counts().cut, 0);
+        assert_eq!(fleet.engines[0].counts().interrupted, 0);
         assert_eq!(fleet.engines[0].counts().changes, 1);
         let response = caller
             .complete(fleet.daemons[0].caller_address, "on", 5, true)
@@ -252,8 +255,8 @@
         kind: Kind::Endpoint,
         state,
     };
-    fleet.platform.list(vm(State::Live));
-    fleet.platform.leave(fleet.engines[0].address());
+    fleet.platform.add_vm(vm(State::Live));
+    fleet.platform.mark_leaving(fleet.engines[0].address());
     for daemon in 0..2 {
         eventually("the daemon lists the endpoint as leaving", async || {
             let (_, text) = fleet.run_client(daemon, &["status"]);
@@ -305,7 +308,7 @@
         })
         .await;
         let counts = fleet.engines[0].counts();
-        assert_eq!((counts.conflicts, counts.cut), (0, 0), "{counts:?}");
+        assert_eq!((counts.conflicts, counts.interrupted), (0, 0), "{counts:?}");
         assert_eq!(counts.changes, 1, "{counts:?}");
     }
 }
@@ -391,7 +394,7 @@
         async || fleet.engines[0].holds().role == Role::Decode,
     )
     .await;
-    assert_eq!(fleet.engines[0].counts().cut, 0);
+    assert_eq!(fleet.engines[0].counts().interrupted, 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -421,7 +424,7 @@
     })
     .await;
     let counts = fleet.engines[0].counts();
-    assert_eq!((counts.cut, counts.conflicts), (0, 0), "{counts:?}");
+    assert_eq!((counts.interrupted, counts.conflicts), (0, 0), "{counts:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
--- a/tests/system/settings.rs
+++ b/tests/system/settings.rs
@@ -1,6 +1,6 @@
 //! Settings: accepted changes take effect in all daemons and are never undone, under any failure.
 
-use standin::{link::Link, platform::Faults};
+use standin::{link::Link, platform::Fault};
 
 use crate::fleet::{Caller, Fleet, engine_setup, eventually, parse_stream, wait_until_ready};
 use protocol::order::Role;
@@ -68,13 +68,13 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn the_outcome_of_a_commit_whose_response_was_lost_is_determined() {
     let fleet = Fleet::start(Vec::new(), 2).await;
-    fleet.platform.fail(Faults::LostAnswers);
+    fleet.platform.set_fault(Fault::LostResponses);
     let (code, text) = fleet.run_client(0, &["set", "group/field", "share=5"]);
     assert_eq!(code, 0, "{text}");
-    fleet.platform.fail(Faults::LostWrites);
+    fleet.platform.set_fault(Fault::LostWrites);
     let (code, text) = fleet.run_client(0, &["set", "group/field", "share=6"]);
     assert_eq!(code, 3, "{text}");
-    fleet.platform.fail(Faults::None);
+    fleet.platform.set_fault(Fault::None);
     eventually("the accepted change is in force", async || {
         settings_version(&fleet, 1) == 2
     })
@@ -88,7 +88,7 @@
     let mut fleet = Fleet::start(vec![engine_setup(Role::Mixed, false)], 2).await;
     let (code, text) = fleet.run_client(0, &["set", "--wait", "group/field", "share=4"]);
     assert_eq!(code, 0, "{text}");
-    fleet.platform.fail(Faults::Down);
+    fleet.platform.set_fault(Fault::Unavailable);
     fleet.add_daemon();
     wait_until_ready(&fleet.daemons[2]).await;
     assert_eq!(settings_version(&fleet, 2), 2);
@@ -102,7 +102,7 @@
     let (code, text) = fleet.run_client(2, &["set", "group/field", "share=5"]);
     assert_eq!(code, 1, "{text}");
     assert!(text.contains("nothing was changed"), "{text}");
-    fleet.platform.fail(Faults::None);
+    fleet.platform.set_fault(Fault::None);
     eventually("changes are accepted again", async || {
         fleet.run_client(2, &["set", "group/field", "share=6"]).0 == 0
     })
@@ -126,7 +126,7 @@
     fleet.add_groups(GROUPS);
     fleet.add_daemon();
     wait_until_ready(&fleet.daemons[0]).await;
-    fleet.platform.fail(Faults::Down);
+    fleet.platform.set_fault(Fault::Unavailable);
     fleet.add_daemon();
     wait_until_ready(&fleet.daemons[1]).await;
     assert_eq!(settings_version(&fleet, 1), 2);
@@ -135,7 +135,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn without_peers_or_table_a_daemon_is_not_ready() {
     let mut fleet = Fleet::start(Vec::new(), 0).await;
-    fleet.platform.fail(Faults::Down);
+    fleet.platform.set_fault(Fault::Unavailable);
     fleet.add_daemon();
     let caller = Caller::new();
     let response = caller
@@ -143,7 +143,7 @@
         .await;
     let response = response.expect("a response");
     assert_eq!(response.run_header(), Some("not-run"));
-    fleet.platform.fail(Faults::None);
+    fleet.platform.set_fault(Fault::None);
     wait_until_ready(&fleet.daemons[0]).await;
 }
 
