--- a/tests/system/fleet.rs
+++ b/tests/system/fleet.rs
@@ -1,4 +1,4 @@
-//! A small fleet: stand-ins in the test's process, daemons as processes of their own.
+//! A small fleet for tests: stand-ins in the test's process, daemons as separate processes.
 
 use std::{
     io::{BufRead, BufReader},
@@ -25,34 +25,34 @@
     service::Service,
 };
 
-pub const TOKEN: &str = "operators-token";
-pub const KEY: &str = "field-key";
+pub const OPERATOR_TOKEN: &str = "operators-token";
+pub const FIELD_KEY: &str = "field-key";
 pub const ALARM_KEY: &str = "alarm-key";
-const WAIT: Duration = Duration::from_secs(30);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A daemon in a process of its own; dropping it kills it.
+/// A daemon process; dropping it kills the process.
 pub struct Daemon {
     pub child: Child,
-    pub callers: SocketAddr,
-    pub peers: SocketAddr,
-    pub status: SocketAddr,
+    pub caller_address: SocketAddr,
+    pub peer_address: SocketAddr,
+    pub status_address: SocketAddr,
 }
 
 impl Drop for Daemon {
     fn drop(&mut self) {
-        // one that has ended needs no kill
+        // the process may have exited already
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
 impl Daemon {
-    /// Sends a signal by name.
+    /// Sends a signal, given by name.
     pub fn signal(&self, name: &str) {
         let sent = Command::new("kill")
             .args(["-s", name, &self.child.id().to_string()])
             .status();
-        assert!(sent.expect("kill runs").success());
+        assert!(sent.expect("could not run kill").success());
     }
 }
 
@@ -61,9 +61,9 @@
     pub engines: Vec<Engine>,
     pub service: Service,
     pub daemons: Vec<Daemon>,
-    /// Where the next daemon finds the platform; its own address when none.
-    pub through: Option<SocketAddr>,
-    /// How long daemons wait for the table.
+    /// The platform address given to daemons that are added from now on; `None` for the platform's own.
+    pub platform_address_override: Option<SocketAddr>,
+    /// The setting `table_timeout` of daemons that are added from now on.
     pub table_timeout: &'static str,
     folder: PathBuf,
 }
@@ -74,11 +74,11 @@
     }
 }
 
-fn any() -> SocketAddr {
+fn any_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-pub fn setup(role: Role, fences: bool) -> Setup {
+pub fn engine_setup(role: Role, fences: bool) -> Setup {
     Setup {
         speed: Speed::quick(),
         fences,
@@ -90,22 +90,26 @@
 }
 
 impl Fleet {
-    /// Starts stand-ins with these engines, and so many daemons, all in one data centre.
+    /// Starts the stand-ins with these engines, and this many daemons, all in one data centre.
     pub async fn start(engines: Vec<Setup>, daemons: usize) -> Self {
-        let platform = Platform::start(any()).await.expect("platform");
-        let service = Service::start(any()).await.expect("service");
-        let mut running = Vec::new();
-        for setup in engines {
-            running.push(Engine::start(any(), setup).await.expect("engine"));
+        let platform = Platform::start(any_port()).await.expect("platform");
+        let service = Service::start(any_port()).await.expect("service");
+        let mut started_engines = Vec::new();
+        for engine_setup in engines {
+            started_engines.push(
+                Engine::start(any_port(), engine_setup)
+                    .await
+                    .expect("engine"),
+            );
         }
         let folder = std::env::temp_dir().join(format!("wrenramp-{:016x}", rand::random::<u64>()));
         std::fs::create_dir_all(&folder).expect("folder");
         let mut fleet = Self {
             platform,
-            engines: running,
+            engines: started_engines,
             service,
             daemons: Vec::new(),
-            through: None,
+            platform_address_override: None,
             table_timeout: "500ms",
             folder,
         };
@@ -114,12 +118,12 @@
             fleet.add_daemon();
         }
         for daemon in &fleet.daemons {
-            ready(daemon).await;
+            wait_until_ready(daemon).await;
         }
         fleet
     }
 
-    /// Writes the first settings as a daemon would.
+    /// Writes the initial settings to the table in the form in which a daemon writes them.
     fn write_settings(&self) {
         let mut edits = vec![
             set("service/soil", "kind", "engines"),
@@ -128,7 +132,7 @@
             set("model/proctor", "service", "soil"),
             set("model/proctor", "version", "1"),
             set("fleet/roles", "roles", "fixed"),
-            set("group/field", "keys", &resolve::secret_digest(KEY)),
+            set("group/field", "keys", &resolve::secret_digest(FIELD_KEY)),
             set("group/alarm", "keys", &resolve::secret_digest(ALARM_KEY)),
             set("group/alarm", "priority", "9"),
             set("group/alarm", "priority_max", "9"),
@@ -144,26 +148,26 @@
             edits.push(set(&path, "service", "soil"));
             edits.push(set(&path, "address", &engine.address().to_string()));
         }
-        let tree = Tree::default().apply(&edits).expect("settings are fine");
+        let tree = Tree::default().apply(&edits).expect("valid settings");
         let change = Change {
             version: 1,
             operator: "test".to_owned(),
             edits,
             token: 1,
         };
-        let json = |value: &dyn erased::Json| value.text();
+        let to_json = |value: &dyn json::ToJson| value.to_json();
         let mut transaction = Transaction::default()
             .write("settings/head", r#"{"version":1,"token":1}"#.to_owned())
-            .write("settings/log/000000000001", json(&change));
+            .write("settings/log/000000000001", to_json(&change));
         for node in &tree.nodes {
-            transaction = transaction.write(&format!("settings/node/{}", node.path), json(node));
+            transaction = transaction.write(&format!("settings/node/{}", node.path), to_json(node));
         }
         let _ = self.platform.commit(&transaction);
     }
 
-    /// Gives the settings in the table so many groups more, as a second version. For before any daemon starts, as the
-    /// change itself is not told.
-    pub fn grow(&self, groups: usize) {
+    /// Adds this many groups to the settings in the table, as version 2. Must be called before a daemon is started, as
+    /// the row of the change itself is not written.
+    pub fn add_groups(&self, groups: usize) {
         let mut transaction =
             Transaction::default().write("settings/head", r#"{"version":2,"token":2}"#.to_owned());
         for n in 0..groups {
@@ -175,19 +179,21 @@
                 ],
             };
             let row = format!("settings/node/{}", node.path);
-            transaction = transaction.write(&row, erased::Json::text(&node));
+            transaction = transaction.write(&row, json::ToJson::to_json(&node));
         }
         let _ = self.platform.commit(&transaction);
     }
 
-    /// The settings file of a daemon.
-    fn file(&self, number: usize) -> String {
+    /// Returns the contents of the settings file of a daemon.
+    fn settings_file(&self, number: usize) -> String {
         let seeds: Vec<String> = self
             .daemons
             .iter()
-            .map(|daemon| format!("\"{}\"", daemon.peers))
+            .map(|daemon| format!("\"{}\"", daemon.peer_address))
             .collect();
-        let address = self.through.unwrap_or(self.platform.address());
+        let address = self
+            .platform_address_override
+            .unwrap_or(self.platform.address());
         format!(
             r#"[daemon]
 name = "entry-{number}"
@@ -214,18 +220,18 @@
 stop_lag = "300ms"
 "#,
             seeds.join(", "),
-            resolve::secret_digest(TOKEN),
+            resolve::secret_digest(OPERATOR_TOKEN),
             self.table_timeout,
         )
     }
 
-    /// Starts one more daemon; it may not be ready yet.
+    /// Starts one more daemon, without waiting until it is ready.
     pub fn add_daemon(&mut self) {
         let number = self.daemons.len();
         let path = self
             .folder
             .join(format!("{number}-{:x}.toml", rand::random::<u32>()));
-        std::fs::write(&path, self.file(number)).expect("settings file");
+        std::fs::write(&path, self.settings_file(number)).expect("settings file");
         let mut child = Command::new(env!("CARGO_BIN_EXE_wrenrampd"))
             .arg("-c")
             .arg(&path)
@@ -233,46 +239,46 @@
             .stdout(Stdio::piped())
             .stderr(Stdio::inherit())
             .spawn()
-            .expect("daemon starts");
+            .expect("could not start the daemon");
         let mut line = String::new();
         BufReader::new(child.stdout.take().expect("stdout"))
             .read_line(&mut line)
-            .expect("addresses");
+            .expect("a line with the addresses");
         let words: Vec<&str> = line.split_whitespace().collect();
-        let address = |at: usize| words[at].parse().expect("an address");
+        let address = |index: usize| words[index].parse().expect("an address");
         self.daemons.push(Daemon {
             child,
-            callers: address(1),
-            peers: address(3),
-            status: address(5),
+            caller_address: address(1),
+            peer_address: address(3),
+            status_address: address(5),
         });
     }
 
-    /// Runs the operators' client against a daemon; gives its exit code and what it printed.
-    pub fn operate(&self, daemon: usize, arguments: &[&str]) -> (i32, String) {
+    /// Runs the operators' client against a daemon. Returns its exit code and its output.
+    pub fn run_client(&self, daemon: usize, arguments: &[&str]) -> (i32, String) {
         let output = Command::new(env!("CARGO_BIN_EXE_wrenramp"))
             .arg("--daemon")
-            .arg(self.daemons[daemon].peers.to_string())
+            .arg(self.daemons[daemon].peer_address.to_string())
             .args(arguments)
-            .env("WRENRAMP_TOKEN", TOKEN)
+            .env("WRENRAMP_TOKEN", OPERATOR_TOKEN)
             .output()
-            .expect("client runs");
+            .expect("could not run the client");
         let mut text = String::from_utf8_lossy(&output.stdout).into_owned();
         text.push_str(&String::from_utf8_lossy(&output.stderr));
         (output.status.code().unwrap_or(-1), text)
     }
 }
 
-mod erased {
-    //! A value that has a JSON form.
+mod json {
+    //! Serialization to JSON through a trait object.
 
-    pub trait Json {
-        fn text(&self) -> String;
+    pub trait ToJson {
+        fn to_json(&self) -> String;
     }
 
-    impl<T: serde::Serialize> Json for T {
-        fn text(&self) -> String {
-            serde_json::to_string(self).expect("a JSON form")
+    impl<T: serde::Serialize> ToJson for T {
+        fn to_json(&self) -> String {
+            serde_json::to_string(self).expect("serializable to JSON")
         }
     }
 }
@@ -285,20 +291,20 @@
     }
 }
 
-/// A caller's client.
+/// An HTTP client of a caller.
 #[derive(Clone)]
 pub struct Caller(Client<HttpConnector, Full<Bytes>>);
 
-/// A whole answer.
+/// A complete HTTP response.
 #[derive(Debug)]
-pub struct Answer {
+pub struct Response {
     pub status: StatusCode,
     pub headers: HeaderMap,
     pub body: String,
 }
 
-impl Answer {
-    pub fn run(&self) -> Option<&str> {
+impl Response {
+    pub fn run_header(&self) -> Option<&str> {
         self.headers.get("x-wrenramp-run")?.to_str().ok()
     }
 }
@@ -308,7 +314,7 @@
         Self(Client::builder(TokioExecutor::new()).build_http())
     }
 
-    /// Sends a request and gives the answer's head.
+    /// Sends a request and returns the response once its headers have arrived.
     pub async fn send(
         &self,
         address: SocketAddr,
@@ -324,75 +330,79 @@
         self.0.request(request).await
     }
 
-    /// Sends a request and reads the whole answer; none when it breaks.
-    pub async fn ask(
+    /// Sends a request and reads the whole response; `None` if the connection fails or breaks off.
+    pub async fn request(
         &self,
         address: SocketAddr,
         path: &str,
         headers: &[(&str, &str)],
         body: &str,
-    ) -> Option<Answer> {
+    ) -> Option<Response> {
         let response = self.send(address, path, headers, body).await.ok()?;
         let (head, body) = response.into_parts();
         let bytes = body.collect().await.ok()?.to_bytes();
-        Some(Answer {
+        Some(Response {
             status: head.status,
             headers: head.headers,
             body: String::from_utf8_lossy(&bytes).into_owned(),
         })
     }
 
-    /// A completion with the field group's key.
+    /// Requests a completion with the key of the group `field`.
     pub async fn complete(
         &self,
         address: SocketAddr,
         prompt: &str,
         tokens: u64,
         stream: bool,
-    ) -> Option<Answer> {
-        let bearer = format!("Bearer {KEY}");
+    ) -> Option<Response> {
+        let bearer = format!("Bearer {FIELD_KEY}");
         let headers = [("authorization", bearer.as_str())];
-        let body = completion(prompt, tokens, stream);
-        self.ask(address, "/v1/completions", &headers, &body).await
+        let body = completion_body(prompt, tokens, stream);
+        self.request(address, "/v1/completions", &headers, &body)
+            .await
     }
 }
 
-pub fn completion(prompt: &str, tokens: u64, stream: bool) -> String {
+pub fn completion_body(prompt: &str, tokens: u64, stream: bool) -> String {
     format!(r#"{{"model":"proctor","prompt":"{prompt}","max_tokens":{tokens},"stream":{stream}}}"#)
 }
 
-/// The text of a streamed answer, and whether it ended as a whole one does.
-pub fn streamed(body: &str) -> (String, bool) {
+/// Returns the text of a streamed response, and whether it ended as a complete one.
+pub fn parse_stream(body: &str) -> (String, bool) {
     let mut text = String::new();
-    let mut whole = false;
+    let mut complete = false;
     for line in body.lines().filter_map(|line| line.strip_prefix("data: ")) {
         if line == "[DONE]" {
-            whole = true;
+            complete = true;
         } else if let Ok(event) = serde_json::from_str::<serde_json::Value>(line) {
             text.push_str(event["choices"][0]["text"].as_str().unwrap_or_default());
         }
     }
-    (text, whole)
+    (text, complete)
 }
 
 /// Waits until a daemon is ready.
-pub async fn ready(daemon: &Daemon) {
+pub async fn wait_until_ready(daemon: &Daemon) {
     let caller = Caller::new();
     eventually("a daemon is ready", async || {
-        let request = Request::get(format!("http://{}/readyz", daemon.status))
+        let request = Request::get(format!("http://{}/readyz", daemon.status_address))
             .body(Full::default())
             .expect("request");
-        let answer = caller.0.request(request).await;
-        answer.is_ok_and(|answer| answer.status() == StatusCode::OK)
+        let response = caller.0.request(request).await;
+        response.is_ok_and(|response| response.status() == StatusCode::OK)
     })
     .await;
 }
 
-/// Waits until something holds; the bound only ends a test that would never end.
-pub async fn eventually(what: &str, mut holds: impl AsyncFnMut() -> bool) {
-    let until = Instant::now() + WAIT;
+/// Waits until a condition holds. The timeout only ends a test that would otherwise hang.
+pub async fn eventually(condition: &str, mut holds: impl AsyncFnMut() -> bool) {
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     while !holds().await {
-        assert!(Instant::now() < until, "never: {what}");
+        assert!(
+            Instant::now() < deadline,
+            "timed out waiting until {condition}"
+        );
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
--- a/tests/system/main.rs
+++ b/tests/system/main.rs
@@ -1,9 +1,9 @@
-//! Daemons as real processes against stand-ins: the whole path, and failures on the way.
+//! System tests: daemons as separate processes against stand-ins, with and without failures.
 
-mod callers;
+mod at_most_once;
+mod bad_input;
 mod decisions;
+mod end_to_end;
 mod failure;
 mod fleet;
-mod once;
-mod path;
 mod settings;
