--- a/components/call/src/body.rs
+++ b/components/call/src/body.rs
@@ -26,9 +26,9 @@
 
 /// Reads a body completely. Limits its size and the time between two frames, but not the total time.
 ///
-/// The total time depends on the size and the link, neither of which is bounded. With a limit on the total time, a
-/// partial body is discarded and requested again: a configuration of 680 KB over 10 Mbit/s never arrived within 600 ms,
-/// and each attempt loaded the link as much as a successful one.
+/// The total time depends on the size and the link, neither of which is bounded. A limit on the total time
+/// would discard the partial bodies of slow links and request them again: with 600 ms, a configuration of 680 KB never
+/// arrived over 10 Mbit/s, and each attempt loaded the link as much as a successful one.
 ///
 /// # Errors
 ///
@@ -42,7 +42,7 @@
 where
     B: Body<Data = Bytes> + Unpin,
 {
-    // an announced length above the limit is rejected before any of the body is read
+    // an announced length above the limit is refused before any of the body is read
     let content_length = usize::try_from(body.size_hint().lower()).unwrap_or(usize::MAX);
     if content_length > max_bytes {
         return Err(BodyError::TooLarge { max_bytes });
--- a/components/call/src/lib.rs
+++ b/components/call/src/lib.rs
@@ -22,7 +22,8 @@
     /// No byte was sent.
     #[display("not sent")]
     NotSent,
-    /// The service answered with this error status; the call had no effect.
+    /// The service answered with this error status. By contract with the services, the call had no effect, whatever
+    /// the status.
     #[display("refused with status {_0}")]
     Status(#[error(not(source))] u16),
     /// No complete response arrived; the call may have had an effect.
--- a/components/caller/src/exchange.rs
+++ b/components/caller/src/exchange.rs
@@ -50,7 +50,7 @@
 #[derive(Debug)]
 pub struct Exchange {
     state: Mutex<State>,
-    /// Attempts in which the last request may have executed; kept after the request has ended.
+    /// Number of attempts that may have executed the last request; kept after the request has ended.
     executions: AtomicU32,
 }
 
@@ -151,7 +151,7 @@
         })
     }
 
-    /// Whether the last request may have executed.
+    /// Whether the last request may have been executed.
     #[must_use]
     pub fn may_have_executed(&self) -> bool {
         self.executions.load(Ordering::Relaxed) > 0
@@ -161,6 +161,7 @@
     pub fn sent_bytes(&self) {
         if let Some(request) = &mut self.state.lock().request {
             request.stage = match request.stage {
+                // an interim or early response does not end the reception of the body
                 Stage::Receiving => Stage::Receiving,
                 Stage::Waiting | Stage::Responding => Stage::Responding,
             };
--- a/components/caller/src/socket.rs
+++ b/components/caller/src/socket.rs
@@ -24,10 +24,11 @@
 
 /// Sent to a caller that may have disconnected. HTTP/1.1 clients skip interim responses and go on waiting.
 const INTERIM_RESPONSE: &[u8] = b"HTTP/1.1 102 Processing\r\n\r\n";
-/// Time from the end of stream to the first check for a disconnected caller: a few round-trip times.
+/// Delay before the second check for a disconnected caller, a few round-trip times. The first check is made at the end
+/// of stream.
 const FIRST_CHECK_DELAY: Duration = Duration::from_millis(10);
-/// The time between checks doubles up to this limit: operators require that a disconnected caller is noticed within
-/// half a second.
+/// Maximum time between checks, which doubles from `FIRST_CHECK_DELAY`. Operators require that a disconnected caller is
+/// noticed within half a second.
 const MAX_CHECK_INTERVAL: Duration = Duration::from_millis(160);
 
 /// The socket of a caller's connection.
--- a/components/clock/src/lib.rs
+++ b/components/clock/src/lib.rs
@@ -1,8 +1,8 @@
 //! A clock and timers that include the time for which the machine was suspended.
 //!
-//! The monotonic clock that [`tokio::time`] and [`std::time::Instant`] read stands still while the machine is
-//! suspended, but for callers, peers and the store time goes on. A lease or a deadline measured on it would last too
-//! long by the time of the suspension. See `docs/DESIGN.md#clocks`.
+//! The monotonic clock that [`tokio::time`] and [`std::time::Instant`] read does not advance while the machine is
+//! suspended, but the clocks of callers, peers and the store do. A lease or a deadline measured with it would be
+//! extended by the duration of the suspension. See `docs/DESIGN.md#clocks`.
 
 mod suspension;
 mod timer;
--- a/components/clock/src/suspension.rs
+++ b/components/clock/src/suspension.rs
@@ -13,7 +13,7 @@
 
 /// Time between two checks for a suspension; timers that came due during a suspension fire up to this much late.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// Smaller differences between two readings come from the readings themselves, not from a suspension.
+/// Smaller differences between two readings are measurement noise, not a suspension.
 const MIN_SUSPENSION: Duration = Duration::from_millis(10);
 
 /// The offset of the boot-time clock from the monotonic clock at the first reading, in nanoseconds.
--- a/components/cloud/src/table/mod.rs
+++ b/components/cloud/src/table/mod.rs
@@ -100,7 +100,7 @@
 /// Why a call to the table service failed.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 pub enum Error {
-    /// The service could not be reached or rejected the call; the transaction was not applied.
+    /// The service could not be reached or refused the call; the transaction was not applied.
     #[display("the table service refused or was not reached; nothing took effect")]
     NotApplied,
     /// No valid answer arrived; the transaction may have been applied, or may be applied later.
@@ -108,7 +108,7 @@
     OutcomeUnknown,
 }
 
-/// The operations that the daemon needs of a table service.
+/// The operations that daemons and gateways need of a table service.
 pub trait Table: Send + Sync {
     /// Reads rows, sorted by key; absent rows are omitted.
     fn read(&self, read: Read) -> BoxFuture<'_, Result<Vec<Row>, Error>>;
--- a/components/cloud/src/vms/mod.rs
+++ b/components/cloud/src/vms/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's VM list, which lags behind the actual state.
+//! The cloud's VM list, which lags behind the actual state.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -8,7 +8,7 @@
 
 use call::Client;
 
-/// State of a VM according to the platform.
+/// State of a VM as the cloud reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum VmState {
@@ -37,7 +37,7 @@
     pub data_centre: String,
     /// The kind of process that it runs.
     pub kind: VmKind,
-    /// Whether it is running or about to be removed.
+    /// Its state as the cloud reports it.
     pub state: VmState,
 }
 
--- a/components/daemon/src/process/claims.rs
+++ b/components/daemon/src/process/claims.rs
@@ -20,7 +20,7 @@
 pub const PREFIX: &str = "claim/";
 const MAX_CLAIMS_PER_TRANSACTION: usize = 64;
 /// Maximum number of outcomes that wait to be written. Beyond it the oldest is dropped; its claim then
-/// reads as "unknown", which is never wrong.
+/// counts as "unknown", which is always safe.
 const MAX_PENDING_OUTCOMES: usize = 8_192;
 const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
 const MAX_BACKOFF: Duration = Duration::from_secs(5);
@@ -144,7 +144,7 @@
 /// again.
 async fn write_claim_batch(process: &Process, mut claims: Vec<PendingClaim>) {
     // of several claims of a key only the first is written; the others are dropped, which their requests
-    // see as `Write::Unclear`
+    // see as `WriteOutcome::Unclear`
     claims.sort_by(|a, b| a.key.cmp(&b.key));
     claims.dedup_by(|later, first| later.key == first.key);
     while !claims.is_empty() {
--- a/components/daemon/src/process/gates.rs
+++ b/components/daemon/src/process/gates.rs
@@ -1,4 +1,4 @@
-//! The gates of all endpoints. Each request in flight holds its endpoint's gate through a guard.
+//! The gates of all endpoints. Each request in flight is counted at its endpoint's gate by a guard.
 //!
 //! See `docs/DESIGN.md#closing-an-endpoint`.
 
--- a/components/daemon/src/process/members.rs
+++ b/components/daemon/src/process/members.rs
@@ -188,9 +188,11 @@
                 .any(|member| member.incarnation == incarnation)
     }
 
-    /// Whether a daemon's VM is known to be gone: it is not in the VM list, and either it was there before,
-    /// or the last heartbeat (or, without any, the first mention of it) is longer ago than the list may lag
-    /// behind.
+    /// Whether a daemon's VM is known to be gone: it is not in the VM list, and one of these holds:
+    ///
+    /// - it was in the list before;
+    /// - the daemon's last heartbeat or, if there was none, its first mention by another daemon is longer ago
+    ///   than `lag`, by which the list may be behind.
     pub fn is_gone(&self, address: SocketAddr, lag: Duration) -> bool {
         let state = self.lock();
         let known = state.members.iter().find(|m| m.address == address);
@@ -201,7 +203,7 @@
                 || known.is_some_and(|member| member.known_since.elapsed() > lag))
     }
 
-    /// The addresses for a round of heartbeats: all if they are few, else a section that rotates.
+    /// The addresses for a round of heartbeats: all, or [`MAX_HEARTBEATS_PER_ROUND`] of them in rotation.
     pub fn heartbeat_targets(&self, own: SocketAddr, round: usize) -> Vec<SocketAddr> {
         let mut targets = self.addresses(own);
         if targets.len() > MAX_HEARTBEATS_PER_ROUND {
--- a/components/daemon/src/process/mod.rs
+++ b/components/daemon/src/process/mod.rs
@@ -86,7 +86,7 @@
     vms: Box<dyn vms::VmList>,
     /// The settings version in force.
     pub current: Current,
-    /// Held while settings are fetched from a peer.
+    /// Held while newer settings that a heartbeat reported are fetched.
     fetch_lock: tokio::sync::Mutex<()>,
     /// The other daemons that are known.
     pub members: Members,
@@ -292,7 +292,7 @@
     })
 }
 
-/// Number of consecutive heartbeats without which a member counts as unreachable.
+/// Number of heartbeat intervals without a heartbeat after which a member counts as unreachable.
 const MAX_MISSED_HEARTBEATS: u32 = 4;
 
 async fn bind(address: SocketAddr) -> Result<TcpListener, Error> {
--- a/components/daemon/src/process/operators.rs
+++ b/components/daemon/src/process/operators.rs
@@ -22,7 +22,8 @@
 /// The operators' service.
 pub struct Operators(pub Arc<Process>);
 
-/// Maximum number of attempts to commit a change without a base version while other changes come first.
+/// Maximum number of attempts to commit a change that names no base version, when other changes are committed
+/// in between.
 const MAX_COMMIT_ATTEMPTS: u32 = 8;
 /// Maximum number of changes in one reply.
 const MAX_LOG_CHANGES: u64 = 200;
--- a/components/daemon/src/process/orders/mod.rs
+++ b/components/daemon/src/process/orders/mod.rs
@@ -45,13 +45,13 @@
 /// The next action for an endpoint. Rows come with the version that they replace.
 #[derive(Clone, Debug)]
 pub enum Task {
-    /// Close the endpoint at all daemons, then send the order.
+    /// Close the endpoint at all daemons, then commit the intent and send the order.
     CloseAndOrder(ChangeRequest, Row, u64),
     /// Nothing was sent: open the endpoint again.
     Reopen(Id, Row, u64),
     /// Send the same order again.
     Resend(ChangeRequest, Row, u64),
-    /// The requested state is reached: remove the operator's row.
+    /// The wanted state is reached: remove the operator's row.
     Fulfilled(ChangeRequest),
 }
 
@@ -191,8 +191,9 @@
         wanted: row.wanted.clone(),
     };
     if !steward::is_lease_valid(process, held) {
-        // the lease has expired, as when the process was suspended: the order will never be sent, and recording
-        // that lets a successor proceed
+        // The lease has expired, as when the process was stopped for a while: the order will never be sent,
+        // and recording that lets a successor proceed. A suspension of the machine is not noticed here,
+        // because the lease is measured on a clock that stands still during it.
         withdraw_sender(process, &request.id, row.number).await;
         return;
     }
@@ -267,9 +268,9 @@
     })
 }
 
-/// Determines the outcome of an order whose response was lost. The order was sent once, so when the
-/// engine's report shows its number, that copy has arrived. If the engine has restarted, the copy was lost
-/// with the connection.
+/// Determines the outcome of an order whose response was lost. When the engine's report shows the order's
+/// number, a copy of the order has arrived: this sender's or, after a resend, perhaps the one of an earlier
+/// sender. If the engine has restarted, the copy counts as lost with the connection.
 async fn find_outcome(
     process: &Process,
     address: SocketAddr,
@@ -294,7 +295,7 @@
     CallOutcome::Lost
 }
 
-/// Removes the operator's row once the requested state is reached.
+/// Removes the operator's row once the wanted state is reached.
 async fn remove_request(process: &Process, held: &HeldLease, request: &ChangeRequest) {
     let Some((key, version)) = &request.operator_row else {
         return;
--- a/components/daemon/src/process/pool/entry.rs
+++ b/components/daemon/src/process/pool/entry.rs
@@ -1,5 +1,5 @@
 //! The state of one endpoint. This daemon's own dispatches are exact, those of its peers are as old as
-//! their last heartbeats, and the endpoint's own report is older still.
+//! their last heartbeats, and the endpoint's own report may be older.
 
 use std::{
     sync::Arc,
@@ -23,7 +23,7 @@
 const QUARANTINE_DURATION: Duration = Duration::from_secs(1);
 /// Maximum age of an engine's report; with an older one the engine counts as unavailable.
 const MAX_REPORT_AGE: Duration = Duration::from_secs(3);
-/// Assumed one-way delay to endpoints in other data centres, which is not measured.
+/// Assumed one-way delay to endpoints in remote data centres.
 const REMOTE_ONE_WAY_DELAY_US: Micros = 2_000;
 /// Maximum number of cache blocks that are remembered per engine.
 const MAX_CACHED_BLOCKS: usize = 65_536;
@@ -254,7 +254,9 @@
         }
     }
 
-    /// This daemon's dispatches to the endpoint, as reported to peers.
+    /// This daemon's dispatches to the endpoint, as reported to peers. In the message, `reading` holds the
+    /// tokens to prefill by priority class, `in_flight` the requests that decode or will decode, and
+    /// `written_tokens` the decoded tokens.
     pub fn load(&self) -> wire::Load {
         wire::Load {
             endpoint: self.id.number,
--- a/components/daemon/src/process/pool/mod.rs
+++ b/components/daemon/src/process/pool/mod.rs
@@ -64,18 +64,19 @@
 /// Why a request was not placed. It was not executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlacementError {
-    /// It cannot complete before its deadline.
+    /// It cannot complete before its deadline, it was not placed by its latest start, or its group was
+    /// removed while it waited.
     WouldMissDeadline {
-        /// When a retry may succeed.
+        /// Time after which a retry may succeed.
         retry_after: Duration,
     },
     QueueFull {
-        /// When a retry may succeed.
+        /// Time after which a retry may succeed.
         retry_after: Duration,
     },
     /// No endpoint accepts requests.
     NoEndpoint {
-        /// When a retry may succeed.
+        /// Time after which a retry may succeed.
         retry_after: Duration,
     },
 }
@@ -142,7 +143,7 @@
         self: &Arc<Self>,
         requirements: Requirements,
     ) -> Result<Grant, PlacementError> {
-        // it would miss its deadline even on an idle engine
+        // refuses a request that would miss its deadline even on an idle engine
         let output = self.queue().expected_output(&requirements);
         let unloaded_time =
             Duration::from_micros(self.estimate_unloaded_time(requirements.prompt_tokens, output));
@@ -333,7 +334,7 @@
         u64::try_from(available.count()).unwrap_or(0)
     }
 
-    /// When a refused caller should retry.
+    /// Time after which a refused caller should retry.
     pub fn retry_after(&self) -> Duration {
         let entries = self.entries();
         let candidates: Vec<route::Engine> = entries
--- a/components/daemon/src/process/pool/queue.rs
+++ b/components/daemon/src/process/pool/queue.rs
@@ -74,6 +74,7 @@
             id,
             priority: requirements.priority,
             work,
+            // in the fair queue, a deadline is the latest start
             deadline: pool.micros(start_by),
         };
         self.fair.push(group, queued);
--- a/components/daemon/src/process/registration.rs
+++ b/components/daemon/src/process/registration.rs
@@ -31,7 +31,7 @@
 pub enum State {
     /// The first attempt is in flight; nothing is dispatched yet.
     Registering,
-    /// The table was unavailable. The daemon serves on what its peers report.
+    /// The table was unavailable. The daemon uses the settings and closed endpoints that its peers report.
     Unregistered,
     /// Registered, and afterwards the endpoints that are being closed were read.
     Registered,
@@ -93,6 +93,7 @@
         .collect()
 }
 
+/// Closes the gates of the endpoints whose rows forbid dispatch. Returns whether the rows could be read.
 async fn close_gates_under_order(process: &Process) -> bool {
     let Ok(rows) = process.store.read(by_prefix(super::orders::PREFIX)).await else {
         return false;
--- a/components/daemon/src/process/settings_sync.rs
+++ b/components/daemon/src/process/settings_sync.rs
@@ -31,8 +31,8 @@
 /// versions through heartbeats and poll less often.
 const POLLERS_PER_DATA_CENTRE: usize = 2;
 const NON_POLLER_INTERVAL_FACTOR: u32 = 5;
-/// Timeout for fetching a whole tree from a peer. The largest one measured, 5.6 MB with 45,000 groups,
-/// takes this long at 2 Mbit/s. A call to a peer that stops responding fails sooner, see `super::members`.
+/// Timeout for fetching a whole tree from a peer. A tree of 5.6 MB with 45,000 groups takes about
+/// this long at 2 Mbit/s. A call to a peer that stops responding fails sooner, see `super::members`.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(25);
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -47,8 +47,8 @@
     let interval: Duration = process.settings.control.settings_poll.into();
     let mut next_slow_poll = Instant::now();
     let mut registration = process.registration.subscribe();
-    // a daemon dispatches only after it has registered or, if the table is unavailable, on what its peers
-    // report
+    // a daemon dispatches only after it has registered or, if the table is unavailable, with the settings and
+    // closed endpoints that its peers report
     let _ = registration
         .wait_for(|state| *state != registration::State::Registering)
         .await;
@@ -68,7 +68,8 @@
     }
 }
 
-/// Whether this daemon is one of its data centre's pollers: those with the lowest incarnations.
+/// Whether this daemon is one of its data centre's pollers: those with the lowest incarnations. They also
+/// remove expired claims.
 pub fn is_poller(process: &Process) -> bool {
     let before = process
         .members
@@ -141,7 +142,8 @@
     format!("{LOG_PREFIX}{version:012}")
 }
 
-/// Applies the highest version among the peers. Used by a new daemon while the table is unavailable.
+/// Applies the highest version among the peers, and closes the endpoints that they report as closed. Used
+/// by a new daemon while the table is unavailable.
 async fn update_from_peers(process: &Arc<Process>) {
     let addresses = process.members.addresses(process.addresses.peers);
     let fetches = addresses
--- a/components/daemon/src/process/status.rs
+++ b/components/daemon/src/process/status.rs
@@ -1,4 +1,4 @@
-//! Metrics and health checks over HTTP, for the platform and for people.
+//! Metrics and health checks over HTTP, for the load balancer, monitoring and operators.
 
 use std::{convert::Infallible, sync::Arc};
 
--- a/components/daemon/src/process/steward/mod.rs
+++ b/components/daemon/src/process/steward/mod.rs
@@ -41,7 +41,7 @@
     service: String,
     watch: Option<RenewalWatch>,
     held: Option<HeldLease>,
-    /// How long this daemon may act without another renewal.
+    /// Until when this daemon may act without another renewal.
     valid_until: Instant,
     planner: Planner,
     /// Held while an order is being carried out.
@@ -281,8 +281,9 @@
     log::info!("became steward of {service} in epoch {}", next.epoch);
 }
 
-/// Whether the lease is still valid by this daemon's own clock. Safety does not depend on this: the epoch
-/// in the table ensures it.
+/// Whether the lease is still valid by this daemon's own clock, which stands still while the machine is
+/// suspended: after a suspension the lease seems valid for too long. Safety does not depend on this: the
+/// epoch in the table ensures it.
 pub fn is_lease_valid(process: &Process, held: &HeldLease) -> bool {
     with_stewardship(process, &held.service, |stewardship| {
         stewardship.held.as_ref() == Some(held) && Instant::now() < stewardship.valid_until
--- a/components/daemon/src/process/steward/planner.rs
+++ b/components/daemon/src/process/steward/planner.rs
@@ -24,9 +24,9 @@
     store,
 };
 
-/// Assumed time that an engine is unavailable for a change, including its drain; it is not measured.
+/// Assumed time for which an engine is unavailable during a change, including its drain.
 const ASSUMED_CHANGE_DURATION: Duration = Duration::from_secs(10);
-/// Number of requests decoding together that demand is estimated with.
+/// Assumed number of requests that an engine decodes together, for the estimate of demand.
 const TYPICAL_BATCH_REQUESTS: u64 = 16;
 const HOUR_US: u64 = 3_600_000_000;
 
@@ -213,7 +213,7 @@
     pool.is_some_and(|pool| pool.with_entry(id, |_| ()).is_some())
 }
 
-/// The task that brings an endpoint closer to the requested state.
+/// The task that brings an endpoint closer to the wanted state.
 fn next_task(
     process: &Process,
     held: &HeldLease,
--- a/components/daemon/src/process/store.rs
+++ b/components/daemon/src/process/store.rs
@@ -46,8 +46,8 @@
         result
     }
 
-    /// Commits a transaction. If the response is lost, reads back whether `key` has `value`, which must be
-    /// a value that no other write could have produced.
+    /// Commits a transaction. If the response is lost, reads `key` back and compares it with `value`, which
+    /// must be a value that no other write could have produced.
     pub async fn commit_confirmed(
         &self,
         transaction: Transaction,
--- a/components/daemon/src/request/body.rs
+++ b/components/daemon/src/request/body.rs
@@ -49,7 +49,7 @@
 pub async fn read(context: &mut Context, body: Incoming) -> Result<Bytes, Refusal> {
     let process = Arc::clone(&context.process);
     let limits = &process.settings.limits;
-    // rejects a body by its Content-Length, before any of it is read
+    // refuses a body by its Content-Length, before any of it is read
     let announced_length = body.size_hint().lower();
     if usize::try_from(announced_length).is_ok_and(|bytes| bytes > limits.body_bytes) {
         return Err(Reason::TooLarge.into());
--- a/components/daemon/src/request/idempotency.rs
+++ b/components/daemon/src/request/idempotency.rs
@@ -83,6 +83,7 @@
         WriteOutcome::Written => {}
     }
     let claim = ClaimGuard::new(Arc::clone(&process), key, row, written_version);
+    // always passes here; kept so that each dispatch depends on the rule that the `spec` crate checks
     if !claim::may_dispatch(write) {
         claim.not_executed();
         return Err(Reason::KeyUnread.into());
--- a/components/daemon/src/request/plain.rs
+++ b/components/daemon/src/request/plain.rs
@@ -140,8 +140,8 @@
         })
     }
 
-    /// Selects the open endpoint with the fewest requests in flight from this daemon, those in the
-    /// own data centre first.
+    /// Selects the open endpoint with the fewest requests in flight from this daemon, preferring
+    /// those in the local data centre.
     fn select_endpoint(&self, avoid: &[Id]) -> Option<(Entry, RequestGuard)> {
         let process = &self.context.process;
         let pool = process.pool(&self.service)?;
@@ -208,8 +208,8 @@
         })
     }
 
-    /// Streams an answer to the caller. If the endpoint's transfer breaks off, so does the
-    /// caller's.
+    /// Streams an answer to the caller. If the endpoint's transfer is aborted, so is the caller's. The
+    /// request is recorded as answered before the body is received.
     pub fn forward(self, answer: EndpointResponse) -> Response<Body> {
         let EndpointResponse { response, guard } = answer;
         let (head, body) = response.into_parts();
@@ -230,7 +230,7 @@
         response
     }
 
-    /// Records the outcome of the request in the timeline, the metrics and the retry budget.
+    /// Records that the request was answered: in the timeline, the metrics and the retry budget.
     pub fn record_answered(&self, outcome: &str) {
         let process = &self.context.process;
         lock(&process.retry_budget).record_success();
--- a/components/daemon/src/request/refusal.rs
+++ b/components/daemon/src/request/refusal.rs
@@ -1,7 +1,8 @@
 //! Error responses to callers, with a reason and whether the request was executed.
 //!
-//! `not-run` is sent only if the request was certainly not executed; in all other cases it is
-//! `unknown`. See `docs/OPERATIONS.md#what-each-refusal-means`.
+//! `not-run` says that the request was not executed, `unknown` that it may have been. An exception is
+//! [`Reason::NotTaken`] of a plain service, which is sent as `not-run` although an attempt before a
+//! retry may have executed the request. See `docs/OPERATIONS.md#what-each-refusal-means`.
 
 use std::time::Duration;
 
@@ -72,7 +73,8 @@
     /// No endpoint accepts requests. Holds the time after which a retry may help.
     #[display("no endpoint takes requests")]
     NoEndpoint(Duration),
-    /// All attempts failed, and none of them was executed.
+    /// All attempts failed, and none of them was executed. Only an idempotent request to a plain
+    /// service may have been executed, by an attempt that was followed by a retry.
     #[display("no endpoint took the request")]
     NotTaken,
     /// The answer was lost; the request may have been executed.
--- a/components/endpoint/src/engine/adapter.rs
+++ b/components/endpoint/src/engine/adapter.rs
@@ -9,7 +9,8 @@
 use super::{CacheEvent, Frame, Generate, Order, Report};
 use crate::Failure;
 
-/// Maximum length of a line in an answer; a longer line is treated as malformed.
+/// Limit on the buffered bytes without an end of line; beyond it an answer is treated as malformed. A line may be longer
+/// by one frame of the body.
 const MAX_LINE_BYTES: usize = 1 << 20;
 
 /// Client of engines over HTTP; one instance serves all engines.
--- a/components/endpoint/src/engine/prefix.rs
+++ b/components/endpoint/src/engine/prefix.rs
@@ -6,7 +6,7 @@
 pub const BYTES_PER_TOKEN: usize = 4;
 /// Tokens in one cache block.
 pub const BLOCK_TOKENS: usize = 64;
-/// Maximum number of blocks that are hashed; what follows in a longer prompt does not affect routing.
+/// Maximum number of blocks that are hashed; the rest of a longer prompt does not affect routing.
 pub const MAX_BLOCKS: usize = 256;
 
 /// Estimates the number of tokens in a text; at least one.
--- a/components/endpoint/src/lib.rs
+++ b/components/endpoint/src/lib.rs
@@ -1,6 +1,6 @@
 //! Clients of engines and plain services.
 //!
-//! An adapter says for every failure whether the request may have executed; the code above relies on that.
+//! An adapter says for every failure whether the request may have been executed; callers of this crate rely on that.
 
 pub mod engine;
 pub mod service;
@@ -13,10 +13,11 @@
     /// No byte was sent: the request was not executed.
     #[display("the endpoint was not reached")]
     NotSent,
-    /// The endpoint answered that it does not execute the request.
+    /// The endpoint answered with this error status. By contract with the endpoints, it did not execute the request,
+    /// whatever the status.
     #[display("the endpoint refused with status {_0}")]
     Refused(#[error(not(source))] u16),
-    /// The request was sent, but no complete answer arrived: it may have executed.
+    /// The request was sent, but no complete answer arrived: it may have been executed.
     #[display("the endpoint's answer was lost")]
     Lost,
 }
--- a/components/protocol/src/lease.rs
+++ b/components/protocol/src/lease.rs
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Takes a new read of the renewal row; if the row changed, the term starts again.
+    /// Records a new read of the renewal row; if the row changed, the term starts again.
     pub fn observe(&mut self, renewal: Renewal, now_ms: u64) {
         if renewal != self.renewal {
             *self = Self::new(renewal, now_ms);
--- a/components/protocol/src/order.rs
+++ b/components/protocol/src/order.rs
@@ -53,7 +53,7 @@
 #[display("a role is prefill, decode or mixed")]
 pub struct UnknownRole;
 
-/// Desired state of an engine. An order gives it in full, never as a change, so that orders are
+/// Wanted state of an engine. An order gives it in full, never as a change, so that orders are
 /// idempotent.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Wanted {
@@ -78,11 +78,11 @@
     /// The order may have been sent, or may be sent at any time.
     #[display("intent")]
     Intent,
-    /// The sender's call has ended, and the engine has the desired state.
+    /// The sender's call has ended, and the engine has the wanted state.
     #[display("done")]
     Done,
-    /// The sender's call has ended, or was never sent, and the engine isn't known to have the
-    /// desired state. If the order may still take effect, its sender is in `possible_senders`.
+    /// The sender's call has ended, or was never made, and the engine isn't known to have the
+    /// wanted state. If the order may still take effect, its sender is in `possible_senders`.
     #[display("failed")]
     Failed,
     /// Abandoned while closing; daemons dispatch again.
@@ -93,16 +93,16 @@
 /// Row of the latest order to an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Row {
-    /// Number of the order, also its fencing token; incremented with each new order.
+    /// Number of the order, also its fencing number; incremented with each new order.
     pub number: u64,
     /// Epoch of the lease under which the row was committed.
     pub epoch: u64,
     /// Process that may send the order.
     pub sender: Incarnation,
-    /// Earlier senders whose copy of this same order may still take effect.
+    /// Senders whose copy of this order may still take effect.
     #[serde(rename = "earlier")]
     pub possible_senders: Vec<Incarnation>,
-    /// Desired state of the engine.
+    /// Wanted state of the engine.
     pub wanted: Wanted,
     /// Stage of the order.
     pub stage: Stage,
@@ -111,8 +111,8 @@
 impl Row {
     /// Whether this row forbids daemons to dispatch to the endpoint.
     ///
-    /// At the stage `Intent`, and at `Failed` with earlier senders, the order may take effect at
-    /// any time. That does no harm if the engine has the desired state already (`reached`), since
+    /// At the stage `Intent`, and at `Failed` with possible senders, the order may take effect at
+    /// any time. That does no harm if the engine has the wanted state already (`reached`), since
     /// orders are idempotent.
     #[must_use]
     pub fn blocks_dispatch(&self, reached: bool) -> bool {
@@ -137,20 +137,21 @@
     /// Wait until this process is certainly gone: a different order that it sent may still take
     /// effect.
     Wait(Incarnation),
-    /// Nothing to do: the last order reached the desired state.
+    /// Nothing to do: the last order reached the wanted state.
     Nothing,
 }
 
 /// Decides the next step of a steward that holds the lease with `epoch`.
 ///
-/// `is_gone` tells whether an incarnation certainly can't send any more: it is off the VM list, or
-/// its address answers as another incarnation. If the engine checks fencing tokens (`fences`), a
-/// new order doesn't wait for earlier senders, since its higher number makes the engine reject the
-/// older order. `no_copy_in_flight` tells that no copy of this order that `me` may have sent can
-/// take effect any more: it was never sent, or its call has ended.
+/// `is_gone` tells whether an incarnation certainly sends nothing any more. If the engine checks
+/// fencing numbers (`fences`), a new order doesn't wait for the possible senders of the last one,
+/// since its higher number makes the engine refuse the older order. `no_copy_in_flight` tells that
+/// no copy of this order that `me` may have sent can take effect any more: it was never sent, or
+/// its call has ended.
 ///
 /// Must be called only while `me` has no order to this endpoint in flight. A row with `me` as
-/// sender that is still open was therefore left behind by a lost answer of the table.
+/// sender that is still open was therefore left behind by a commit that failed or whose response
+/// was lost.
 #[must_use]
 pub fn next_step(
     row: Option<&Row>,
@@ -237,9 +238,9 @@
 /// Outcome of a sender's call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum CallOutcome {
-    /// The engine has the desired state.
+    /// The engine has the wanted state.
     Reached,
-    /// The engine doesn't have the desired state and the order can't take effect later: it was
+    /// The engine doesn't have the wanted state and the order can't take effect later: it was
     /// refused, never sent, or lost in a restart of the engine.
     NotReached,
     /// The answer was lost: the order may still take effect.
@@ -263,7 +264,7 @@
     next
 }
 
-/// Whether an engine that checks fencing tokens accepts an order.
+/// Whether an engine that checks fencing numbers accepts an order.
 #[must_use]
 pub fn passes_fencing(highest: u64, number: u64) -> bool {
     number >= highest
--- a/components/telemetry/src/logs/queue.rs
+++ b/components/telemetry/src/logs/queue.rs
@@ -41,7 +41,8 @@
 struct Shared {
     /// Lines dropped since this was last logged.
     dropped: AtomicU64,
-    /// Whether a flush is in progress.
+    /// Whether a flush is in progress. Stays set after a flush that could not be queued in time, so that the writer
+    /// no longer collects lines before it writes.
     flushing: AtomicBool,
 }
 
--- a/components/telemetry/src/metrics/gateway.rs
+++ b/components/telemetry/src/metrics/gateway.rs
@@ -19,7 +19,7 @@
     pub interrupted_connections: IntCounterVec,
     /// Failed attempts, by service and cause.
     pub failures: IntCounterVec,
-    /// Retries, by service and by whether the retry budget allowed them or got them back.
+    /// Retries, by service and by whether the retry budget allowed them or refunded them.
     pub retries: IntCounterVec,
     /// Endpoints that crashed with requests in flight, by service.
     pub crashes: IntCounterVec,
@@ -50,11 +50,11 @@
     pub peers: IntGauge,
     /// Listed endpoints.
     pub endpoints: IntGauge,
-    /// Request fingerprints suspected because endpoints crashed while serving them.
+    /// Fingerprints of requests during which endpoints crashed.
     pub suspects: IntGauge,
     /// Suspected fingerprints whose requests are withheld from all endpoints.
     pub withheld: IntGauge,
-    /// Reloads of the changed settings file.
+    /// Reloads of the settings file after a change.
     pub reloads: IntCounter,
 }
 
--- a/components/telemetry/src/metrics/mod.rs
+++ b/components/telemetry/src/metrics/mod.rs
@@ -33,7 +33,7 @@
     pub request_duration: HistogramVec,
     /// Attempts after the first, by reason.
     pub retries: IntCounterVec,
-    /// Frames dropped because they belonged to no answer here, by verdict.
+    /// Dropped frames, by verdict: duplicates, and frames of another attempt.
     pub dropped_frames: IntCounterVec,
     /// Orders to engines, by outcome.
     pub orders: IntCounterVec,
@@ -43,7 +43,7 @@
     pub table_calls: IntCounterVec,
     /// Open connections of callers.
     pub connections: IntGauge,
-    /// Streams aborted by a forced shutdown.
+    /// Requests aborted by a forced shutdown, or when the grace period of a graceful shutdown ended.
     pub aborted_streams: IntCounter,
 }
 
--- a/components/telemetry/src/timeline/mod.rs
+++ b/components/telemetry/src/timeline/mod.rs
@@ -1,7 +1,7 @@
 //! A timeline of events with hybrid logical times, which each process keeps in memory.
 //!
-//! `wrenramp timeline` merges the timelines of all daemons. If one event caused another by a message between two
-//! daemons, the later event has a later time, even if the clocks of the two machines disagree.
+//! `wrenramp timeline` merges the timelines of all daemons. An event that is caused by a message from another daemon has
+//! a later time than the event that sent it, even if the clocks of the two machines disagree.
 
 use std::{
     collections::VecDeque,
@@ -21,7 +21,7 @@
 pub struct HybridTime {
     /// Milliseconds since 1970; the highest value that this process has seen, including those in messages.
     pub physical_ms: u64,
-    /// Counter of events with the same `physical_ms`.
+    /// Orders events with the same `physical_ms`.
     pub logical: u32,
 }
 
@@ -62,7 +62,7 @@
     Retried,
     /// An interrupted stream continues on another engine.
     Resumed,
-    /// The answer was delivered completely.
+    /// The answer was received: completely from an engine, at least its head from a plain service.
     Finished,
     /// The answer could not be completed.
     Broken,
@@ -100,7 +100,7 @@
     StoreUp,
     /// The table service became unavailable.
     StoreDown,
-    /// An endpoint became unreachable.
+    /// An endpoint became unreachable; the daemon does not record this at present.
     EndpointDown,
     /// An endpoint became reachable.
     EndpointUp,
--- a/src/bin/wrenrampd.rs
+++ b/src/bin/wrenrampd.rs
@@ -9,7 +9,7 @@
 use settings::{daemon::Settings, gateway};
 use tokio::signal::unix::{SignalKind, signal};
 
-/// Serves callers, peers and operators on one entry VM.
+/// Accepts callers' requests and forwards them to endpoints, as a daemon or as a gateway.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version)]
 struct Options {
@@ -132,7 +132,7 @@
     loop {
         tokio::select! {
             _ = terminate.recv() => break,
-            _ = hangup.recv() => log::info!("SIGHUP received; reloading the settings"),
+            _ = hangup.recv() => log::info!("SIGHUP received; checking the settings file"),
             () = tokio::time::sleep(SETTINGS_POLL_INTERVAL) => {}
         }
         match gateway::Settings::load(file) {
