--- a/examples/demo.rs
+++ b/examples/demo.rs
@@ -27,7 +27,7 @@
             return ExitCode::FAILURE;
         }
     };
-    fleet.print();
+    fleet.print_commands();
     if check {
         return checks::run(fleet).await;
     }
--- a/examples/demo_parts/checks.rs
+++ b/examples/demo_parts/checks.rs
@@ -18,42 +18,42 @@
 
 struct Answer {
     status: StatusCode,
-    run: String,
+    run_status: String,
     body: String,
-    whole: bool,
+    complete: bool,
 }
 
 /// Runs all checks; fails when one is wrong.
 pub async fn run(mut fleet: Fleet) -> ExitCode {
     let http = Client::builder(TokioExecutor::new()).build_http();
-    let mut verdicts = Vec::new();
-    let mut tell = |what: &str, fine: bool| {
-        println!("{} {what}", if fine { "ok  " } else { "FAIL" });
-        verdicts.push(fine);
+    let mut results = Vec::new();
+    let mut report = |what: &str, passed: bool| {
+        println!("{} {what}", if passed { "ok  " } else { "FAIL" });
+        results.push(passed);
     };
     let each =
-        futures::future::join_all((0..3).map(|n| streamed(&http, fleet.callers(n), 30))).await;
-    tell(
+        futures::future::join_all((0..3).map(|n| check_stream(&http, fleet.callers(n), 30))).await;
+    report(
         "streamed whole through each daemon",
-        each.iter().all(|fine| *fine),
+        each.iter().all(|passed| *passed),
     );
     fleet
         .engines
         .iter()
         .for_each(|engine| engine.fail(Faults::Cross));
-    tell(
+    report(
         "crossed frames dropped",
-        streamed(&http, fleet.callers(0), 30).await,
+        check_stream(&http, fleet.callers(0), 30).await,
     );
     fleet
         .engines
         .iter()
         .for_each(|engine| engine.fail(Faults::None));
-    tell(
+    report(
         "a reading runs once, its answer is given again",
-        once(&http, &fleet).await,
+        check_idempotency(&http, &fleet).await,
     );
-    let refused = ask(
+    let refused = send(
         &http,
         fleet.callers(0),
         "/v1/completions",
@@ -62,32 +62,32 @@
         "{}",
     )
     .await;
-    let fine = refused.status == StatusCode::UNAUTHORIZED && refused.run == "not-run";
-    tell("a wrong key is refused as not run", fine);
-    tell(
+    let passed = refused.status == StatusCode::UNAUTHORIZED && refused.run_status == "not-run";
+    report("a wrong key is refused as not run", passed);
+    report(
         "a settings change is in force in all daemons",
-        change(&fleet, "group/technicians", "share", "3").await,
+        change_setting(&fleet, "group/technicians", "share", "3").await,
     );
-    tell(
+    report(
         "a drained engine gets no new work",
-        drained(&http, &fleet).await,
+        check_drain(&http, &fleet).await,
     );
-    tell(
+    report(
         "an engine killed in a stream costs nothing",
-        killed(&http, &mut fleet).await,
+        check_crash(&http, &mut fleet).await,
     );
-    tell(
+    report(
         "a planned stop cuts no stream",
-        stopped(&http, &mut fleet).await,
+        check_shutdown(&http, &mut fleet).await,
     );
-    if verdicts.iter().all(|fine| *fine) {
+    if results.iter().all(|passed| *passed) {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
     }
 }
 
-async fn ask(
+async fn send(
     http: &Http,
     address: SocketAddr,
     path: &str,
@@ -103,38 +103,38 @@
     let request = request
         .body(Full::from(body.to_owned()))
         .expect("a fixed request is well formed");
-    let broken = Answer {
+    let failed = Answer {
         status: StatusCode::BAD_GATEWAY,
-        run: String::new(),
+        run_status: String::new(),
         body: String::new(),
-        whole: false,
+        complete: false,
     };
     let Ok(response) = http.request(request).await else {
-        return broken;
+        return failed;
     };
     let (head, body) = response.into_parts();
-    let run = head.headers.get("x-wrenramp-run");
-    let run = run
+    let run_status = head.headers.get("x-wrenramp-run");
+    let run_status = run_status
         .and_then(|run| run.to_str().ok())
         .unwrap_or_default()
         .to_owned();
     match body.collect().await {
         Ok(body) => Answer {
             status: head.status,
-            run,
+            run_status,
             body: String::from_utf8_lossy(&body.to_bytes()).into_owned(),
-            whole: true,
+            complete: true,
         },
-        Err(_) => broken,
+        Err(_) => failed,
     }
 }
 
 /// A completion that must come out whole and right.
-async fn streamed(http: &Http, address: SocketAddr, tokens: u64) -> bool {
+async fn check_stream(http: &Http, address: SocketAddr, tokens: u64) -> bool {
     let prompt = format!("question for {address}");
     let body =
         format!(r#"{{"model":"proctor","prompt":"{prompt}","max_tokens":{tokens},"stream":true}}"#);
-    let answer = ask(http, address, "/v1/completions", KEY, None, &body).await;
+    let answer = send(http, address, "/v1/completions", KEY, None, &body).await;
     let mut text = String::new();
     let mut done = false;
     for line in answer
@@ -147,14 +147,14 @@
             Err(_) => done = line == "[DONE]",
         }
     }
-    answer.whole && done && text == expected(&prompt, 0, tokens)
+    answer.complete && done && text == expected(&prompt, 0, tokens)
 }
 
-async fn once(http: &Http, fleet: &Fleet) -> bool {
+async fn check_idempotency(http: &Http, fleet: &Fleet) -> bool {
     let path = "/services/readings/plate-load";
     let mut bodies = Vec::new();
     for daemon in [0, 0, 1, 2] {
-        let answer = ask(
+        let answer = send(
             http,
             fleet.callers(daemon),
             path,
@@ -174,13 +174,13 @@
         && fleet.service.runs("9.7 kN") == 1
 }
 
-async fn change(fleet: &Fleet, path: &str, key: &str, value: &str) -> bool {
-    commit(fleet, path, key, value).await.is_ok() && {
+async fn change_setting(fleet: &Fleet, path: &str, key: &str, value: &str) -> bool {
+    commit_setting(fleet, path, key, value).await.is_ok() && {
         tokio::time::sleep(Duration::from_millis(500)).await;
         let all = fleet
             .daemons
             .iter()
-            .map(|daemon| read(daemon.addresses().peers, path, key));
+            .map(|daemon| read_setting(daemon.addresses().peers, path, key));
         futures::future::join_all(all)
             .await
             .iter()
@@ -188,7 +188,7 @@
     }
 }
 
-async fn commit(
+async fn commit_setting(
     fleet: &Fleet,
     path: &str,
     key: &str,
@@ -207,7 +207,7 @@
     Ok(())
 }
 
-async fn read(address: SocketAddr, path: &str, key: &str) -> Option<String> {
+async fn read_setting(address: SocketAddr, path: &str, key: &str) -> Option<String> {
     let mut client = OperatorClient::connect(format!("http://{address}"))
         .await
         .ok()?;
@@ -217,45 +217,45 @@
     node.values.get(key).cloned()
 }
 
-async fn drained(http: &Http, fleet: &Fleet) -> bool {
-    if !change(fleet, "endpoint/sala-a/5", "drain", "true").await {
+async fn check_drain(http: &Http, fleet: &Fleet) -> bool {
+    if !change_setting(fleet, "endpoint/sala-a/5", "drain", "true").await {
         return false;
     }
     let before = fleet.engines[4].counts().attempts;
-    let asked = (0..12).map(|n| streamed(http, fleet.callers(n % 3), 5));
-    let whole = futures::future::join_all(asked).await;
+    let streams = (0..12).map(|n| check_stream(http, fleet.callers(n % 3), 5));
+    let complete = futures::future::join_all(streams).await;
     let after = fleet.engines[4].counts().attempts;
-    whole.iter().all(|fine| *fine)
+    complete.iter().all(|passed| *passed)
         && before == after
-        && change(fleet, "endpoint/sala-a/5", "drain", "false").await
+        && change_setting(fleet, "endpoint/sala-a/5", "drain", "false").await
 }
 
-async fn killed(http: &Http, fleet: &mut Fleet) -> bool {
+async fn check_crash(http: &Http, fleet: &mut Fleet) -> bool {
     let addresses: Vec<SocketAddr> = (0..3).map(|n| fleet.callers(n)).collect();
     let http = http.clone();
     let streams = tokio::spawn(async move {
-        let all = (0..12).map(|n| streamed(&http, addresses[n % 3], 600));
+        let all = (0..12).map(|n| check_stream(&http, addresses[n % 3], 600));
         futures::future::join_all(all).await
     });
     tokio::time::sleep(Duration::from_millis(200)).await;
     drop(fleet.engines.remove(3));
     streams
         .await
-        .is_ok_and(|whole| whole.iter().all(|fine| *fine))
+        .is_ok_and(|complete| complete.iter().all(|passed| *passed))
 }
 
-async fn stopped(http: &Http, fleet: &mut Fleet) -> bool {
+async fn check_shutdown(http: &Http, fleet: &mut Fleet) -> bool {
     let address = fleet.callers(2);
     let http = http.clone();
     let streams = tokio::spawn(async move {
-        let all = (0..8).map(|_| streamed(&http, address, 600));
+        let all = (0..8).map(|_| check_stream(&http, address, 600));
         futures::future::join_all(all).await
     });
     tokio::time::sleep(Duration::from_millis(200)).await;
     fleet.daemons[2].stop();
-    let cut = fleet.daemons[2].ended().await;
-    cut == 0
+    let interrupted = fleet.daemons[2].ended().await;
+    interrupted == 0
         && streams
             .await
-            .is_ok_and(|whole| whole.iter().all(|fine| *fine))
+            .is_ok_and(|complete| complete.iter().all(|passed| *passed))
 }
--- a/examples/demo_parts/fleet.rs
+++ b/examples/demo_parts/fleet.rs
@@ -18,7 +18,7 @@
 /// A caller's key of the demonstration.
 pub const KEY: &str = "demo-key";
 const DATA_CENTRE: &str = "sala-a";
-const READY: Duration = Duration::from_secs(10);
+const START_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Everything that runs.
 pub struct Fleet {
@@ -32,15 +32,15 @@
     pub daemons: Vec<Running>,
 }
 
-fn any() -> SocketAddr {
+fn any_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
 impl Fleet {
     /// Starts everything and writes the first settings as an operator would.
     pub async fn start() -> Result<Self, Box<dyn Error>> {
-        let platform = Platform::start(any()).await?;
-        let service = Service::start(any()).await?;
+        let platform = Platform::start(any_port()).await?;
+        let service = Service::start(any_port()).await?;
         let mut engines = Vec::new();
         let roles = [
             Role::Prefill,
@@ -58,7 +58,7 @@
                     ..Wanted::default()
                 },
             };
-            engines.push(Engine::start(any(), setup).await?);
+            engines.push(Engine::start(any_port(), setup).await?);
         }
         let mut daemons: Vec<Running> = Vec::new();
         for number in 0..3 {
@@ -72,7 +72,7 @@
             service,
             daemons,
         };
-        tokio::time::timeout(READY, fleet.settle()).await??;
+        tokio::time::timeout(START_TIMEOUT, fleet.commit_settings()).await??;
         Ok(fleet)
     }
 
@@ -82,7 +82,7 @@
     }
 
     /// Tells where everything is.
-    pub fn print(&self) {
+    pub fn print_commands(&self) {
         for (number, daemon) in self.daemons.iter().enumerate() {
             let addresses = daemon.addresses();
             println!(
@@ -102,7 +102,7 @@
         );
     }
 
-    async fn settle(&self) -> Result<(), Box<dyn Error>> {
+    async fn commit_settings(&self) -> Result<(), Box<dyn Error>> {
         let mut client =
             OperatorClient::connect(format!("http://{}", self.daemons[0].addresses().peers))
                 .await?;
--- a/examples/idle.rs
+++ b/examples/idle.rs
@@ -15,14 +15,14 @@
     platform::Platform,
 };
 
-const SETTLE: Duration = Duration::from_secs(3);
-const WATCH: Duration = Duration::from_secs(5);
+const SETTLE_TIME: Duration = Duration::from_secs(3);
+const MEASURE_TIME: Duration = Duration::from_secs(5);
 
-fn any() -> SocketAddr {
+fn any_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-fn set(path: &str, key: &str, value: &str) -> Edit {
+fn set_edit(path: &str, key: &str, value: &str) -> Edit {
     Edit::Set {
         path: path.to_owned(),
         key: key.to_owned(),
@@ -31,11 +31,11 @@
 }
 
 fn write_settings(platform: &Platform, engines: &[Engine]) {
-    let mut edits = vec![set("service/soil", "kind", "engines")];
+    let mut edits = vec![set_edit("service/soil", "kind", "engines")];
     for (number, engine) in engines.iter().enumerate() {
         let path = format!("endpoint/sala-a/{}", number + 1);
-        edits.push(set(&path, "service", "soil"));
-        edits.push(set(&path, "address", &engine.address().to_string()));
+        edits.push(set_edit(&path, "service", "soil"));
+        edits.push(set_edit(&path, "address", &engine.address().to_string()));
     }
     let tree = Tree::default()
         .apply(&edits)
@@ -65,7 +65,7 @@
 }
 
 /// Processor time of this process in microseconds, and bytes sent over the loopback device.
-fn spent() -> (u64, u64) {
+fn process_usage() -> (u64, u64) {
     let stat = std::fs::read_to_string("/proc/self/stat").expect("a process has its figures");
     let fields: Vec<&str> = stat
         .rsplit(") ")
@@ -84,10 +84,10 @@
 }
 
 async fn measure(daemons: usize, engines: usize) {
-    let platform = Platform::start(any()).await.expect("platform");
+    let platform = Platform::start(any_port()).await.expect("platform");
     let mut running_engines = Vec::new();
     for _ in 0..engines {
-        let engine = Engine::start(any(), Setup::default()).await;
+        let engine = Engine::start(any_port(), Setup::default()).await;
         running_engines.push(engine.expect("engine"));
     }
     write_settings(&platform, &running_engines);
@@ -96,17 +96,17 @@
         let settings = settings(number, platform.address(), &running);
         running.push(daemon::start(settings).await.expect("daemon"));
     }
-    tokio::time::sleep(SETTLE).await;
-    let (before, table) = (spent(), platform.counts());
-    tokio::time::sleep(WATCH).await;
-    let (after, table_after) = (spent(), platform.counts());
-    let each = to_f64(daemons as u64) * WATCH.as_secs_f64();
+    tokio::time::sleep(SETTLE_TIME).await;
+    let (before, table_before) = (process_usage(), platform.counts());
+    tokio::time::sleep(MEASURE_TIME).await;
+    let (after, table_after) = (process_usage(), platform.counts());
+    let daemon_seconds = to_f64(daemons as u64) * MEASURE_TIME.as_secs_f64();
     println!(
         "{daemons} daemons, {engines} engines: {:.2} % of a core, {:.1} KB/s, {:.2} reads/s and {:.2} writes/s of the table, each daemon",
-        to_f64(after.0 - before.0) / each / 1e4,
-        to_f64(after.1 - before.1) / each / 1e3,
-        to_f64(table_after.reads - table.reads) / each,
-        to_f64(table_after.writes - table.writes) / each,
+        to_f64(after.0 - before.0) / daemon_seconds / 1e4,
+        to_f64(after.1 - before.1) / daemon_seconds / 1e3,
+        to_f64(table_after.reads - table_before.reads) / daemon_seconds,
+        to_f64(table_after.writes - table_before.writes) / daemon_seconds,
     );
 }
 
--- a/examples/mixshift.rs
+++ b/examples/mixshift.rs
@@ -23,44 +23,44 @@
     seeds: u64,
     json: bool,
     /// Engines that read only and that write only, in place of the policy's own.
-    split: Option<(usize, usize)>,
+    dedicated_engines: Option<(usize, usize)>,
     options: Options,
 }
 
-fn parse() -> Option<Arguments> {
+fn parse_arguments() -> Option<Arguments> {
     let mut arguments = Arguments {
         policies: Policy::ALL.to_vec(),
         cases: Case::ALL.to_vec(),
         seeds: 5,
         json: false,
-        split: None,
+        dedicated_engines: None,
         options: Options::default(),
     };
-    let mut words = std::env::args().skip(1);
-    while let Some(word) = words.next() {
-        if word == "--json" {
+    let mut args = std::env::args().skip(1);
+    while let Some(flag) = args.next() {
+        if flag == "--json" {
             arguments.json = true;
             continue;
         }
-        let value = words.next()?;
-        match word.as_str() {
+        let value = args.next()?;
+        match flag.as_str() {
             // all is what is taken anyhow
             "--policy" | "--case" if value == "all" => {}
-            "--policy" => arguments.policies = vec![Policy::named(&value)?],
-            "--case" => arguments.cases = vec![Case::named(&value)?],
-            "--site" => arguments.options.site = Site::named(&value)?,
-            "--deciders" => arguments.options.deciders = value.parse().ok()?,
-            "--lag" => arguments.options.lag_ms = value.parse().ok()?,
+            "--policy" => arguments.policies = vec![Policy::from_name(&value)?],
+            "--case" => arguments.cases = vec![Case::from_name(&value)?],
+            "--site" => arguments.options.site = Site::from_name(&value)?,
+            "--deciders" => arguments.options.schedulers = value.parse().ok()?,
+            "--lag" => arguments.options.report_delay_ms = value.parse().ok()?,
             "--seeds" => arguments.seeds = value.parse().ok()?,
-            "--window" => arguments.options.window_ms = value.parse().ok()?,
-            "--disturbance" => arguments.options.disturbance = value.parse().ok()?,
-            "--held" => arguments.options.held = value.parse().ok()?,
-            "--writing" => arguments.options.most_writing = value.parse().ok()?,
+            "--window" => arguments.options.max_prefill_wait_ms = value.parse().ok()?,
+            "--disturbance" => arguments.options.interference_weight = value.parse().ok()?,
+            "--held" => arguments.options.stall_weight = value.parse().ok()?,
+            "--writing" => arguments.options.max_decode_requests = value.parse().ok()?,
             "--split" => {
                 let (prefill, decode) = value.split_once(',')?;
-                arguments.split = Some((prefill.parse().ok()?, decode.parse().ok()?));
+                arguments.dedicated_engines = Some((prefill.parse().ok()?, decode.parse().ok()?));
             }
-            "--pace" => arguments.options.pace_ms = value.parse().ok()?,
+            "--pace" => arguments.options.max_inter_token_latency_ms = value.parse().ok()?,
             "--horizon" => arguments.options.horizon_s = value.parse().ok()?,
             _ => return None,
         }
@@ -69,15 +69,17 @@
 }
 
 fn main() -> ExitCode {
-    let Some(arguments) = parse() else {
+    let Some(arguments) = parse_arguments() else {
         eprintln!("{USAGE}");
         return ExitCode::from(2);
     };
-    report::head();
+    report::print_header();
     for case in &arguments.cases {
         for policy in &arguments.policies {
             let policy = &Policy {
-                split: arguments.split.unwrap_or(policy.split),
+                dedicated_engines: arguments
+                    .dedicated_engines
+                    .unwrap_or(policy.dedicated_engines),
                 ..*policy
             };
             let results = std::thread::scope(|scope| {
@@ -95,7 +97,7 @@
                     .collect::<Vec<_>>()
             });
             let summary = Summary::new(*case, *policy, &results);
-            report::row(&summary, arguments.json);
+            report::print_row(&summary, arguments.json);
         }
     }
     ExitCode::SUCCESS
--- a/examples/mixshift_parts/fleet.rs
+++ b/examples/mixshift_parts/fleet.rs
@@ -7,13 +7,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
     /// It serves.
-    Open,
+    Active,
     /// It gets nothing new and will change to this role when it is empty.
-    Closing(Role),
+    Draining(Role),
     /// It is away for a change to this role.
-    Away(Role),
+    ChangingRole(Role),
     /// It is gone.
-    Gone,
+    Crashed,
 }
 
 /// One engine.
@@ -25,7 +25,7 @@
     /// Whether it serves.
     pub state: State,
     /// The step that is under way.
-    pub step: Option<Step>,
+    pub current_step: Option<Step>,
 }
 
 impl Engine {
@@ -34,24 +34,24 @@
         Self {
             batch: Batch::new(speed),
             role,
-            state: State::Open,
-            step: None,
+            state: State::Active,
+            current_step: None,
         }
     }
 
     /// Adds a job; says when the step that it starts will end, if the engine was idle.
     pub fn submit(&mut self, job: Job) -> Option<u64> {
         self.batch.submit(job);
-        if self.step.is_some() {
+        if self.current_step.is_some() {
             None
         } else {
-            self.begin()
+            self.start_step()
         }
     }
 
     /// Begins the next step; says how long it takes.
-    pub fn begin(&mut self) -> Option<u64> {
-        self.step = self.batch.step();
-        self.step.as_ref().map(|step| step.us)
+    pub fn start_step(&mut self) -> Option<u64> {
+        self.current_step = self.batch.step();
+        self.current_step.as_ref().map(|step| step.us)
     }
 }
--- a/examples/mixshift_parts/mod.rs
+++ b/examples/mixshift_parts/mod.rs
@@ -1,8 +1,8 @@
 //! The parts of the measurement.
 
-pub mod decider;
 pub mod fleet;
 pub mod policies;
 pub mod report;
 pub mod run;
+pub mod scheduler;
 pub mod workload;
--- a/examples/mixshift_parts/policies.rs
+++ b/examples/mixshift_parts/policies.rs
@@ -6,7 +6,7 @@
     /// The real decision.
     Cost,
     /// By cost, blind to what prompts and writers do to each other.
-    Plain,
+    NoInterference,
     /// In turn.
     RoundRobin,
     /// To the engine with the fewest requests.
@@ -17,7 +17,7 @@
 
 /// How roles change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Roles {
+pub enum RoleChanges {
     /// Never.
     Fixed,
     /// The real decision.
@@ -34,31 +34,46 @@
     /// Routing.
     pub routing: Routing,
     /// Roles.
-    pub roles: Roles,
+    pub role_changes: RoleChanges,
     /// Engines that read only and that write only, of twelve; the rest do both.
-    pub split: (usize, usize),
+    pub dedicated_engines: (usize, usize),
 }
 
 impl Policy {
     /// All that are compared; the first is what the daemon runs.
     pub const ALL: [Self; 8] = [
-        policy("wrenramp", Routing::Cost, Roles::Forecast, (0, 0)),
-        policy("dedicated", Routing::Cost, Roles::Forecast, (4, 5)),
-        policy("round-robin", Routing::RoundRobin, Roles::Fixed, (0, 0)),
+        policy("wrenramp", Routing::Cost, RoleChanges::Forecast, (0, 0)),
+        policy("dedicated", Routing::Cost, RoleChanges::Forecast, (4, 5)),
+        policy(
+            "round-robin",
+            Routing::RoundRobin,
+            RoleChanges::Fixed,
+            (0, 0),
+        ),
         policy(
             "least-in-flight",
             Routing::LeastInFlight,
-            Roles::Fixed,
+            RoleChanges::Fixed,
+            (0, 0),
+        ),
+        policy(
+            "two-choices",
+            Routing::TwoChoices,
+            RoleChanges::Fixed,
+            (0, 0),
+        ),
+        policy("fixed-split", Routing::Cost, RoleChanges::Fixed, (6, 6)),
+        policy(
+            "all-mixed",
+            Routing::NoInterference,
+            RoleChanges::Fixed,
             (0, 0),
         ),
-        policy("two-choices", Routing::TwoChoices, Roles::Fixed, (0, 0)),
-        policy("fixed-split", Routing::Cost, Roles::Fixed, (6, 6)),
-        policy("all-mixed", Routing::Plain, Roles::Fixed, (0, 0)),
-        policy("threshold", Routing::Cost, Roles::Threshold, (6, 6)),
+        policy("threshold", Routing::Cost, RoleChanges::Threshold, (6, 6)),
     ];
 
     /// The one with a name.
-    pub fn named(name: &str) -> Option<Self> {
+    pub fn from_name(name: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|policy| policy.name == name)
     }
 }
@@ -66,13 +81,13 @@
 const fn policy(
     name: &'static str,
     routing: Routing,
-    roles: Roles,
-    split: (usize, usize),
+    role_changes: RoleChanges,
+    dedicated_engines: (usize, usize),
 ) -> Policy {
     Policy {
         name,
         routing,
-        roles,
-        split,
+        role_changes,
+        dedicated_engines,
     }
 }
--- a/examples/mixshift_parts/report.rs
+++ b/examples/mixshift_parts/report.rs
@@ -6,12 +6,12 @@
 
 use super::{
     policies::Policy,
-    workload::{Case, Class, LENGTH, Request},
+    workload::{Case, Class, DURATION_S, Request},
 };
 
 /// First token and time between tokens of the target, in microseconds.
-const FIRST_US: u64 = 1_300_000;
-const BETWEEN_US: u64 = 26_000;
+const MAX_FIRST_TOKEN_US: u64 = 1_300_000;
+const MAX_INTER_TOKEN_US: u64 = 26_000;
 
 /// The results of one run.
 pub struct Results {
@@ -23,14 +23,14 @@
     useful_work: f64,
     arrived_work: f64,
     refused: [u64; 4],
-    first: Vec<Histogram<u64>>,
-    between: Histogram<u64>,
+    first_token_us: Vec<Histogram<u64>>,
+    inter_token_us: Histogram<u64>,
     /// Role changes.
-    pub changes: u64,
+    pub role_changes: u64,
 }
 
-fn work(request: &Request) -> f64 {
-    to_f64(request.prompt) * 80.0 + to_f64(request.output) * 350.0
+fn engine_work_us(request: &Request) -> f64 {
+    to_f64(request.prompt_tokens) * 80.0 + to_f64(request.output_tokens) * 350.0
 }
 
 fn record(histogram: &mut Histogram<u64>, value: u64) {
@@ -52,42 +52,43 @@
             arrived,
             useful: [0; 4],
             useful_work: 0.0,
-            arrived_work: requests.iter().map(work).sum(),
+            arrived_work: requests.iter().map(engine_work_us).sum(),
             refused: [0; 4],
-            first: Class::ALL.iter().map(|_| histogram()).collect(),
-            between: histogram(),
-            changes: 0,
+            first_token_us: Class::ALL.iter().map(|_| histogram()).collect(),
+            inter_token_us: histogram(),
+            role_changes: 0,
         }
     }
 
     /// A request was refused.
-    pub fn refused(&mut self, class: Class) {
+    pub fn record_refusal(&mut self, class: Class) {
         self.refused[class.group()] += 1;
     }
 
     /// A request was answered.
-    pub fn finished(&mut self, request: &Request, first: Option<u64>, now: u64) {
+    pub fn record_answer(&mut self, request: &Request, first_token_at: Option<u64>, now: u64) {
         let group = request.class.group();
-        let first_us = first.unwrap_or(now) - request.at;
-        let between = (now - first.unwrap_or(now)) / (request.output - 1).max(1);
-        let in_time = now - request.at <= request.class.deadline();
-        let in_pace = match request.class {
+        let first_token_us = first_token_at.unwrap_or(now) - request.arrival_us;
+        let inter_token_us =
+            (now - first_token_at.unwrap_or(now)) / (request.output_tokens - 1).max(1);
+        let in_time = now - request.arrival_us <= request.class.deadline_us();
+        let within_latency_target = match request.class {
             Class::Long => true,
             Class::Short | Class::Flood | Class::Alarm => {
-                first_us <= FIRST_US && between <= BETWEEN_US
+                first_token_us <= MAX_FIRST_TOKEN_US && inter_token_us <= MAX_INTER_TOKEN_US
             }
         };
-        record(&mut self.first[group], first_us);
+        record(&mut self.first_token_us[group], first_token_us);
         if request.class != Class::Long {
-            record(&mut self.between, between);
+            record(&mut self.inter_token_us, inter_token_us);
         }
-        if in_time && in_pace {
+        if in_time && within_latency_target {
             self.useful[group] += 1;
-            self.useful_work += work(request);
+            self.useful_work += engine_work_us(request);
         }
     }
 
-    fn share(&self, class: Class) -> f64 {
+    fn useful_ratio(&self, class: Class) -> f64 {
         let group = class.group();
         to_f64(self.useful[group]) / to_f64(self.arrived[group].max(1))
     }
@@ -128,40 +129,39 @@
     pub fn new(case: Case, policy: Policy, results: &[Results]) -> Self {
         let goodput = |r: &Results| r.useful_work / r.arrived_work;
         let ms = |us: u64| to_f64(us) / 1e3;
-        let first = |class: Class, at: f64| {
-            median(
-                results,
-                |r| ms(r.first[class.group()].value_at_quantile(at)),
-            )
+        let first_token_ms = |class: Class, at: f64| {
+            median(results, |r| {
+                ms(r.first_token_us[class.group()].value_at_quantile(at))
+            })
         };
-        let spread =
+        let extreme =
             |f: fn(f64, f64) -> f64, start: f64| results.iter().map(goodput).fold(start, f);
         Self {
             case: case.name(),
             policy: policy.name,
             seeds: results.len(),
             goodput: median(results, goodput),
-            goodput_low: spread(f64::min, f64::MAX),
-            goodput_high: spread(f64::max, 0.0),
-            answers: median(results, |r| to_f64(r.useful.iter().sum()) / LENGTH),
-            long: median(results, |r| r.share(Class::Long)),
-            short: median(results, |r| r.share(Class::Short)),
-            flood: median(results, |r| r.share(Class::Flood)),
-            alarm: median(results, |r| r.share(Class::Alarm)),
-            changes: median(results, |r| to_f64(r.changes)),
+            goodput_low: extreme(f64::min, f64::MAX),
+            goodput_high: extreme(f64::max, 0.0),
+            answers: median(results, |r| to_f64(r.useful.iter().sum()) / DURATION_S),
+            long: median(results, |r| r.useful_ratio(Class::Long)),
+            short: median(results, |r| r.useful_ratio(Class::Short)),
+            flood: median(results, |r| r.useful_ratio(Class::Flood)),
+            alarm: median(results, |r| r.useful_ratio(Class::Alarm)),
+            changes: median(results, |r| to_f64(r.role_changes)),
             refused: median(results, |r| {
                 to_f64(r.refused.iter().sum()) / to_f64(r.arrived.iter().sum())
             }),
-            first_p50_ms: first(Class::Short, 0.5),
-            first_p99_ms: first(Class::Short, 0.99),
-            alarm_p99_ms: first(Class::Alarm, 0.99),
-            between_p95_ms: median(results, |r| ms(r.between.value_at_quantile(0.95))),
+            first_p50_ms: first_token_ms(Class::Short, 0.5),
+            first_p99_ms: first_token_ms(Class::Short, 0.99),
+            alarm_p99_ms: first_token_ms(Class::Alarm, 0.99),
+            between_p95_ms: median(results, |r| ms(r.inter_token_us.value_at_quantile(0.95))),
         }
     }
 }
 
 /// Prints the head of the table.
-pub fn head() {
+pub fn print_header() {
     println!(
         "{:<7}{:<16}{:>8}{:>14}{:>9}{:>7}{:>7}{:>7}{:>7}{:>8}{:>8}{:>8}{:>9}{:>9}{:>8}",
         "case",
@@ -183,29 +183,29 @@
 }
 
 /// Prints a row, and a JSON line if asked.
-pub fn row(s: &Summary, json: bool) {
+pub fn print_row(summary: &Summary, json: bool) {
     println!(
         "{:<7}{:<16}{:>8.3}{:>14}{:>9.1}{:>7.3}{:>7.3}{:>7.3}{:>7.3}{:>8}{:>8.3}{:>8.0}{:>9.0}{:>9.0}{:>8.1}",
-        s.case,
-        s.policy,
-        s.goodput,
-        format!("{:.3}-{:.3}", s.goodput_low, s.goodput_high),
-        s.answers,
-        s.long,
-        s.short,
-        s.flood,
-        s.alarm,
-        s.changes,
-        s.refused,
-        s.first_p50_ms,
-        s.first_p99_ms,
-        s.alarm_p99_ms,
-        s.between_p95_ms
+        summary.case,
+        summary.policy,
+        summary.goodput,
+        format!("{:.3}-{:.3}", summary.goodput_low, summary.goodput_high),
+        summary.answers,
+        summary.long,
+        summary.short,
+        summary.flood,
+        summary.alarm,
+        summary.changes,
+        summary.refused,
+        summary.first_p50_ms,
+        summary.first_p99_ms,
+        summary.alarm_p99_ms,
+        summary.between_p95_ms
     );
     if json {
         println!(
             "{}",
-            serde_json::to_string(s).expect("plain fields have a JSON form")
+            serde_json::to_string(summary).expect("plain fields have a JSON form")
         );
     }
 }
--- a/examples/mixshift_parts/run/mod.rs
+++ b/examples/mixshift_parts/run/mod.rs
@@ -19,57 +19,57 @@
 use options::weights;
 
 use crate::mixshift_parts::{
-    decider::{Decider, Open},
     fleet::{Engine, State},
     policies::{Policy, Routing},
     report::Results,
-    workload::{Case, LENGTH, Request, requests},
+    scheduler::{EngineStatus, Scheduler},
+    workload::{Case, DURATION_S, Request, generate_requests},
 };
 
 const ENGINES: usize = 12;
-const DIGEST_US: u64 = 500_000;
-const REPORT_US: u64 = 250_000;
-const ROLE_US: u64 = 2_000_000;
-const CRASH_AT: u64 = 120_000_000;
-const WITHDRAW_AT: u64 = 240_000_000;
+const DIGEST_INTERVAL_US: u64 = 500_000;
+const REPORT_INTERVAL_US: u64 = 250_000;
+const ROLE_INTERVAL_US: u64 = 2_000_000;
+const CRASH_AT_US: u64 = 120_000_000;
+const DRAIN_AT_US: u64 = 240_000_000;
 /// How many groups are tried in turn, as in the daemon.
-const HEADS: usize = 8;
+const MAX_GROUPS_TRIED: usize = 8;
 /// Share of cache events that are lost.
-const GAPS: f64 = 0.2;
+const LOST_EVENT_RATIO: f64 = 0.2;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Arrival(usize),
     StepEnd(usize),
-    Digests,
-    Reports,
+    SendDigests,
+    SendReports,
     /// A report as it was made some time ago reaches the deciders.
     ReportArrives(usize, u64, u64, u64),
-    Roles,
-    RoleDone(usize),
+    DecideRoles,
+    FinishRoleChange(usize),
     Crash,
-    Withdraw,
+    Drain,
 }
 
-struct Flight {
-    decider: usize,
-    plan: Placement,
-    first: Option<u64>,
+struct InFlightRequest {
+    scheduler: usize,
+    placement: Placement,
+    first_token_at: Option<u64>,
     /// Whether the second engine of a split has it.
-    writing: bool,
+    decode_started: bool,
 }
 
-struct World {
+struct Simulation {
     now: u64,
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
-    order: u64,
+    event_count: u64,
     requests: Vec<Request>,
-    flights: Vec<Option<Flight>>,
+    in_flight: Vec<Option<InFlightRequest>>,
     engines: Vec<Engine>,
-    deciders: Vec<Decider>,
+    schedulers: Vec<Scheduler>,
     demand: Demand,
-    arrived: (u64, u64),
-    changed: Option<u64>,
+    arrived_work: (u64, u64),
+    last_role_change: Option<u64>,
     policy: Policy,
     options: Options,
     weights: Weights,
@@ -79,37 +79,37 @@
 
 /// Runs one case.
 pub fn run(case: Case, policy: Policy, options: Options) -> Results {
-    let mut world = World::new(case, policy, options);
-    while let Some(Reverse((at, _, event))) = world.events.pop() {
-        world.now = at;
-        world.handle(event);
+    let mut simulation = Simulation::new(case, policy, options);
+    while let Some(Reverse((at, _, event))) = simulation.events.pop() {
+        simulation.now = at;
+        simulation.handle(event);
     }
-    world.results
+    simulation.results
 }
 
-impl World {
+impl Simulation {
     fn new(case: Case, policy: Policy, options: Options) -> Self {
-        let requests = requests(case, options.site, options.seed);
-        let (prefill, decode) = policy.split;
-        let role = |at: usize| match at {
-            at if at < prefill => Role::Prefill,
-            at if at < prefill + decode => Role::Decode,
+        let requests = generate_requests(case, options.site, options.seed);
+        let (prefill, decode) = policy.dedicated_engines;
+        let role = |index: usize| match index {
+            index if index < prefill => Role::Prefill,
+            index if index < prefill + decode => Role::Decode,
             _ => Role::Mixed,
         };
-        let mut world = Self {
+        let mut simulation = Self {
             now: 0,
             events: BinaryHeap::new(),
-            order: 0,
-            flights: requests.iter().map(|_| None).collect(),
+            event_count: 0,
+            in_flight: requests.iter().map(|_| None).collect(),
             engines: (0..ENGINES)
-                .map(|at| Engine::new(role(at), Speed::default()))
+                .map(|index| Engine::new(role(index), Speed::default()))
                 .collect(),
-            deciders: (0..options.deciders)
-                .map(|_| Decider::new(ENGINES))
+            schedulers: (0..options.schedulers)
+                .map(|_| Scheduler::new(ENGINES))
                 .collect(),
             demand: Demand::default(),
-            arrived: (0, 0),
-            changed: None,
+            arrived_work: (0, 0),
+            last_role_change: None,
             policy,
             options,
             weights: weights(policy, options),
@@ -117,107 +117,113 @@
             results: Results::new(&requests),
             requests,
         };
-        for at in 0..world.requests.len() {
-            world.at(world.requests[at].at, Event::Arrival(at));
+        for id in 0..simulation.requests.len() {
+            simulation.schedule(simulation.requests[id].arrival_us, Event::Arrival(id));
         }
-        world.at(DIGEST_US, Event::Digests);
-        world.at(REPORT_US, Event::Reports);
-        world.at(ROLE_US, Event::Roles);
+        simulation.schedule(DIGEST_INTERVAL_US, Event::SendDigests);
+        simulation.schedule(REPORT_INTERVAL_US, Event::SendReports);
+        simulation.schedule(ROLE_INTERVAL_US, Event::DecideRoles);
         if case == Case::Crash {
-            world.at(CRASH_AT, Event::Crash);
-            world.at(WITHDRAW_AT, Event::Withdraw);
+            simulation.schedule(CRASH_AT_US, Event::Crash);
+            simulation.schedule(DRAIN_AT_US, Event::Drain);
         }
-        world
+        simulation
     }
 
-    fn at(&mut self, at: u64, event: Event) {
-        self.order += 1;
-        self.events.push(Reverse((at, self.order, event)));
+    fn schedule(&mut self, at: u64, event: Event) {
+        self.event_count += 1;
+        self.events.push(Reverse((at, self.event_count, event)));
     }
 
     fn handle(&mut self, event: Event) {
         match event {
             Event::Arrival(id) => self.arrive(id),
-            Event::StepEnd(engine) => self.step_end(engine),
-            Event::Digests => self.digests(),
-            Event::Reports => self.reports(),
-            Event::ReportArrives(engine, reading, writing, made) => {
-                for decider in &mut self.deciders {
-                    decider.seen[engine].told = Some((reading, writing, made));
+            Event::StepEnd(engine) => self.end_step(engine),
+            Event::SendDigests => self.send_digests(),
+            Event::SendReports => self.send_reports(),
+            Event::ReportArrives(engine, prompt_tokens, decode_requests, made_at) => {
+                for scheduler in &mut self.schedulers {
+                    scheduler.known_engines[engine].reported =
+                        Some((prompt_tokens, decode_requests, made_at));
                 }
             }
-            Event::Roles => self.roles(),
-            Event::RoleDone(engine) => self.role_done(engine),
+            Event::DecideRoles => self.decide_roles(),
+            Event::FinishRoleChange(engine) => self.finish_role_change(engine),
             Event::Crash => self.crash(0),
-            Event::Withdraw => {
-                let last = self.engines.len() - 1;
-                self.engines[last].state = State::Closing(Role::Mixed);
-                self.engines[last].role = Role::Mixed;
+            Event::Drain => {
+                let last_engine = self.engines.len() - 1;
+                self.engines[last_engine].state = State::Draining(Role::Mixed);
+                self.engines[last_engine].role = Role::Mixed;
             }
         }
-        for decider in 0..self.deciders.len() {
-            self.pump(decider);
+        for scheduler in 0..self.schedulers.len() {
+            self.dispatch_queue(scheduler);
         }
     }
 
-    fn open(&self) -> Vec<Open> {
+    fn engine_statuses(&self) -> Vec<EngineStatus> {
         self.engines
             .iter()
-            .map(|engine| (engine.role, engine.state == State::Open))
+            .map(|engine| (engine.role, engine.state == State::Active))
             .collect()
     }
 
     fn arrive(&mut self, id: usize) {
-        let decider = id % self.deciders.len();
+        let scheduler = id % self.schedulers.len();
         let request = &self.requests[id];
-        let work = self.deciders[decider].work(request);
-        let read = to_u64(to_f64(request.prompt) * BatchLatency::default().prefill_token_us);
-        self.arrived.0 += read;
-        self.arrived.1 += work - read.min(work);
+        let work = self.schedulers[scheduler].estimate_work_us(request);
+        let prefill_us =
+            to_u64(to_f64(request.prompt_tokens) * BatchLatency::default().prefill_token_us);
+        self.arrived_work.0 += prefill_us;
+        self.arrived_work.1 += work - prefill_us.min(work);
         // baselines have no queue: they send at once and refuse nothing
-        if !matches!(self.policy.routing, Routing::Cost | Routing::Plain) {
-            let open = self.open();
-            self.try_place(decider, id, &open);
+        if !matches!(self.policy.routing, Routing::Cost | Routing::NoInterference) {
+            let statuses = self.engine_statuses();
+            self.try_dispatch(scheduler, id, &statuses);
             return;
         }
-        let engines = self.open().iter().filter(|(_, open)| *open).count() as u64;
-        let share = (engines / self.deciders.len() as u64).max(1);
+        let engines = self
+            .engine_statuses()
+            .iter()
+            .filter(|(_, available)| *available)
+            .count() as u64;
+        let engines_per_scheduler = (engines / self.schedulers.len() as u64).max(1);
         let request = &self.requests[id];
-        if !self.deciders[decider].admit(id, request, self.now, share) {
-            self.results.refused(request.class);
+        if !self.schedulers[scheduler].admit(id, request, self.now, engines_per_scheduler) {
+            self.results.record_refusal(request.class);
         }
     }
 
-    fn pump(&mut self, decider: usize) {
-        if self.deciders[decider].queue.is_empty() {
+    fn dispatch_queue(&mut self, scheduler: usize) {
+        if self.schedulers[scheduler].queue.is_empty() {
             return;
         }
-        let open = self.open();
-        while self.place_one(decider, &open) {}
+        let statuses = self.engine_statuses();
+        while self.dispatch_one(scheduler, &statuses) {}
     }
 
     /// Places the first request that fits; says whether there was one.
-    fn place_one(&mut self, decider: usize, open: &[Open]) -> bool {
-        for (group, waiting) in self.deciders[decider].queue.peek(HEADS) {
-            let id = usize::try_from(waiting.id).expect("an index");
-            if self.now > waiting.deadline {
-                self.deciders[decider].queue.remove(group, waiting.id);
-                self.results.refused(self.requests[id].class);
+    fn dispatch_one(&mut self, scheduler: usize, statuses: &[EngineStatus]) -> bool {
+        for (group, queued) in self.schedulers[scheduler].queue.peek(MAX_GROUPS_TRIED) {
+            let id = usize::try_from(queued.id).expect("an index");
+            if self.now > queued.deadline {
+                self.schedulers[scheduler].queue.remove(group, queued.id);
+                self.results.record_refusal(self.requests[id].class);
                 return true;
             }
-            if self.try_place(decider, id, open) {
-                self.deciders[decider].queue.pop(group);
+            if self.try_dispatch(scheduler, id, statuses) {
+                self.schedulers[scheduler].queue.pop(group);
                 return true;
             }
         }
         false
     }
 
-    fn try_place(&mut self, decider: usize, id: usize, open: &[Open]) -> bool {
+    fn try_dispatch(&mut self, scheduler: usize, id: usize, statuses: &[EngineStatus]) -> bool {
         let request = &self.requests[id];
-        let choice = self.deciders[decider].choose(
+        let choice = self.schedulers[scheduler].choose_engines(
             request,
-            open,
+            statuses,
             self.policy.routing,
             &self.weights,
             self.now,
@@ -226,81 +232,93 @@
         let Some(choice) = choice else {
             return false;
         };
-        let first = choice.placement.first_engine();
-        let last = match choice.placement {
+        let prefill_engine = choice.placement.first_engine();
+        let decode_engine = match choice.placement {
             Placement::Single { engine } => engine,
             Placement::Split { decode, .. } => decode,
         };
-        let seen = &mut self.deciders[decider].seen;
-        seen[first].own.0[load::priority_class(request.class.priority())] += request.prompt;
-        seen[last].own.1 += 1;
-        let until = if first == last { request.output } else { 1 };
+        let known_engines = &mut self.schedulers[scheduler].known_engines;
+        known_engines[prefill_engine].own.0[load::priority_class(request.class.priority())] +=
+            request.prompt_tokens;
+        known_engines[decode_engine].own.1 += 1;
+        let until = if prefill_engine == decode_engine {
+            request.output_tokens
+        } else {
+            1
+        };
         let job = Job {
             id: id as u64,
             priority: request.class.priority(),
-            prompt_tokens: request.prompt,
+            prompt_tokens: request.prompt_tokens,
             blocks: request.blocks.clone(),
             until,
             from: 0,
             imported: false,
         };
-        self.flights[id] = Some(Flight {
-            decider,
-            plan: choice.placement,
-            first: None,
-            writing: first == last,
+        self.in_flight[id] = Some(InFlightRequest {
+            scheduler,
+            placement: choice.placement,
+            first_token_at: None,
+            decode_started: prefill_engine == decode_engine,
         });
-        self.submit(first, job);
+        self.submit(prefill_engine, job);
         true
     }
 
     fn submit(&mut self, engine: usize, job: Job) {
         if let Some(us) = self.engines[engine].submit(job) {
-            self.at(self.now + us, Event::StepEnd(engine));
+            self.schedule(self.now + us, Event::StepEnd(engine));
         }
     }
 
-    fn step_end(&mut self, engine: usize) {
-        if matches!(self.engines[engine].state, State::Gone | State::Away(_)) {
+    fn end_step(&mut self, engine: usize) {
+        if matches!(
+            self.engines[engine].state,
+            State::Crashed | State::ChangingRole(_)
+        ) {
             return;
         }
-        let tokens = self.engines[engine].step.take().map(|step| step.tokens);
+        let tokens = self.engines[engine]
+            .current_step
+            .take()
+            .map(|step| step.tokens);
         for token in tokens.unwrap_or_default() {
-            self.token(engine, token);
+            self.handle_token(engine, token);
         }
-        if self.engines[engine].step.is_none()
-            && let Some(us) = self.engines[engine].begin()
+        if self.engines[engine].current_step.is_none()
+            && let Some(us) = self.engines[engine].start_step()
         {
-            self.at(self.now + us, Event::StepEnd(engine));
+            self.schedule(self.now + us, Event::StepEnd(engine));
         }
-        self.maybe_leave(engine);
+        self.finish_draining(engine);
     }
 
-    fn token(&mut self, engine: usize, token: Token) {
+    fn handle_token(&mut self, engine: usize, token: Token) {
         let id = usize::try_from(token.id).expect("an index");
-        let Some(flight) = self.flights[id].as_mut() else {
+        let Some(running) = self.in_flight[id].as_mut() else {
             return;
         };
-        let decider = flight.decider;
+        let scheduler = running.scheduler;
         let request = &self.requests[id];
-        if flight.first.is_none() {
-            flight.first = Some(self.now);
-            let band = load::priority_class(request.class.priority());
-            self.deciders[decider].seen[engine].own.0[band] -= request.prompt;
-            self.deciders[decider].read(engine, &request.blocks);
+        if running.first_token_at.is_none() {
+            running.first_token_at = Some(self.now);
+            let priority_class = load::priority_class(request.class.priority());
+            self.schedulers[scheduler].known_engines[engine].own.0[priority_class] -=
+                request.prompt_tokens;
+            self.schedulers[scheduler].record_prefill(engine, &request.blocks);
         }
-        if token.offset + 1 >= request.output {
-            self.finish(id);
+        if token.offset + 1 >= request.output_tokens {
+            self.finish_request(id);
         } else if let (true, false, Placement::Split { decode, .. }) =
-            (token.last, flight.writing, flight.plan)
+            (token.last, running.decode_started, running.placement)
         {
-            flight.writing = true;
+            running.decode_started = true;
             let job = Job {
                 id: token.id,
                 priority: request.class.priority(),
-                prompt_tokens: request.prompt,
+                prompt_tokens: request.prompt_tokens,
                 blocks: Vec::new(),
-                until: request.output,
+                until: request.output_tokens,
                 from: 1,
                 imported: true,
             };
@@ -308,32 +326,39 @@
         }
     }
 
-    fn finish(&mut self, id: usize) {
-        let Some(flight) = self.flights[id].take() else {
+    fn finish_request(&mut self, id: usize) {
+        let Some(running) = self.in_flight[id].take() else {
             return;
         };
         let request = &self.requests[id];
-        let last = match flight.plan {
+        let decode_engine = match running.placement {
             Placement::Single { engine } => engine,
             Placement::Split { decode, .. } => decode,
         };
-        self.deciders[flight.decider].seen[last].own.1 -= 1;
-        self.deciders[flight.decider].finished(request);
-        self.results.finished(request, flight.first, self.now);
+        self.schedulers[running.scheduler].known_engines[decode_engine]
+            .own
+            .1 -= 1;
+        self.schedulers[running.scheduler].observe_output(request);
+        self.results
+            .record_answer(request, running.first_token_at, self.now);
     }
 
-    fn digests(&mut self) {
-        if self.now < to_u64(LENGTH * 1e6) {
-            self.at(self.now + DIGEST_US, Event::Digests);
+    fn send_digests(&mut self) {
+        if self.now < to_u64(DURATION_S * 1e6) {
+            self.schedule(self.now + DIGEST_INTERVAL_US, Event::SendDigests);
         }
         for engine in 0..self.engines.len() {
-            let all: Vec<_> = self.deciders.iter().map(|d| d.seen[engine].own).collect();
-            for (at, decider) in self.deciders.iter_mut().enumerate() {
-                let others = all.iter().enumerate().filter(|(other, _)| *other != at);
-                let none = (TokensByClass::default(), 0);
-                decider.seen[engine].peers = others.fold(none, |mut sum, (_, own)| {
-                    for (sum, reading) in sum.0.iter_mut().zip(own.0) {
-                        *sum += reading;
+            let all: Vec<_> = self
+                .schedulers
+                .iter()
+                .map(|scheduler| scheduler.known_engines[engine].own)
+                .collect();
+            for (index, scheduler) in self.schedulers.iter_mut().enumerate() {
+                let others = all.iter().enumerate().filter(|(other, _)| *other != index);
+                let empty = (TokensByClass::default(), 0);
+                scheduler.known_engines[engine].peers = others.fold(empty, |mut sum, (_, own)| {
+                    for (sum, prompt_tokens) in sum.0.iter_mut().zip(own.0) {
+                        *sum += prompt_tokens;
                     }
                     (sum.0, sum.1 + own.1)
                 });
@@ -341,28 +366,31 @@
         }
     }
 
-    fn reports(&mut self) {
-        if self.now < to_u64(LENGTH * 1e6) {
-            self.at(self.now + REPORT_US, Event::Reports);
+    fn send_reports(&mut self) {
+        if self.now < to_u64(DURATION_S * 1e6) {
+            self.schedule(self.now + REPORT_INTERVAL_US, Event::SendReports);
         }
-        let late = self.now + self.options.lag_ms * 1_000;
+        let arrives_at = self.now + self.options.report_delay_ms * 1_000;
         for engine in 0..self.engines.len() {
             let batch = &self.engines[engine].batch;
-            let reading = batch.waiting_prompt_tokens();
-            let writing = batch.writing() as u64;
-            let made = self.now;
-            self.at(late, Event::ReportArrives(engine, reading, writing, made));
+            let prompt_tokens = batch.waiting_prompt_tokens();
+            let decode_requests = batch.writing() as u64;
+            let made_at = self.now;
+            self.schedule(
+                arrives_at,
+                Event::ReportArrives(engine, prompt_tokens, decode_requests, made_at),
+            );
             let cache = self.engines[engine].batch.cache();
-            for decider in &mut self.deciders {
-                let seen = &mut decider.seen[engine];
-                for event in cache.events_after(seen.sequence) {
-                    seen.sequence = event.sequence;
-                    let held = seen.blocks.binary_search(&event.block);
-                    match held {
-                        _ if self.rng.random_bool(GAPS) => {}
-                        Err(at) if event.held => seen.blocks.insert(at, event.block),
-                        Ok(at) if !event.held => {
-                            seen.blocks.remove(at);
+            for scheduler in &mut self.schedulers {
+                let known = &mut scheduler.known_engines[engine];
+                for event in cache.events_after(known.sequence) {
+                    known.sequence = event.sequence;
+                    let position = known.cached_blocks.binary_search(&event.block);
+                    match position {
+                        _ if self.rng.random_bool(LOST_EVENT_RATIO) => {}
+                        Err(index) if event.held => known.cached_blocks.insert(index, event.block),
+                        Ok(index) if !event.held => {
+                            known.cached_blocks.remove(index);
                         }
                         _ => {}
                     }
@@ -373,32 +401,33 @@
 
     /// An engine is gone; its requests start anew, as their daemons would have them.
     fn crash(&mut self, engine: usize) {
-        self.engines[engine].state = State::Gone;
-        for id in 0..self.flights.len() {
-            let Some(flight) = &self.flights[id] else {
+        self.engines[engine].state = State::Crashed;
+        for id in 0..self.in_flight.len() {
+            let Some(running) = &self.in_flight[id] else {
                 continue;
             };
-            let (first, last) = match flight.plan {
+            let (prefill_engine, decode_engine) = match running.placement {
                 Placement::Single { engine } => (engine, engine),
                 Placement::Split { prefill, decode } => (prefill, decode),
             };
-            if first != engine && last != engine {
+            if prefill_engine != engine && decode_engine != engine {
                 continue;
             }
-            let decider = flight.decider;
-            let read = flight.first.is_some();
+            let scheduler = running.scheduler;
+            let prefilled = running.first_token_at.is_some();
             let request = &self.requests[id];
-            let seen = &mut self.deciders[decider].seen;
-            seen[last].own.1 -= 1;
-            if !read {
-                seen[first].own.0[load::priority_class(request.class.priority())] -= request.prompt;
+            let known_engines = &mut self.schedulers[scheduler].known_engines;
+            known_engines[decode_engine].own.1 -= 1;
+            if !prefilled {
+                known_engines[prefill_engine].own.0
+                    [load::priority_class(request.class.priority())] -= request.prompt_tokens;
             }
-            for other in [first, last] {
+            for other in [prefill_engine, decode_engine] {
                 self.engines[other].batch.cancel(id as u64);
             }
-            self.flights[id] = None;
-            let open = self.open();
-            self.try_place(decider, id, &open);
+            self.in_flight[id] = None;
+            let statuses = self.engine_statuses();
+            self.try_dispatch(scheduler, id, &statuses);
         }
     }
 }
--- a/examples/mixshift_parts/run/roles.rs
+++ b/examples/mixshift_parts/run/roles.rs
@@ -7,115 +7,125 @@
 };
 use standin::batch::Speed;
 
-use super::{Event, ROLE_US, World};
+use super::{Event, ROLE_INTERVAL_US, Simulation};
 use crate::mixshift_parts::{
     fleet::{Engine, State},
-    policies::Roles,
-    workload::LENGTH,
+    policies::RoleChanges,
+    workload::DURATION_S,
 };
 
 /// The shortest time between two changes, in microseconds: forty an hour.
-const SPACING_US: u64 = 3_600_000_000 / 40;
+const MIN_CHANGE_INTERVAL_US: u64 = 3_600_000_000 / 40;
 
-impl World {
-    pub(super) fn roles(&mut self) {
-        if self.now < to_u64(LENGTH * 1e6) {
-            self.at(self.now + ROLE_US, Event::Roles);
+impl Simulation {
+    pub(super) fn decide_roles(&mut self) {
+        if self.now < to_u64(DURATION_S * 1e6) {
+            self.schedule(self.now + ROLE_INTERVAL_US, Event::DecideRoles);
         }
-        let (read, write) = std::mem::take(&mut self.arrived);
-        self.demand.observe(self.now, read, write);
-        let change = match self.policy.roles {
-            Roles::Fixed => None,
-            Roles::Forecast => {
+        let (prefill_us, decode_us) = std::mem::take(&mut self.arrived_work);
+        self.demand.observe(self.now, prefill_us, decode_us);
+        let change = match self.policy.role_changes {
+            RoleChanges::Fixed => None,
+            RoleChanges::Forecast => {
                 let bounds = Bounds {
                     min_engines_per_role: 1,
                     horizon: self.options.horizon_s * 1_000_000,
                     change_duration: 10_000_000,
-                    min_change_interval: SPACING_US,
+                    min_change_interval: MIN_CHANGE_INTERVAL_US,
                 };
                 let load = self.demand.forecast();
-                role::choose_change(self.split(), load, &bounds, self.now, self.changed)
+                role::choose_change(
+                    self.role_counts(),
+                    load,
+                    &bounds,
+                    self.now,
+                    self.last_role_change,
+                )
             }
-            Roles::Threshold => self.threshold(),
+            RoleChanges::Threshold => self.choose_threshold_change(),
         };
         if let Some(change) = change {
-            self.change(change);
+            self.start_role_change(change);
         }
     }
 
-    fn split(&self) -> RoleCounts {
-        let of = |role: Role| {
+    fn role_counts(&self) -> RoleCounts {
+        let count = |role: Role| {
             let engines = self.engines.iter();
-            let matching = engines.filter(|e| e.role == role && e.state == State::Open);
+            let matching = engines.filter(|e| e.role == role && e.state == State::Active);
             u32::try_from(matching.count()).expect("a few")
         };
         RoleCounts {
-            prefill: of(Role::Prefill),
-            decode: of(Role::Decode),
-            mixed: of(Role::Mixed),
+            prefill: count(Role::Prefill),
+            decode: count(Role::Decode),
+            mixed: count(Role::Mixed),
         }
     }
 
     /// The simple baseline: the phase with much the fuller engines gets one of the other's.
-    fn threshold(&self) -> Option<Change> {
-        let of = |role: Role| self.engines.iter().filter(move |e| e.role == role);
-        let reading: u64 = of(Role::Prefill)
+    fn choose_threshold_change(&self) -> Option<Change> {
+        let engines_with = |role: Role| self.engines.iter().filter(move |e| e.role == role);
+        let prefill_tokens: u64 = engines_with(Role::Prefill)
             .map(|e| e.batch.waiting_prompt_tokens())
             .sum();
-        let writing: u64 = of(Role::Decode).map(|e| e.batch.requests() as u64).sum();
-        let readers = of(Role::Prefill).count().max(1) as u64;
-        let writers = of(Role::Decode).count().max(1) as u64;
-        let waits = reading / readers > 10_000;
-        let full = writing / writers > 40;
-        match (waits, full) {
-            (true, false) if writers > 1 => Some(Change::ToPrefill),
-            (false, true) if readers > 1 => Some(Change::ToDecode),
+        let decode_requests: u64 = engines_with(Role::Decode)
+            .map(|e| e.batch.requests() as u64)
+            .sum();
+        let prefill_engines = engines_with(Role::Prefill).count().max(1) as u64;
+        let decode_engines = engines_with(Role::Decode).count().max(1) as u64;
+        let prefill_overloaded = prefill_tokens / prefill_engines > 10_000;
+        let decode_overloaded = decode_requests / decode_engines > 40;
+        match (prefill_overloaded, decode_overloaded) {
+            (true, false) if decode_engines > 1 => Some(Change::ToPrefill),
+            (false, true) if prefill_engines > 1 => Some(Change::ToDecode),
             _ => None,
         }
     }
 
-    fn change(&mut self, change: Change) {
+    fn start_role_change(&mut self, change: Change) {
         let (from, to) = match change {
             Change::ToPrefill => (Role::Decode, Role::Prefill),
             Change::ToDecode => (Role::Prefill, Role::Decode),
         };
-        let candidates = (0..self.engines.len())
-            .filter(|at| self.engines[*at].role == from && self.engines[*at].state == State::Open);
-        let Some(engine) = candidates.min_by_key(|at| self.engines[*at].batch.requests()) else {
+        let candidates = (0..self.engines.len()).filter(|index| {
+            self.engines[*index].role == from && self.engines[*index].state == State::Active
+        });
+        let Some(engine) = candidates.min_by_key(|index| self.engines[*index].batch.requests())
+        else {
             return;
         };
-        self.engines[engine].state = State::Closing(to);
-        self.changed = Some(self.now);
-        self.results.changes += 1;
-        self.maybe_leave(engine);
+        self.engines[engine].state = State::Draining(to);
+        self.last_role_change = Some(self.now);
+        self.results.role_changes += 1;
+        self.finish_draining(engine);
     }
 
-    pub(super) fn maybe_leave(&mut self, engine: usize) {
-        if !matches!(self.engines[engine].state, State::Closing(_)) {
+    pub(super) fn finish_draining(&mut self, engine: usize) {
+        if !matches!(self.engines[engine].state, State::Draining(_)) {
             return;
         }
         // a split's second half may still be on its way to it
-        let expected = self
-            .flights
+        let has_requests = self
+            .in_flight
             .iter()
             .flatten()
-            .any(|flight| match flight.plan {
-                Placement::Single { engine: one } => one == engine,
+            .any(|running| match running.placement {
+                Placement::Single { engine: single } => single == engine,
                 Placement::Split { prefill, decode } => prefill == engine || decode == engine,
             });
-        if let (State::Closing(to), false) = (self.engines[engine].state, expected) {
-            self.engines[engine].state = State::Away(to);
-            let away = Speed::default().change_ms * 1_000;
-            self.at(self.now + away, Event::RoleDone(engine));
+        if let (State::Draining(to), false) = (self.engines[engine].state, has_requests) {
+            self.engines[engine].state = State::ChangingRole(to);
+            let change_us = Speed::default().change_ms * 1_000;
+            self.schedule(self.now + change_us, Event::FinishRoleChange(engine));
         }
     }
 
-    pub(super) fn role_done(&mut self, engine: usize) {
-        if let State::Away(to) = self.engines[engine].state {
+    pub(super) fn finish_role_change(&mut self, engine: usize) {
+        if let State::ChangingRole(to) = self.engines[engine].state {
             self.engines[engine] = Engine::new(to, Speed::default());
-            for decider in &mut self.deciders {
-                decider.seen[engine].blocks.clear();
-                decider.seen[engine].sequence = 0;
+            for scheduler in &mut self.schedulers {
+                scheduler.known_engines[engine].cached_blocks.clear();
+                scheduler.known_engines[engine].sequence = 0;
             }
         }
     }
--- a/examples/outcomes.rs
+++ b/examples/outcomes.rs
@@ -18,8 +18,8 @@
 use serde::Deserialize;
 
 use outcomes_parts::{
-    lines::{Lines, Read},
     parts::Parts,
+    prefills::{Prefill, Prefills},
 };
 
 /// What came of placements, read from gateways' log lines.
@@ -59,46 +59,47 @@
 }
 
 /// Bounds of unread tokens that are printed of together; longer prompts come last.
-const SIZES: [u64; 3] = [1 << 10, 1 << 12, 1 << 14];
+const SIZE_BOUNDS: [u64; 3] = [1 << 10, 1 << 12, 1 << 14];
 
 /// Who reads the prompt.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord)]
 #[display(rename_all = "lowercase")]
-enum Plan {
+enum Placement {
     /// The engine that answers.
-    Whole,
+    #[display("whole")]
+    Single,
     /// Another one.
     Split,
 }
 
 /// What a placement looked like; those of one kind are printed of together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Kind {
-    late: bool,
-    plan: Plan,
-    /// Unread tokens: the first of [`SIZES`] that they stay below.
-    below: u64,
+struct PlacementKind {
+    placed_late: bool,
+    placement: Placement,
+    /// Unread tokens: the first of [`SIZE_BOUNDS`] that they stay below.
+    below_tokens: u64,
     /// Whether other prompts were ahead.
-    ahead: bool,
+    prompts_ahead: bool,
 }
 
 /// A request that was placed.
 #[derive(Debug)]
-struct Placed {
-    kind: Kind,
+struct PlacedRequest {
+    kind: PlacementKind,
     expected_us: u64,
-    left_us: u64,
+    first_token_timeout_us: u64,
 }
 
 /// What came of the requests of a kind.
 #[derive(Debug)]
 struct Outcome {
     answered: u64,
-    late: u64,
-    paused: u64,
-    expected: Histogram<u64>,
-    first: Histogram<u64>,
-    pause: Histogram<u64>,
+    late_first_token: u64,
+    stalled: u64,
+    expected_us: Histogram<u64>,
+    first_token_us: Histogram<u64>,
+    stall_us: Histogram<u64>,
 }
 
 impl Outcome {
@@ -106,134 +107,139 @@
         // two digits are more than the table shows
         Ok(Self {
             answered: 0,
-            late: 0,
-            paused: 0,
-            expected: Histogram::new(2)?,
-            first: Histogram::new(2)?,
-            pause: Histogram::new(2)?,
+            late_first_token: 0,
+            stalled: 0,
+            expected_us: Histogram::new(2)?,
+            first_token_us: Histogram::new(2)?,
+            stall_us: Histogram::new(2)?,
         })
     }
 }
 
 /// All that was read.
 #[derive(Debug, Default)]
-struct Account {
-    placed: BTreeMap<String, Placed>,
-    outcomes: BTreeMap<Kind, Outcome>,
-    losses: BTreeMap<String, u64>,
-    lines: Lines,
+struct Summary {
+    placed: BTreeMap<String, PlacedRequest>,
+    outcomes: BTreeMap<PlacementKind, Outcome>,
+    failures: BTreeMap<String, u64>,
+    prefills: Prefills,
     parts: Parts,
-    unread: u64,
+    unparsed_lines: u64,
 }
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     let options = options().run();
-    let mut account = Account::default();
+    let mut summary = Summary::default();
     for file in &options.files {
         for line in BufReader::new(File::open(file)?).split(b'\n') {
-            account.take(&line?, options.pause_ms)?;
+            summary.add_line(&line?, options.pause_ms)?;
         }
     }
-    account.print(&mut io::stdout().lock())?;
+    summary.print(&mut io::stdout().lock())?;
     Ok(())
 }
 
-impl Account {
-    fn take(&mut self, line: &[u8], pause_ms: u64) -> Result<(), Box<dyn std::error::Error>> {
+impl Summary {
+    fn add_line(&mut self, line: &[u8], pause_ms: u64) -> Result<(), Box<dyn std::error::Error>> {
         let Some(start) = line.iter().position(|byte| *byte == b'{') else {
             return Ok(());
         };
         let Ok(line) = serde_json::from_slice::<Line>(&line[start..]) else {
-            self.unread += 1;
+            self.unparsed_lines += 1;
             return Ok(());
         };
         match line.message.as_str() {
-            "placed" | "placed late" => self.place(line),
+            "placed" | "placed late" => self.add_placement(line),
             "started" => {
                 let gateway = line.process.unwrap_or_default();
-                self.parts.start(&gateway, line.time_ms.unwrap_or(0));
+                self.parts.record_start(&gateway, line.time_ms.unwrap_or(0));
             }
             "a prompt was read" => {
                 let request = line.request.unwrap_or_default();
-                self.lines.read(&request, line.time_ms.unwrap_or(0));
+                self.prefills
+                    .record_prefill_end(&request, line.time_ms.unwrap_or(0));
             }
-            "answered" => self.answer(&line, pause_ms)?,
-            "an attempt failed" => self.lose("attempt", line.cause),
-            "refused" => self.lose("refused", line.reason),
+            "answered" => self.add_answer(&line, pause_ms)?,
+            "an attempt failed" => self.count_failure("attempt", line.cause),
+            "refused" => self.count_failure("refused", line.reason),
             "left by the caller" | "broken off by the endpoint" | "cut when its time was over" => {
-                self.lose("ended", Some(line.message));
+                self.count_failure("ended", Some(line.message));
             }
             _ => {}
         }
         Ok(())
     }
 
-    fn lose(&mut self, what: &str, why: Option<String>) {
-        let why = why.unwrap_or_default();
-        *self.losses.entry(format!("{what}: {why}")).or_default() += 1;
+    fn count_failure(&mut self, kind: &str, reason: Option<String>) {
+        let reason = reason.unwrap_or_default();
+        *self
+            .failures
+            .entry(format!("{kind}: {reason}"))
+            .or_default() += 1;
     }
 
-    fn place(&mut self, line: Line) {
+    fn add_placement(&mut self, line: Line) {
         let Some(request) = line.request else {
             return;
         };
-        let held = line.held.unwrap_or(0) + line.fetched.unwrap_or(0);
-        let unread = line.prompt.unwrap_or(0).saturating_sub(held);
-        let kind = Kind {
-            late: line.message == "placed late",
-            plan: if line.reads == line.writes {
-                Plan::Whole
+        let cached_tokens = line.held.unwrap_or(0) + line.fetched.unwrap_or(0);
+        let uncached_tokens = line.prompt.unwrap_or(0).saturating_sub(cached_tokens);
+        let kind = PlacementKind {
+            placed_late: line.message == "placed late",
+            placement: if line.reads == line.writes {
+                Placement::Single
             } else {
-                Plan::Split
+                Placement::Split
             },
-            below: SIZES
+            below_tokens: SIZE_BOUNDS
                 .into_iter()
-                .find(|size| unread < *size)
+                .find(|size| uncached_tokens < *size)
                 .unwrap_or(u64::MAX),
-            ahead: line.reading.unwrap_or(0) > 0,
+            prompts_ahead: line.reading.unwrap_or(0) > 0,
         };
         let gateway = line.process.unwrap_or_default();
         let placed_ms = line.time_ms.unwrap_or(0);
         let parts = line.parts.unwrap_or_default();
-        self.parts.place(&gateway, placed_ms, &parts, held);
-        if kind.plan == Plan::Split {
-            let read = Read {
+        self.parts
+            .record_placement(&gateway, placed_ms, &parts, cached_tokens);
+        if kind.placement == Placement::Split {
+            let prefill = Prefill {
                 gateway,
                 placed_ms,
                 done_ms: None,
-                unread,
-                late: kind.late,
+                uncached_tokens,
+                placed_late: kind.placed_late,
                 expected_us: line.expected_us.unwrap_or(0),
-                believed: line.reading.unwrap_or(0),
+                known_work_ahead: line.reading.unwrap_or(0),
             };
             let engine = line.reads.unwrap_or_default();
-            self.lines.place(&request, &engine, read);
+            self.prefills.record_placement(&request, &engine, prefill);
         }
-        let placed = Placed {
+        let placed = PlacedRequest {
             kind,
             expected_us: line.expected_us.unwrap_or(0),
-            left_us: line.left_us.unwrap_or(0),
+            first_token_timeout_us: line.left_us.unwrap_or(0),
         };
         self.placed.insert(request, placed);
     }
 
-    fn answer(&mut self, line: &Line, pause_ms: u64) -> Result<(), Box<dyn std::error::Error>> {
+    fn add_answer(&mut self, line: &Line, pause_ms: u64) -> Result<(), Box<dyn std::error::Error>> {
         let placed = line.request.as_ref().and_then(|id| self.placed.remove(id));
-        let Some((placed, first)) = placed.zip(line.first_us) else {
+        let Some((placed, first_token_us)) = placed.zip(line.first_us) else {
             return Ok(());
         };
         let outcome = match self.outcomes.entry(placed.kind) {
             std::collections::btree_map::Entry::Occupied(entry) => entry.into_mut(),
             std::collections::btree_map::Entry::Vacant(entry) => entry.insert(Outcome::new()?),
         };
-        let pause = line.longest_gap_us.unwrap_or(0);
-        let late = first > placed.left_us;
+        let stall_us = line.longest_gap_us.unwrap_or(0);
+        let late_first_token = first_token_us > placed.first_token_timeout_us;
         outcome.answered += 1;
-        outcome.late += u64::from(late);
-        outcome.paused += u64::from(!late && pause > pause_ms * 1_000);
-        outcome.expected.record(placed.expected_us)?;
-        outcome.first.record(first)?;
-        outcome.pause.record(pause)?;
+        outcome.late_first_token += u64::from(late_first_token);
+        outcome.stalled += u64::from(!late_first_token && stall_us > pause_ms * 1_000);
+        outcome.expected_us.record(placed.expected_us)?;
+        outcome.first_token_us.record(first_token_us)?;
+        outcome.stall_us.record(stall_us)?;
         Ok(())
     }
 
@@ -250,46 +256,54 @@
             "pause 50 90 99"
         )?;
         for (kind, outcome) in &self.outcomes {
-            let part = |count: u64| policy::to_f64(count) / policy::to_f64(outcome.answered);
+            let ratio = |count: u64| policy::to_f64(count) / policy::to_f64(outcome.answered);
             writeln!(
                 to,
                 "{:<26} {:>8} {:>6.2} {:>6.2}  {}  {}  {}",
                 kind.to_string(),
                 outcome.answered,
-                part(outcome.late),
-                part(outcome.paused),
-                spread(&outcome.expected),
-                spread(&outcome.first),
-                spread(&outcome.pause)
+                ratio(outcome.late_first_token),
+                ratio(outcome.stalled),
+                format_quantiles(&outcome.expected_us),
+                format_quantiles(&outcome.first_token_us),
+                format_quantiles(&outcome.stall_us)
             )?;
         }
-        self.lines.print(to)?;
+        self.prefills.print(to)?;
         self.parts.print(to)?;
-        for (loss, count) in &self.losses {
-            writeln!(to, "{count:>8} {loss}")?;
+        for (failure, count) in &self.failures {
+            writeln!(to, "{count:>8} {failure}")?;
         }
         writeln!(
             to,
             "{:>8} placed, with no end in these lines",
             self.placed.len()
         )?;
-        writeln!(to, "{:>8} lines that could not be read", self.unread)
+        writeln!(
+            to,
+            "{:>8} lines that could not be read",
+            self.unparsed_lines
+        )
     }
 }
 
 /// Three quantiles in milliseconds.
-fn spread(times: &Histogram<u64>) -> String {
-    let [a, b, c] = [0.5, 0.9, 0.99].map(|part| times.value_at_quantile(part) / 1_000);
+fn format_quantiles(times: &Histogram<u64>) -> String {
+    let [a, b, c] = [0.5, 0.9, 0.99].map(|quantile| times.value_at_quantile(quantile) / 1_000);
     format!("{a:>5} {b:>5} {c:>5}")
 }
 
-impl fmt::Display for Kind {
+impl fmt::Display for PlacementKind {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let late = if self.late { "late " } else { "" };
-        let ahead = if self.ahead { ", others ahead" } else { "" };
-        match self.below {
-            u64::MAX => write!(f, "{late}{} long{ahead}", self.plan),
-            below => write!(f, "{late}{} <{below}{ahead}", self.plan),
+        let late = if self.placed_late { "late " } else { "" };
+        let ahead = if self.prompts_ahead {
+            ", others ahead"
+        } else {
+            ""
+        };
+        match self.below_tokens {
+            u64::MAX => write!(f, "{late}{} long{ahead}", self.placement),
+            below => write!(f, "{late}{} <{below}{ahead}", self.placement),
         }
     }
 }
--- a/examples/outcomes_parts/mod.rs
+++ b/examples/outcomes_parts/mod.rs
@@ -1,4 +1,4 @@
 //! Parts of the account of placements.
 
-pub mod lines;
 pub mod parts;
+pub mod prefills;
--- a/examples/slopes.rs
+++ b/examples/slopes.rs
@@ -16,48 +16,48 @@
 }
 
 /// Least squares through the points: where it starts and how steep it is.
-fn fit(points: &[Point], of: impl Fn(&Point) -> f64) -> (f64, f64) {
+fn fit(points: &[Point], value: impl Fn(&Point) -> f64) -> (f64, f64) {
     let n = to_f64(u64::try_from(points.len()).unwrap_or(0));
     let mean = |f: &dyn Fn(&Point) -> f64| points.iter().map(f).sum::<f64>() / n;
     let x = mean(&|p| to_f64(p.size));
-    let y = mean(&|p| of(p));
-    let up: f64 = points
+    let y = mean(&|p| value(p));
+    let covariance: f64 = points
         .iter()
-        .map(|p| (to_f64(p.size) - x) * (of(p) - y))
+        .map(|p| (to_f64(p.size) - x) * (value(p) - y))
         .sum();
-    let down: f64 = points.iter().map(|p| (to_f64(p.size) - x).powi(2)).sum();
-    let slope = up / down;
+    let variance: f64 = points.iter().map(|p| (to_f64(p.size) - x).powi(2)).sum();
+    let slope = covariance / variance;
     (y - slope * x, slope)
 }
 
-fn print(what: &str, points: &[Point]) {
+fn print_series(title: &str, points: &[Point]) {
     for point in points {
         println!(
-            "{what}: {} -> {:.1} us, {:.0} bytes",
+            "{title}: {} -> {:.1} us, {:.0} bytes",
             point.size, point.us, point.bytes
         );
     }
     let (us, us_each) = fit(points, |p| p.us);
     let (bytes, bytes_each) = fit(points, |p| p.bytes);
     println!(
-        "{what}: fit {us:.1} us + {us_each:.4} us each, {bytes:.0} bytes + {bytes_each:.1} bytes each\n"
+        "{title}: fit {us:.1} us + {us_each:.4} us each, {bytes:.0} bytes + {bytes_each:.1} bytes each\n"
     );
 }
 
 /// The median time of some runs, in microseconds.
-fn time(mut run: impl FnMut()) -> f64 {
+fn median_us(mut run: impl FnMut()) -> f64 {
     let mut times: Vec<f64> = (0..15)
         .map(|_| {
-            let began = Instant::now();
+            let started = Instant::now();
             run();
-            began.elapsed().as_secs_f64() * 1e6
+            started.elapsed().as_secs_f64() * 1e6
         })
         .collect();
     times.sort_by(f64::total_cmp);
     times[times.len() / 2]
 }
 
-fn tree(groups: u64) -> Tree {
+fn sample_tree(groups: u64) -> Tree {
     let nodes = (0..groups).map(|at| Node {
         path: format!("group/g{at:05}"),
         values: vec![
@@ -69,7 +69,7 @@
 }
 
 /// Resident memory of this process, in bytes.
-fn resident() -> f64 {
+fn resident_bytes() -> f64 {
     let statm = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages: u64 = statm
         .split(' ')
@@ -80,16 +80,16 @@
 }
 
 fn settings_tree() {
-    let mut whole = Vec::new();
-    let mut sent = Vec::new();
-    let mut held = Vec::new();
+    let mut resolved = Vec::new();
+    let mut applied = Vec::new();
+    let mut memory = Vec::new();
     for size in [5_000, 15_000, 45_000] {
-        let tree = tree(size);
+        let tree = sample_tree(size);
         let text = serde_json::to_string(&tree).unwrap_or_default();
-        let us = time(|| {
+        let us = median_us(|| {
             std::hint::black_box(resolve::ResolvedTree::new(&tree));
         });
-        whole.push(Point {
+        resolved.push(Point {
             size,
             us,
             bytes: to_f64(text.len() as u64),
@@ -99,53 +99,53 @@
             key: "share".to_owned(),
             value: "2".to_owned(),
         }];
-        let us = time(|| {
+        let us = median_us(|| {
             std::hint::black_box(tree.apply(&edit).is_ok());
         });
-        sent.push(Point {
+        applied.push(Point {
             size,
             us,
             bytes: to_f64(serde_json::to_string(&edit).unwrap_or_default().len() as u64),
         });
-        let before = resident();
-        let kept: Vec<_> = (0..4)
+        let before = resident_bytes();
+        let versions: Vec<_> = (0..4)
             .map(|_| (tree.clone(), resolve::ResolvedTree::new(&tree)))
             .collect();
-        let bytes = (resident() - before) / 4.0;
-        held.push(Point {
+        let bytes = (resident_bytes() - before) / 4.0;
+        memory.push(Point {
             size,
             us: 0.0,
             bytes,
         });
-        drop(kept);
+        drop(versions);
     }
-    print("typing a whole tree, by groups (bytes: as text)", &whole);
-    print(
+    print_series("typing a whole tree, by groups (bytes: as text)", &resolved);
+    print_series(
         "applying and checking one change, by groups (bytes: the change)",
-        &sent,
+        &applied,
     );
-    print("memory of a version in force, by groups", &held);
+    print_series("memory of a version in force, by groups", &memory);
 }
 
 fn heartbeats() {
     let points = [12, 64, 256].map(|size: u64| {
-        let beat = beat(size, 16, 20);
-        measure_beat(size, &beat)
+        let heartbeat = sample_heartbeat(size, 16, 20);
+        measure_heartbeat(size, &heartbeat)
     });
-    print("heartbeat made and read, by endpoints", &points);
+    print_series("heartbeat made and read, by endpoints", &points);
     let points = [10, 100, 1_000].map(|size: u64| {
-        let beat = beat(12, 16, size);
-        measure_beat(size, &beat)
+        let heartbeat = sample_heartbeat(12, 16, size);
+        measure_heartbeat(size, &heartbeat)
     });
-    print("heartbeat made and read, by groups in use", &points);
+    print_series("heartbeat made and read, by groups in use", &points);
 }
 
-fn measure_beat(size: u64, beat: &Heartbeat) -> Point {
+fn measure_heartbeat(size: u64, heartbeat: &Heartbeat) -> Point {
     use prost::Message;
-    let bytes = beat.encode_to_vec();
-    let us = time(|| {
+    let bytes = heartbeat.encode_to_vec();
+    let us = median_us(|| {
         for _ in 0..20 {
-            let bytes = beat.encode_to_vec();
+            let bytes = heartbeat.encode_to_vec();
             std::hint::black_box(Heartbeat::decode(bytes.as_slice()).is_ok());
         }
     }) / 20.0;
@@ -156,7 +156,7 @@
     }
 }
 
-fn beat(endpoints: u64, members: u64, groups: u64) -> Heartbeat {
+fn sample_heartbeat(endpoints: u64, members: u64, groups: u64) -> Heartbeat {
     Heartbeat {
         settings_version: 1 << 20,
         loads: (0..endpoints)
@@ -195,16 +195,16 @@
             at_ms: 1 << 40,
             stage: Stage::Claimed,
         };
-        let make = || {
+        let build = || {
             (0..size).fold(Transaction::default(), |all, at| {
                 let key = format!("claim/readings/{at:016x}/{at:032x}");
                 let text = serde_json::to_string(&row).unwrap_or_default();
                 all.check(&key, 0).write(&key, text)
             })
         };
-        let text = serde_json::to_string(&make()).unwrap_or_default();
-        let us = time(|| {
-            std::hint::black_box(serde_json::to_string(&make()).is_ok());
+        let text = serde_json::to_string(&build()).unwrap_or_default();
+        let us = median_us(|| {
+            std::hint::black_box(serde_json::to_string(&build()).is_ok());
         });
         Point {
             size,
@@ -212,7 +212,7 @@
             bytes: to_f64(text.len() as u64),
         }
     });
-    print("one transaction of claims, by claims", &points);
+    print_series("one transaction of claims, by claims", &points);
 }
 
 fn reports() {
@@ -224,7 +224,7 @@
     };
     let text = serde_json::to_string(&report).unwrap_or_default();
     let points = [1, 12, 64].map(|size: u64| {
-        let us = time(|| {
+        let us = median_us(|| {
             for _ in 0..size {
                 let read: Result<endpoint::engine::Report, _> = serde_json::from_str(&text);
                 std::hint::black_box(read.is_ok());
@@ -236,7 +236,7 @@
             bytes: to_f64(size * text.len() as u64),
         }
     });
-    print("load reports read, by engines (without HTTP)", &points);
+    print_series("load reports read, by engines (without HTTP)", &points);
 }
 
 fn main() {
@@ -244,5 +244,5 @@
     heartbeats();
     claims();
     reports();
-    println!("resident at the end: {:.0} MB", resident() / 1e6);
+    println!("resident at the end: {:.0} MB", resident_bytes() / 1e6);
 }
--- a/tests/outcomes.rs
+++ b/tests/outcomes.rs
@@ -4,19 +4,19 @@
 mod outcomes_parts;
 
 use outcomes_parts::{
-    lines::{Lines, Read},
     parts::Parts,
+    prefills::{Prefill, Prefills},
 };
 
-fn read(gateway: &str, placed_ms: u64, done_ms: Option<u64>, unread: u64) -> Read {
-    Read {
+fn read(gateway: &str, placed_ms: u64, done_ms: Option<u64>, unread: u64) -> Prefill {
+    Prefill {
         gateway: gateway.to_owned(),
         placed_ms,
         done_ms,
-        unread,
-        late: false,
+        uncached_tokens: unread,
+        placed_late: false,
         expected_us: 20_000,
-        believed: 0,
+        known_work_ahead: 0,
     }
 }
 
@@ -28,29 +28,29 @@
 
 #[test]
 fn what_stood_before_a_prompt_is_found_in_all_gateways_lines() {
-    let mut lines = Lines::default();
+    let mut lines = Prefills::default();
     // one that gives way and whose end nobody saw, then one behind it
-    let late = Read {
-        late: true,
+    let late = Prefill {
+        placed_late: true,
         ..read("g1", 0, None, 9_000)
     };
-    lines.place("r1", "e1", late);
-    lines.place("r2", "e1", read("g2", 1_000, None, 1_000));
-    lines.read("r2", 1_400);
+    lines.record_placement("r1", "e1", late);
+    lines.record_placement("r2", "e1", read("g2", 1_000, None, 1_000));
+    lines.record_prefill_end("r2", 1_400);
     // two gateways at the same engine ten milliseconds apart, of which the first is read as expected
-    lines.place("r3", "e2", read("g1", 0, None, 1_000));
-    lines.read("r3", 20);
-    lines.place("r4", "e2", read("g2", 10, None, 1_000));
-    lines.read("r4", 110);
+    lines.record_placement("r3", "e2", read("g1", 0, None, 1_000));
+    lines.record_prefill_end("r3", 20);
+    lines.record_placement("r4", "e2", read("g2", 10, None, 1_000));
+    lines.record_prefill_end("r4", 110);
     // two of one gateway, the first long under way and not believed to be
-    let slow = Read {
+    let slow = Prefill {
         expected_us: 250_000,
         ..read("g1", 0, None, 5_000)
     };
-    lines.place("r5", "e3", slow);
-    lines.read("r5", 300);
-    lines.place("r6", "e3", read("g1", 200, None, 1_000));
-    lines.read("r6", 320);
+    lines.record_placement("r5", "e3", slow);
+    lines.record_prefill_end("r5", 300);
+    lines.record_placement("r6", "e3", read("g1", 200, None, 1_000));
+    lines.record_prefill_end("r6", 320);
     let printed = printed(|text| lines.print(text));
     let rows: Vec<Vec<&str>> = printed
         .lines()
@@ -75,13 +75,13 @@
 #[test]
 fn shared_parts_are_read_for_the_first_time_or_again() {
     let mut parts = Parts::default();
-    parts.place("g1", 1_000, "a:2000 x:10", 0);
+    parts.record_placement("g1", 1_000, "a:2000 x:10", 0);
     // read at this moment, then known, then unknown to a gateway that has started since
-    parts.place("g1", 1_100, "a:2000 y:10", 0);
-    parts.place("g1", 2_000, "a:2000 z:10", 2_000);
-    parts.start("g2", 3_000);
-    parts.place("g2", 4_000, "a:2000 w:10", 0);
-    parts.place("g1", 5_000, "a:2000 v:10", 0);
+    parts.record_placement("g1", 1_100, "a:2000 y:10", 0);
+    parts.record_placement("g1", 2_000, "a:2000 z:10", 2_000);
+    parts.record_start("g2", 3_000);
+    parts.record_placement("g2", 4_000, "a:2000 w:10", 0);
+    parts.record_placement("g1", 5_000, "a:2000 v:10", 0);
     let printed = printed(|text| parts.print(text));
     let tokens: Vec<&str> = printed
         .lines()
