--- a/components/spec/src/orders/mod.rs
+++ b/components/spec/src/orders/mod.rs
@@ -1,6 +1,8 @@
-//! Stewardship and orders: two daemons, one engine of either kind, late and lost messages, lost
-//! answers of the table, crashes. A pause is any delay between two steps of a daemon, so every
-//! pause is covered; a lease may lapse at any moment, since safety may not rest on its term.
+//! Stewardship and orders: two daemons, one engine that does or does not check fencing numbers,
+//! delayed and lost messages, lost responses of the table, and crashes.
+//!
+//! A pause of a process is a delay between two of its steps, so every pause is covered. A lease may
+//! expire at any moment, since safety must not depend on its term.
 
 mod state;
 
@@ -9,7 +11,9 @@
     order::{self, CallOutcome, Role, Row, Stage, Step},
 };
 
-use state::{Daemon, Doing, Label, Message, Setup, State, Variant, name, start, wanted};
+use state::{
+    Daemon, Label, Message, Phase, Setup, State, Variant, incarnation, initial_state, wanted,
+};
 
 use crate::{
     Case,
@@ -17,20 +21,21 @@
 };
 
 const DAEMONS: usize = 2;
-/// The highest epoch and the highest order number that are explored.
-const EPOCHS: u64 = 3;
-const NUMBERS: u64 = 2;
-/// Orders on their way at once.
-const ON_THE_WAY: usize = 3;
-const BOUNDS: &str = "2 daemons, 1 engine, epochs to 3, orders to 2, 3 on the way, 2 ends, 1 crash";
+/// Bounds on the epoch and on the order number.
+const MAX_EPOCH: u64 = 3;
+const MAX_ORDER_NUMBER: u64 = 2;
+/// Maximum number of orders in transit at once.
+const MAX_IN_TRANSIT: usize = 3;
+const BOUNDS: &str =
+    "2 daemons, 1 engine, epochs to 3, order numbers to 2, 3 in transit, 2 wanted roles, 1 crash";
 
-fn next(state: &State, setup: Setup, variant: Variant) -> Vec<(Label, State)> {
+fn successors(state: &State, setup: Setup, variant: Variant) -> Vec<(Label, State)> {
     let mut steps = Vec::new();
     for at in 0..DAEMONS {
         if state.daemons[at].alive {
-            take(state, at, &mut steps);
-            plan(state, at, setup, variant, &mut steps);
-            act(state, at, variant, &mut steps);
+            take_stewardship(state, at, &mut steps);
+            decide_order(state, at, setup, variant, &mut steps);
+            advance(state, at, variant, &mut steps);
             crash(state, at, &mut steps);
         }
     }
@@ -38,10 +43,10 @@
     steps
 }
 
-fn take(state: &State, at: usize, steps: &mut Vec<(Label, State)>) {
-    let next_lease = lease::acquire(state.lease.as_ref(), name(at));
-    let holds = state.lease.and_then(|lease| lease.holder) == Some(name(at));
-    if holds || next_lease.epoch > EPOCHS {
+fn take_stewardship(state: &State, at: usize, steps: &mut Vec<(Label, State)>) {
+    let next_lease = lease::acquire(state.lease.as_ref(), incarnation(at));
+    let holds_lease = state.lease.and_then(|lease| lease.holder) == Some(incarnation(at));
+    if holds_lease || next_lease.epoch > MAX_EPOCH {
         return;
     }
     let mut next = state.clone();
@@ -56,48 +61,54 @@
     ));
 }
 
-/// Whether a commit under this epoch's lease row would be accepted.
-fn accepted(state: &State, epoch: u64, variant: Variant) -> bool {
-    variant == Variant::TermAlone || state.lease.is_some_and(|lease| lease.epoch == epoch)
+/// Whether the table would accept a commit that checks the lease row for this epoch.
+fn commit_accepted(state: &State, epoch: u64, variant: Variant) -> bool {
+    variant == Variant::LeaseTermOnly || state.lease.is_some_and(|lease| lease.epoch == epoch)
 }
 
-fn plan(state: &State, at: usize, setup: Setup, variant: Variant, steps: &mut Vec<(Label, State)>) {
+fn decide_order(
+    state: &State,
+    at: usize,
+    setup: Setup,
+    variant: Variant,
+    steps: &mut Vec<(Label, State)>,
+) {
     let daemon = &state.daemons[at];
-    let (Some(epoch), Doing::Nothing) = (daemon.epoch, &daemon.doing) else {
+    let (Some(epoch), Phase::Nothing) = (daemon.epoch, &daemon.phase) else {
         return;
     };
     let gone = |other: Incarnation| {
         variant == Variant::NoWait
-            || !(0..DAEMONS).any(|d| name(d) == other && state.daemons[d].alive)
+            || !(0..DAEMONS).any(|d| incarnation(d) == other && state.daemons[d].alive)
     };
     let number = state.row.as_ref().map_or(0, |row| row.number);
-    let clean = !daemon.lost.contains(&number);
+    let clean = !daemon.lost_orders.contains(&number);
     for role in [Role::Prefill, Role::Decode] {
-        let wish = wanted(role);
+        let target = wanted(role);
         let row = match order::next_step(
             state.row.as_ref(),
-            &wish,
-            name(at),
+            &target,
+            incarnation(at),
             epoch,
             setup.fences,
             clean,
             gone,
         ) {
-            // closing is a model of its own; here all daemons have closed
+            // closing has its own model; here all daemons have closed their gates
             Step::Close(row) => order::intent_row(&row),
             Step::Resend(row) | Step::Reopen(row) => row,
             Step::Wait(_) | Step::Nothing => continue,
         };
-        if row.number <= NUMBERS {
+        if row.number <= MAX_ORDER_NUMBER {
             let label = Label::Decides {
                 daemon: at,
                 number: row.number,
                 role: row.wanted.role,
             };
             let mut next = state.clone();
-            next.daemons[at].doing = Doing::Commit {
+            next.daemons[at].phase = Phase::Commit {
                 row,
-                over: state.row.clone(),
+                expected: state.row.clone(),
             };
             steps.push((label, next));
         }
@@ -116,15 +127,15 @@
     if variant == Variant::IntentAfterSend {
         let mut early = state.clone();
         send(&mut early, at, &row);
-        early.daemons[at].doing = Doing::Send(row);
+        early.daemons[at].phase = Phase::Send(row);
         steps.push((Label::Sends { daemon: at, number }, early));
         return;
     }
-    let mut known = state.clone();
-    known.row = Some(row.clone());
-    let mut lost = known.clone();
+    let mut answered = state.clone();
+    answered.row = Some(row.clone());
+    let mut lost = answered.clone();
     if row.stage == Stage::Intent {
-        known.daemons[at].doing = Doing::Send(row);
+        answered.daemons[at].phase = Phase::Send(row);
     }
     steps.push((
         Label::CommitsIntent {
@@ -132,10 +143,10 @@
             number,
             role,
         },
-        known,
+        answered,
     ));
-    // the write took effect and its answer was lost for good: nothing is sent
-    lost.daemons[at].doing = Doing::Nothing;
+    // the write took effect and its response was lost: the order is not sent
+    lost.daemons[at].phase = Phase::Nothing;
     steps.push((Label::CommitAnswerLost { daemon: at, number }, lost));
 }
 
@@ -148,25 +159,25 @@
     state.network.sort();
 }
 
-fn act(state: &State, at: usize, variant: Variant, steps: &mut Vec<(Label, State)>) {
-    match state.daemons[at].doing.clone() {
-        Doing::Nothing => {}
-        Doing::Commit { row, over } => {
-            let fits = state.row == over || variant == Variant::TermAlone;
-            if fits && accepted(state, row.epoch, variant) {
+fn advance(state: &State, at: usize, variant: Variant, steps: &mut Vec<(Label, State)>) {
+    match state.daemons[at].phase.clone() {
+        Phase::Nothing => {}
+        Phase::Commit { row, expected } => {
+            let row_matches = state.row == expected || variant == Variant::LeaseTermOnly;
+            if row_matches && commit_accepted(state, row.epoch, variant) {
                 commit_intent(state, at, row, variant, steps);
             } else {
                 let mut next = state.clone();
-                next.daemons[at].doing = Doing::Nothing;
+                next.daemons[at].phase = Phase::Nothing;
                 steps.push((Label::CommitRefused { daemon: at }, next));
             }
         }
-        Doing::Send(_) if state.network.len() >= ON_THE_WAY => {}
-        Doing::Send(row) => {
+        Phase::Send(_) if state.network.len() >= MAX_IN_TRANSIT => {}
+        Phase::Send(row) => {
             let mut next = state.clone();
             let label = if variant == Variant::IntentAfterSend {
-                // the intent, after the order has left
-                if accepted(state, row.epoch, variant) {
+                // the intent is committed after the order was sent
+                if commit_accepted(state, row.epoch, variant) {
                     next.row = Some(row.clone());
                 }
                 Label::CommitsIntent {
@@ -181,24 +192,24 @@
                     number: row.number,
                 }
             };
-            next.daemons[at].doing = Doing::Await(row);
+            next.daemons[at].phase = Phase::Await(row);
             steps.push((label, next));
         }
-        Doing::Await(row) => {
-            // the call is cut; the order may still arrive
+        Phase::Await(row) => {
+            // the call is lost; the order may still arrive
             let mut next = state.clone();
-            let ended = if variant == Variant::LostIsEnded {
+            let ended = if variant == Variant::LostCallIsEnded {
                 CallOutcome::NotReached
             } else {
                 CallOutcome::Lost
             };
-            if ended == CallOutcome::Lost && !next.daemons[at].lost.contains(&row.number) {
-                next.daemons[at].lost.push(row.number);
+            if ended == CallOutcome::Lost && !next.daemons[at].lost_orders.contains(&row.number) {
+                next.daemons[at].lost_orders.push(row.number);
             }
-            next.daemons[at].doing = Doing::Finish(row, ended);
+            next.daemons[at].phase = Phase::Finish(row, ended);
             steps.push((Label::CallIsLost { daemon: at }, next));
         }
-        Doing::Finish(row, ended) => finish(state, at, &row, ended, variant, steps),
+        Phase::Finish(row, ended) => finish(state, at, &row, ended, variant, steps),
     }
 }
 
@@ -211,13 +222,13 @@
     steps: &mut Vec<(Label, State)>,
 ) {
     let mut next = state.clone();
-    next.daemons[at].doing = Doing::Nothing;
+    next.daemons[at].phase = Phase::Nothing;
     let outcome = order::outcome_row(row, ended);
-    let stands = state
+    let is_current = state
         .row
         .as_ref()
         .is_some_and(|now| now.number == row.number && now.sender == row.sender);
-    if accepted(state, row.epoch, variant) && stands {
+    if commit_accepted(state, row.epoch, variant) && is_current {
         let label = Label::CommitsOutcome {
             daemon: at,
             number: row.number,
@@ -229,13 +240,13 @@
     }
     let mut withdrawn = next.clone();
     steps.push((Label::OutcomeRefused { daemon: at }, next));
-    // a former sender whose call has ended takes its name out
+    // an earlier sender whose call has ended removes itself from the row
     if let (Some(now), true) = (withdrawn.row.as_mut(), ended != CallOutcome::Lost)
         && now.number == row.number
-        && now.earlier.contains(&name(at))
-        && !state.daemons[at].lost.contains(&row.number)
+        && now.earlier.contains(&incarnation(at))
+        && !state.daemons[at].lost_orders.contains(&row.number)
     {
-        now.earlier.retain(|other| *other != name(at));
+        now.earlier.retain(|other| *other != incarnation(at));
         steps.push((Label::Withdraws { daemon: at }, withdrawn));
     }
 }
@@ -249,10 +260,11 @@
     next.daemons[at] = Daemon {
         alive: false,
         epoch: None,
-        doing: Doing::Nothing,
-        lost: Vec::new(),
+        phase: Phase::Nothing,
+        lost_orders: Vec::new(),
     };
-    // its connections end with it; what has left its machine is lost, since gone means gone
+    // its connections end with it, and its orders in transit are lost: the protocol takes a daemon
+    // for gone only when it certainly can't send any more
     next.network.retain(|message| message.from != at);
     steps.push((Label::Crashes { daemon: at }, next));
 }
@@ -261,7 +273,7 @@
     for (nth, message) in state.network.iter().enumerate() {
         let mut next = state.clone();
         next.network.remove(nth);
-        let refused = setup.fences && !order::passes_fencing(state.highest, message.number);
+        let refused = setup.fences && !order::passes_fencing(state.highest_seen, message.number);
         let (label, ended) = if refused {
             let label = Label::EngineRefuses {
                 number: message.number,
@@ -269,91 +281,98 @@
             };
             (label, CallOutcome::NotReached)
         } else {
-            strike(&mut next, message, setup);
-            let label = Label::EngineTakes {
+            apply_order(&mut next, message, setup);
+            let label = Label::EngineAccepts {
                 number: message.number,
                 role: message.wanted.role,
                 from: message.from,
             };
             (label, CallOutcome::Reached)
         };
-        // the answer reaches a sender that still waits for it
-        if let Doing::Await(row) = &state.daemons[message.from].doing
+        // the response reaches the sender if it still waits for it
+        if let Phase::Await(row) = &state.daemons[message.from].phase
             && row.number == message.number
         {
-            next.daemons[message.from].doing = Doing::Finish(row.clone(), ended);
+            next.daemons[message.from].phase = Phase::Finish(row.clone(), ended);
         }
         steps.push((label, next));
     }
 }
 
-/// The engine carries an order out; what it may not do is noted.
+/// Applies an order to the engine and records a violated invariant.
 ///
-/// At an engine that checks, authority is lost when a newer number has arrived. Until then an order
-/// that was committed may take effect, but only while the row keeps the endpoint closed.
-fn strike(state: &mut State, message: &Message, setup: Setup) {
-    let changes = state.holds != message.wanted.role;
+/// At an engine that checks fencing numbers, a sender loses its authority when a newer number has
+/// arrived. Until then a committed order may take effect, but only while the row keeps the endpoint
+/// closed.
+fn apply_order(state: &mut State, message: &Message, setup: Setup) {
+    let changes_role = state.engine_role != message.wanted.role;
     let closed = state
         .row
         .as_ref()
         .is_some_and(|row| row.blocks_dispatch(false));
-    let overtaken = setup.fences && closed;
-    let intended = state
+    let superseded = setup.fences && closed;
+    let has_intent = state
         .row
         .as_ref()
         .is_some_and(|row| row.number == message.number && row.wanted == message.wanted);
-    state.broken = match () {
-        () if changes && message.number < state.effective => {
+    state.violation = match () {
+        () if changes_role && message.number < state.highest_applied => {
             Some("an engine never receives conflicting orders")
         }
-        () if changes && !intended && !overtaken => {
+        () if changes_role && !has_intent && !superseded => {
             Some("orders from a process that has lost its authority have no effect")
         }
         () => None,
     };
-    state.highest = state.highest.max(message.number);
-    state.effective = state.effective.max(message.number);
-    state.holds = message.wanted.role;
+    state.highest_seen = state.highest_seen.max(message.number);
+    state.highest_applied = state.highest_applied.max(message.number);
+    state.engine_role = message.wanted.role;
 }
 
 fn run(fences: bool, variant: Variant) -> Outcome {
     let setup = Setup { fences };
     explore(
-        &start(),
-        |state| next(state, setup, variant),
-        |state| state.broken,
+        &initial_state(),
+        |state| successors(state, setup, variant),
+        |state| state.violation,
     )
 }
 
-const fn case(variant: &'static str, wrong: bool, run: fn() -> Outcome) -> Case {
+const fn case(variant: &'static str, expect_violation: bool, run: fn() -> Outcome) -> Case {
     Case {
         model: "orders",
         variant,
         bounds: BOUNDS,
-        wrong,
+        expect_violation,
         run,
     }
 }
 
-/// The model's cases.
+/// The cases of this model.
 pub const CASES: &[Case] = &[
-    case("as built, engine that checks", false, || {
-        run(true, Variant::Right)
-    }),
-    case("as built, engine that doesn't check", false, || {
-        run(false, Variant::Right)
+    case("as built, engine checks fencing numbers", false, || {
+        run(true, Variant::Correct)
     }),
-    case("intent after send", true, || {
+    case(
+        "as built, engine doesn't check fencing numbers",
+        false,
+        || run(false, Variant::Correct),
+    ),
+    case("order sent before its intent is committed", true, || {
         run(false, Variant::IntentAfterSend)
     }),
-    case("lease term alone, engine that checks", true, || {
-        run(true, Variant::TermAlone)
+    case(
+        "lease term only, engine checks fencing numbers",
+        true,
+        || run(true, Variant::LeaseTermOnly),
+    ),
+    case("lease term only", true, || {
+        run(false, Variant::LeaseTermOnly)
     }),
-    case("lease term alone", true, || run(false, Variant::TermAlone)),
-    case("different order without waiting", true, || {
+    case("different order without waiting for senders", true, || {
         run(false, Variant::NoWait)
     }),
-    case("lost call taken for ended", true, || {
-        run(false, Variant::LostIsEnded)
+    case("lost call treated as ended", true, || {
+        run(false, Variant::LostCallIsEnded)
     }),
 ];
--- a/components/standin/src/service/mod.rs
+++ b/components/standin/src/service/mod.rs
@@ -1,4 +1,4 @@
-//! A stand-in of a plain service that remembers what it ran.
+//! A stand-in of a plain service that records the requests it executes.
 
 use std::{
     net::SocketAddr,
@@ -12,30 +12,30 @@
 
 use crate::server::{self, Body, Server};
 
-/// The ways in which a service can be told to fail.
+/// Faults of a service that can be injected.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Faults {
-    /// It doesn't.
+pub enum Fault {
+    /// No fault.
     #[default]
     None,
-    /// It refuses without running.
+    /// Refuses requests without executing them.
     Refuse,
-    /// It cuts the connection without running.
-    CutBefore,
-    /// It runs and cuts the connection.
-    CutAfter,
-    /// It runs after a delay.
+    /// Resets the connection without executing the request.
+    ResetBefore,
+    /// Executes the request and resets the connection.
+    ResetAfter,
+    /// Executes the request after a delay.
     Slow(Duration),
 }
 
 #[derive(Debug, Default)]
 struct State {
-    faults: Faults,
-    /// Path and body of each request that ran, in order.
-    ran: Vec<(String, Bytes)>,
+    fault: Fault,
+    /// Path and body of each executed request, in order.
+    executed: Vec<(String, Bytes)>,
 }
 
-/// A running service; dropping it is a crash.
+/// A running service. Dropping it acts as a crash.
 #[derive(Debug)]
 pub struct Service {
     server: Server,
@@ -47,43 +47,47 @@
 }
 
 impl Service {
-    /// Starts a service on an address (port 0 takes any).
+    /// Starts a service on an address; port 0 binds any free port.
     ///
     /// # Errors
     ///
     /// The system's error when the address can't be bound.
     pub async fn start(address: SocketAddr) -> std::io::Result<Self> {
         let state = Arc::new(Mutex::new(State::default()));
-        let serving = Arc::clone(&state);
+        let handler_state = Arc::clone(&state);
         let server = Server::start(address, move |request| {
-            handle(Arc::clone(&serving), request)
+            handle(Arc::clone(&handler_state), request)
         })
         .await?;
         Ok(Self { server, state })
     }
 
-    /// Where it listens.
+    /// The address on which it listens.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Changes the ways in which it fails.
-    pub fn fail(&self, faults: Faults) {
-        lock(&self.state).faults = faults;
+    /// Sets the injected fault.
+    pub fn set_fault(&self, fault: Fault) {
+        lock(&self.state).fault = fault;
     }
 
-    /// How often a request with this body ran.
+    /// How many times a request with this body was executed.
     #[must_use]
     pub fn runs(&self, body: &str) -> usize {
         let state = lock(&self.state);
-        state.ran.iter().filter(|(_, ran)| ran == body).count()
+        state
+            .executed
+            .iter()
+            .filter(|(_, executed)| executed == body)
+            .count()
     }
 
-    /// How many requests ran.
+    /// How many requests were executed.
     #[must_use]
-    pub fn total(&self) -> usize {
-        lock(&self.state).ran.len()
+    pub fn total_runs(&self) -> usize {
+        lock(&self.state).executed.len()
     }
 }
 
@@ -99,17 +103,22 @@
         .await
         .map_err(std::io::Error::other)?
         .to_bytes();
-    let faults = lock(&state).faults;
-    match faults {
-        Faults::Refuse => return Ok(server::whole(StatusCode::SERVICE_UNAVAILABLE, Bytes::new())),
-        Faults::CutBefore => return Err(std::io::ErrorKind::ConnectionReset.into()),
-        Faults::Slow(time) => tokio::time::sleep(time).await,
-        Faults::None | Faults::CutAfter => {}
+    let fault = lock(&state).fault;
+    match fault {
+        Fault::Refuse => {
+            return Ok(server::full_response(
+                StatusCode::SERVICE_UNAVAILABLE,
+                Bytes::new(),
+            ));
+        }
+        Fault::ResetBefore => return Err(std::io::ErrorKind::ConnectionReset.into()),
+        Fault::Slow(delay) => tokio::time::sleep(delay).await,
+        Fault::None | Fault::ResetAfter => {}
     }
-    let answer = format!("{method} {path}: {} bytes taken\n", body.len());
-    lock(&state).ran.push((path, body));
-    match faults {
-        Faults::CutAfter => Err(std::io::ErrorKind::ConnectionReset.into()),
-        _ => Ok(server::whole(StatusCode::OK, answer.into())),
+    let text = format!("{method} {path}: {} bytes taken\n", body.len());
+    lock(&state).executed.push((path, body));
+    match fault {
+        Fault::ResetAfter => Err(std::io::ErrorKind::ConnectionReset.into()),
+        _ => Ok(server::full_response(StatusCode::OK, text.into())),
     }
 }
--- a/examples/demo_parts/checks.rs
+++ b/examples/demo_parts/checks.rs
@@ -9,7 +9,7 @@
     client::legacy::{Client, connect::HttpConnector},
     rt::TokioExecutor,
 };
-use standin::engine::{Faults, expected};
+use standin::engine::{Fault, expected_text};
 use wire::{CommitRequest, ReadRequest, operator_client::OperatorClient};
 
 use super::fleet::{Fleet, KEY, TOKEN, edit};
@@ -40,7 +40,7 @@
     fleet
         .engines
         .iter()
-        .for_each(|engine| engine.fail(Faults::Cross));
+        .for_each(|engine| engine.set_fault(Fault::ForeignFrames));
     report(
         "crossed frames dropped",
         check_stream(&http, fleet.callers(0), 30).await,
@@ -48,7 +48,7 @@
     fleet
         .engines
         .iter()
-        .for_each(|engine| engine.fail(Faults::None));
+        .for_each(|engine| engine.set_fault(Fault::None));
     report(
         "a reading runs once, its answer is given again",
         check_idempotency(&http, &fleet).await,
@@ -147,7 +147,7 @@
             Err(_) => done = line == "[DONE]",
         }
     }
-    answer.complete && done && text == expected(&prompt, 0, tokens)
+    answer.complete && done && text == expected_text(&prompt, 0, tokens)
 }
 
 async fn check_idempotency(http: &Http, fleet: &Fleet) -> bool {
--- a/examples/mixshift_parts/run/mod.rs
+++ b/examples/mixshift_parts/run/mod.rs
@@ -241,7 +241,7 @@
         known_engines[prefill_engine].own.0[load::priority_class(request.class.priority())] +=
             request.prompt_tokens;
         known_engines[decode_engine].own.1 += 1;
-        let until = if prefill_engine == decode_engine {
+        let end_offset = if prefill_engine == decode_engine {
             request.output_tokens
         } else {
             1
@@ -251,8 +251,8 @@
             priority: request.class.priority(),
             prompt_tokens: request.prompt_tokens,
             blocks: request.blocks.clone(),
-            until,
-            from: 0,
+            end_offset,
+            start_offset: 0,
             imported: false,
         };
         self.in_flight[id] = Some(InFlightRequest {
@@ -318,8 +318,8 @@
                 priority: request.class.priority(),
                 prompt_tokens: request.prompt_tokens,
                 blocks: Vec::new(),
-                until: request.output_tokens,
-                from: 1,
+                end_offset: request.output_tokens,
+                start_offset: 1,
                 imported: true,
             };
             self.submit(decode, job);
@@ -374,7 +374,7 @@
         for engine in 0..self.engines.len() {
             let batch = &self.engines[engine].batch;
             let prompt_tokens = batch.waiting_prompt_tokens();
-            let decode_requests = batch.writing() as u64;
+            let decode_requests = batch.decoding() as u64;
             let made_at = self.now;
             self.schedule(
                 arrives_at,
