--- a/examples/demo.rs
+++ b/examples/demo.rs
@@ -1,7 +1,8 @@
-//! The main job on embedded stand-ins: three daemons, engines of both roles, a plain service.
+//! A complete fleet in one process: three daemons with stand-ins for the platform, for engines of all
+//! roles and for a plain service.
 //!
-//! `cargo run --release --example demo` serves until it is ended; with `-- --check` it sends a fixed
-//! set of real requests through all of it, prints a line each and fails if one is wrong.
+//! `cargo run --release --example demo` serves requests until it is terminated. With `-- --check` it
+//! runs a fixed set of checks with real requests, prints the result of each and fails if one fails.
 
 mod demo_parts;
 
@@ -16,14 +17,14 @@
         None => false,
         Some("--check") => true,
         Some(other) => {
-            eprintln!("{other} is not known; there is only --check");
+            eprintln!("unknown argument {other}; the only option is --check");
             return ExitCode::from(2);
         }
     };
     let fleet = match Fleet::start().await {
         Ok(fleet) => fleet,
         Err(error) => {
-            eprintln!("the demonstration did not start: {error}");
+            eprintln!("could not start the demo: {error}");
             return ExitCode::FAILURE;
         }
     };
@@ -31,6 +32,6 @@
     if check {
         return checks::run(fleet).await;
     }
-    // serves until it is ended from outside
+    // serves until the process is terminated
     std::future::pending().await
 }
--- a/examples/demo_parts/checks.rs
+++ b/examples/demo_parts/checks.rs
@@ -1,4 +1,4 @@
-//! A fixed set of real requests, with a line and a verdict each.
+//! A fixed set of checks with real requests.
 
 use std::{net::SocketAddr, process::ExitCode, time::Duration};
 
@@ -18,12 +18,14 @@
 
 struct Answer {
     status: StatusCode,
+    /// Value of the `x-wrenramp-run` header.
     run_status: String,
     body: String,
+    /// Whether the body was received without an error.
     complete: bool,
 }
 
-/// Runs all checks; fails when one is wrong.
+/// Runs all checks, prints the result of each and fails if one fails.
 pub async fn run(mut fleet: Fleet) -> ExitCode {
     let http = Client::builder(TokioExecutor::new()).build_http();
     let mut results = Vec::new();
@@ -34,7 +36,7 @@
     let each =
         futures::future::join_all((0..3).map(|n| check_stream(&http, fleet.callers(n), 30))).await;
     report(
-        "streamed whole through each daemon",
+        "each daemon streams a complete answer",
         each.iter().all(|passed| *passed),
     );
     fleet
@@ -42,7 +44,7 @@
         .iter()
         .for_each(|engine| engine.set_fault(Fault::ForeignFrames));
     report(
-        "crossed frames dropped",
+        "frames of other attempts are dropped",
         check_stream(&http, fleet.callers(0), 30).await,
     );
     fleet
@@ -50,7 +52,7 @@
         .iter()
         .for_each(|engine| engine.set_fault(Fault::None));
     report(
-        "a reading runs once, its answer is given again",
+        "a request with an idempotency key runs once and its answer is replayed",
         check_idempotency(&http, &fleet).await,
     );
     let refused = send(
@@ -63,21 +65,21 @@
     )
     .await;
     let passed = refused.status == StatusCode::UNAUTHORIZED && refused.run_status == "not-run";
-    report("a wrong key is refused as not run", passed);
+    report("a request with a wrong key is refused as not run", passed);
     report(
-        "a settings change is in force in all daemons",
+        "a settings change takes effect in all daemons",
         change_setting(&fleet, "group/technicians", "share", "3").await,
     );
     report(
-        "a drained engine gets no new work",
+        "a drained engine gets no new requests",
         check_drain(&http, &fleet).await,
     );
     report(
-        "an engine killed in a stream costs nothing",
+        "streams survive the crash of an engine",
         check_crash(&http, &mut fleet).await,
     );
     report(
-        "a planned stop cuts no stream",
+        "a graceful shutdown interrupts no stream",
         check_shutdown(&http, &mut fleet).await,
     );
     if results.iter().all(|passed| *passed) {
@@ -102,7 +104,7 @@
     }
     let request = request
         .body(Full::from(body.to_owned()))
-        .expect("a fixed request is well formed");
+        .expect("the request is well-formed");
     let failed = Answer {
         status: StatusCode::BAD_GATEWAY,
         run_status: String::new(),
@@ -129,7 +131,7 @@
     }
 }
 
-/// A completion that must come out whole and right.
+/// Streams a completion; returns whether it was complete and had the expected text.
 async fn check_stream(http: &Http, address: SocketAddr, tokens: u64) -> bool {
     let prompt = format!("question for {address}");
     let body =
@@ -166,7 +168,7 @@
         if answer.status == StatusCode::OK {
             bodies.push(answer.body);
         }
-        // the outcome is recorded a moment after the answer
+        // the outcome is recorded shortly after the answer
         tokio::time::sleep(Duration::from_millis(300)).await;
     }
     bodies.len() == 4
--- a/examples/demo_parts/fleet.rs
+++ b/examples/demo_parts/fleet.rs
@@ -1,4 +1,4 @@
-//! Stand-ins and daemons, all in this process, each on ports of its own.
+//! Stand-ins and daemons in this process, each on its own ports.
 
 use std::{error::Error, net::SocketAddr, time::Duration};
 
@@ -13,22 +13,20 @@
 };
 use wire::{CommitRequest, Edit, operator_client::OperatorClient};
 
-/// The operators' token of the demonstration.
+/// The operators' token of the demo.
 pub const TOKEN: &str = "demo-operator";
-/// A caller's key of the demonstration.
+/// The callers' key of the demo.
 pub const KEY: &str = "demo-key";
 const DATA_CENTRE: &str = "sala-a";
 const START_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Everything that runs.
+/// The daemons and the stand-ins.
 pub struct Fleet {
-    /// The platform.
+    /// The stand-in for the platform, kept so that it runs as long as the fleet.
     pub _platform: Platform,
-    /// The engines: two that read, two that write, one that does both.
+    /// The engines: two for prefill, two for decode and a mixed one.
     pub engines: Vec<Engine>,
-    /// The plain service.
     pub service: Service,
-    /// The daemons.
     pub daemons: Vec<Running>,
 }
 
@@ -37,7 +35,7 @@
 }
 
 impl Fleet {
-    /// Starts everything and writes the first settings as an operator would.
+    /// Starts the fleet and commits the initial settings as an operator would.
     pub async fn start() -> Result<Self, Box<dyn Error>> {
         let platform = Platform::start(any_port()).await?;
         let service = Service::start(any_port()).await?;
@@ -76,12 +74,12 @@
         Ok(fleet)
     }
 
-    /// The callers' address of a daemon.
+    /// Returns the address at which a daemon serves callers.
     pub fn callers(&self, daemon: usize) -> SocketAddr {
         self.daemons[daemon].addresses().callers
     }
 
-    /// Tells where everything is.
+    /// Prints the daemons' addresses and commands to try.
     pub fn print_commands(&self) {
         for (number, daemon) in self.daemons.iter().enumerate() {
             let addresses = daemon.addresses();
@@ -117,11 +115,12 @@
             match client.commit(request.clone()).await {
                 Ok(reply) if reply.get_ref().version > 0 => break,
                 Ok(reply) => return Err(reply.into_inner().problems.join("; ").into()),
-                // not ready yet
+                // the daemons are not ready yet
                 Err(_) => tokio::time::sleep(Duration::from_millis(50)).await,
             }
         }
-        // a beat later all three have it, and the first reports have come
+        // by then a heartbeat has brought the settings to all three daemons and the first load
+        // reports have arrived
         tokio::time::sleep(Duration::from_millis(800)).await;
         Ok(())
     }
@@ -150,7 +149,7 @@
     }
 }
 
-/// A step that sets a value.
+/// Returns an edit that sets a value.
 pub fn edit(path: &str, key: &str, value: &str) -> Edit {
     Edit {
         path: path.to_owned(),
@@ -188,5 +187,5 @@
         seeds.join(", "),
         resolve::secret_digest(TOKEN)
     );
-    Settings::parse(&text, "the demonstration's settings")
+    Settings::parse(&text, "demo settings")
 }
--- a/examples/demo_parts/mod.rs
+++ b/examples/demo_parts/mod.rs
@@ -1,4 +1,4 @@
-//! The parts of the demonstration.
+//! Modules of the demo.
 
 pub mod checks;
 pub mod fleet;
--- a/examples/idle.rs
+++ b/examples/idle.rs
@@ -1,5 +1,6 @@
-//! Measures what control costs an idle daemon, at several numbers of daemons and engines, for
-//! `docs/CAPACITY.md`. Daemons and stand-ins share this process, so the figures are too high.
+//! Measures the overhead of the control traffic in an idle daemon, for several numbers of daemons and
+//! engines; see `docs/CAPACITY.md`. Daemons and stand-ins share one process, so the figures are too
+//! high.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -39,11 +40,11 @@
     }
     let tree = Tree::default()
         .apply(&edits)
-        .expect("fixed settings are fine");
+        .expect("the settings are valid");
     let head = r#"{"version":1,"token":1}"#.to_owned();
     let mut transaction = Transaction::default().write("settings/head", head);
     for node in &tree.nodes {
-        let text = serde_json::to_string(node).expect("a JSON form");
+        let text = serde_json::to_string(node).expect("a node serializes to JSON");
         transaction = transaction.write(&format!("settings/node/{}", node.path), text);
     }
     let _ = platform.commit(&transaction);
@@ -61,21 +62,22 @@
         seeds.join(", "),
         resolve::secret_digest("token")
     );
-    Settings::parse(&text, "idle").expect("fixed settings are fine")
+    Settings::parse(&text, "idle").expect("the settings are valid")
 }
 
-/// Processor time of this process in microseconds, and bytes sent over the loopback device.
+/// Returns the CPU time of this process in microseconds, and the bytes carried by the loopback
+/// device.
 fn process_usage() -> (u64, u64) {
-    let stat = std::fs::read_to_string("/proc/self/stat").expect("a process has its figures");
+    let stat = std::fs::read_to_string("/proc/self/stat").expect("/proc/self/stat is readable");
     let fields: Vec<&str> = stat
         .rsplit(") ")
         .next()
         .unwrap_or_default()
         .split(' ')
         .collect();
-    // user and system time, in ticks of 10 ms
-    let ticks = |at: usize| fields[at].parse::<u64>().expect("a count");
-    let devices = std::fs::read_to_string("/proc/net/dev").expect("the device list");
+    // user and system time are counted in ticks of 10 ms
+    let ticks = |at: usize| fields[at].parse::<u64>().expect("CPU time is a number");
+    let devices = std::fs::read_to_string("/proc/net/dev").expect("/proc/net/dev is readable");
     let loopback = devices.lines().find(|line| line.trim().starts_with("lo:"));
     let received = loopback
         .and_then(|line| line.split_whitespace().nth(1))
@@ -84,17 +86,19 @@
 }
 
 async fn measure(daemons: usize, engines: usize) {
-    let platform = Platform::start(any_port()).await.expect("platform");
+    let platform = Platform::start(any_port())
+        .await
+        .expect("the platform starts");
     let mut running_engines = Vec::new();
     for _ in 0..engines {
         let engine = Engine::start(any_port(), Setup::default()).await;
-        running_engines.push(engine.expect("engine"));
+        running_engines.push(engine.expect("the engine starts"));
     }
     write_settings(&platform, &running_engines);
     let mut running: Vec<Running> = Vec::new();
     for number in 0..daemons {
         let settings = settings(number, platform.address(), &running);
-        running.push(daemon::start(settings).await.expect("daemon"));
+        running.push(daemon::start(settings).await.expect("the daemon starts"));
     }
     tokio::time::sleep(SETTLE_TIME).await;
     let (before, table_before) = (process_usage(), platform.counts());
@@ -102,7 +106,7 @@
     let (after, table_after) = (process_usage(), platform.counts());
     let daemon_seconds = to_f64(daemons as u64) * MEASURE_TIME.as_secs_f64();
     println!(
-        "{daemons} daemons, {engines} engines: {:.2} % of a core, {:.1} KB/s, {:.2} reads/s and {:.2} writes/s of the table, each daemon",
+        "{daemons} daemons, {engines} engines: {:.2} % of a core, {:.1} KB/s, {:.2} table reads/s and {:.2} table writes/s per daemon",
         to_f64(after.0 - before.0) / daemon_seconds / 1e4,
         to_f64(after.1 - before.1) / daemon_seconds / 1e3,
         to_f64(table_after.reads - table_before.reads) / daemon_seconds,
--- a/examples/mixshift.rs
+++ b/examples/mixshift.rs
@@ -1,6 +1,6 @@
-//! Measures the decisions under a shifting mix: the real decision code against the timing of the
-//! engine stand-in, in a time of its own. No processes, links or platform. See
-//! `docs/MEASUREMENTS.md#mix-shifts`.
+//! Simulates scheduling policies under a shifting mix of requests: the production decision code runs
+//! against the timing model of the stand-in engine, in simulated time and without processes, network
+//! or platform. See `docs/MEASUREMENTS.md#mix-shifts`.
 
 mod mixshift_parts;
 
@@ -22,7 +22,7 @@
     cases: Vec<Case>,
     seeds: u64,
     json: bool,
-    /// Engines that read only and that write only, in place of the policy's own.
+    /// Numbers of prefill-only and decode-only engines, overriding those of the policy.
     dedicated_engines: Option<(usize, usize)>,
     options: Options,
 }
@@ -44,7 +44,7 @@
         }
         let value = args.next()?;
         match flag.as_str() {
-            // all is what is taken anyhow
+            // all is the default
             "--policy" | "--case" if value == "all" => {}
             "--policy" => arguments.policies = vec![Policy::from_name(&value)?],
             "--case" => arguments.cases = vec![Case::from_name(&value)?],
@@ -93,7 +93,7 @@
                     })
                     .collect();
                 runs.into_iter()
-                    .map(|run| run.join().expect("a run does not panic"))
+                    .map(|run| run.join().expect("runs do not panic"))
                     .collect::<Vec<_>>()
             });
             let summary = Summary::new(*case, *policy, &results);
--- a/examples/mixshift_parts/fleet.rs
+++ b/examples/mixshift_parts/fleet.rs
@@ -1,30 +1,29 @@
-//! The engines, with the timing of the stand-in.
+//! Simulated engines with the timing of the stand-in.
 
 use policy::route::Role;
 use standin::batch::{Batch, Job, Speed, Step};
 
-/// Whether an engine serves.
+/// Whether an engine accepts requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// It serves.
+    /// It accepts requests.
     Active,
-    /// It gets nothing new and will change to this role when it is empty.
+    /// It accepts no new requests and changes to this role once it has none left.
     Draining(Role),
-    /// It is away for a change to this role.
+    /// It is unavailable while it changes to this role.
     ChangingRole(Role),
-    /// It is gone.
+    /// It has crashed and does not return.
     Crashed,
 }
 
-/// One engine.
+/// A simulated engine.
 pub struct Engine {
-    /// Its batch.
+    /// Its batch and queue.
     pub batch: Batch,
-    /// Its role.
     pub role: Role,
-    /// Whether it serves.
+    /// Whether it accepts requests.
     pub state: State,
-    /// The step that is under way.
+    /// The step in flight.
     pub current_step: Option<Step>,
 }
 
@@ -39,7 +38,7 @@
         }
     }
 
-    /// Adds a job; says when the step that it starts will end, if the engine was idle.
+    /// Adds a job. If the engine was idle, starts a step and returns its duration in microseconds.
     pub fn submit(&mut self, job: Job) -> Option<u64> {
         self.batch.submit(job);
         if self.current_step.is_some() {
@@ -49,7 +48,7 @@
         }
     }
 
-    /// Begins the next step; says how long it takes.
+    /// Starts the next step and returns its duration in microseconds; `None` if there is no work.
     pub fn start_step(&mut self) -> Option<u64> {
         self.current_step = self.batch.step();
         self.current_step.as_ref().map(|step| step.us)
--- a/examples/mixshift_parts/mod.rs
+++ b/examples/mixshift_parts/mod.rs
@@ -1,4 +1,4 @@
-//! The parts of the measurement.
+//! Modules of the `mixshift` simulation.
 
 pub mod fleet;
 pub mod policies;
--- a/examples/mixshift_parts/policies.rs
+++ b/examples/mixshift_parts/policies.rs
@@ -1,46 +1,46 @@
-//! What is compared in one run.
+//! The policies that the simulation compares.
 
 /// How requests are routed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Routing {
-    /// The real decision.
+    /// By the cost function of the production code.
     Cost,
-    /// By cost, blind to what prompts and writers do to each other.
+    /// By cost, without the interference between prefill and decode.
     NoInterference,
-    /// In turn.
+    /// To each engine in turn.
     RoundRobin,
-    /// To the engine with the fewest requests.
+    /// To the engine with the fewest requests in flight.
     LeastInFlight,
-    /// To the better of two at random.
+    /// To the less loaded of two engines drawn at random.
     TwoChoices,
 }
 
-/// How roles change.
+/// When engines change their roles.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RoleChanges {
     /// Never.
     Fixed,
-    /// The real decision.
+    /// By the demand forecast of the production code.
     Forecast,
-    /// As soon as one phase waits much longer than the other.
+    /// As soon as one phase is overloaded and the other is not.
     Threshold,
 }
 
-/// A way to run the fleet.
+/// A combination of routing and role changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Policy {
-    /// Its name.
+    /// Name on the command line and in the table.
     pub name: &'static str,
-    /// Routing.
+    /// How requests are routed.
     pub routing: Routing,
-    /// Roles.
+    /// When engines change their roles.
     pub role_changes: RoleChanges,
-    /// Engines that read only and that write only, of twelve; the rest do both.
+    /// Numbers of prefill-only and decode-only engines, of twelve; the others are mixed.
     pub dedicated_engines: (usize, usize),
 }
 
 impl Policy {
-    /// All that are compared; the first is what the daemon runs.
+    /// All policies; the first is the one that the daemon runs.
     pub const ALL: [Self; 8] = [
         policy("wrenramp", Routing::Cost, RoleChanges::Forecast, (0, 0)),
         policy("dedicated", Routing::Cost, RoleChanges::Forecast, (4, 5)),
@@ -72,7 +72,7 @@
         policy("threshold", Routing::Cost, RoleChanges::Threshold, (6, 6)),
     ];
 
-    /// The one with a name.
+    /// Returns the policy with this name.
     pub fn from_name(name: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|policy| policy.name == name)
     }
--- a/examples/mixshift_parts/report.rs
+++ b/examples/mixshift_parts/report.rs
@@ -1,4 +1,4 @@
-//! What a run has shown, and the medians over its seeds.
+//! Results of a run, and their medians over all seeds.
 
 use hdrhistogram::Histogram;
 use policy::to_f64;
@@ -9,7 +9,7 @@
     workload::{Case, Class, DURATION_S, Request},
 };
 
-/// First token and time between tokens of the target, in microseconds.
+/// Latency target of an answer: time to first token and mean inter-token latency.
 const MAX_FIRST_TOKEN_US: u64 = 1_300_000;
 const MAX_INTER_TOKEN_US: u64 = 26_000;
 
@@ -17,15 +17,16 @@
 pub struct Results {
     /// Requests that arrived, by class.
     arrived: [u64; 4],
-    /// Useful answers: whole, in time, and for questions at the pace of the target.
+    /// Useful answers, by class: those that meet their deadline and, except for long prompts, the
+    /// latency target.
     useful: [u64; 4],
-    /// Work of the useful answers, in microseconds of an engine.
+    /// Work of the useful answers, in microseconds of engine time.
     useful_work: f64,
     arrived_work: f64,
     refused: [u64; 4],
     first_token_us: Vec<Histogram<u64>>,
     inter_token_us: Histogram<u64>,
-    /// Role changes.
+    /// Number of role changes.
     pub role_changes: u64,
 }
 
@@ -34,15 +35,17 @@
 }
 
 fn record(histogram: &mut Histogram<u64>, value: u64) {
-    histogram.record(value).expect("it grows by itself");
+    histogram
+        .record(value)
+        .expect("an auto-resizing histogram accepts any value");
 }
 
 fn histogram() -> Histogram<u64> {
-    Histogram::new(3).expect("three digits are allowed")
+    Histogram::new(3).expect("three significant digits are supported")
 }
 
 impl Results {
-    /// Nothing yet.
+    /// Returns empty results for these requests.
     pub fn new(requests: &[Request]) -> Self {
         let mut arrived = [0; 4];
         for request in requests {
@@ -60,12 +63,12 @@
         }
     }
 
-    /// A request was refused.
+    /// Records that a request was refused.
     pub fn record_refusal(&mut self, class: Class) {
         self.refused[class.group()] += 1;
     }
 
-    /// A request was answered.
+    /// Records an answer that ended at `now`.
     pub fn record_answer(&mut self, request: &Request, first_token_at: Option<u64>, now: u64) {
         let group = request.class.group();
         let first_token_us = first_token_at.unwrap_or(now) - request.arrival_us;
@@ -100,11 +103,11 @@
     case: &'static str,
     policy: &'static str,
     seeds: usize,
-    /// Useful work over the work that arrived.
+    /// Ratio of useful work to the work of all requests that arrived.
     goodput: f64,
     goodput_low: f64,
     goodput_high: f64,
-    /// Useful answers a second.
+    /// Useful answers per second.
     answers: f64,
     long: f64,
     short: f64,
@@ -125,7 +128,7 @@
 }
 
 impl Summary {
-    /// Sums the runs of one case and policy up.
+    /// Summarizes the runs of one case and policy.
     pub fn new(case: Case, policy: Policy, results: &[Results]) -> Self {
         let goodput = |r: &Results| r.useful_work / r.arrived_work;
         let ms = |us: u64| to_f64(us) / 1e3;
@@ -160,7 +163,7 @@
     }
 }
 
-/// Prints the head of the table.
+/// Prints the header of the table.
 pub fn print_header() {
     println!(
         "{:<7}{:<16}{:>8}{:>14}{:>9}{:>7}{:>7}{:>7}{:>7}{:>8}{:>8}{:>8}{:>9}{:>9}{:>8}",
@@ -182,7 +185,7 @@
     );
 }
 
-/// Prints a row, and a JSON line if asked.
+/// Prints a row of the table, followed by a JSON line if `json` is set.
 pub fn print_row(summary: &Summary, json: bool) {
     println!(
         "{:<7}{:<16}{:>8.3}{:>14}{:>9.1}{:>7.3}{:>7.3}{:>7.3}{:>7.3}{:>8}{:>8.3}{:>8.0}{:>9.0}{:>9.0}{:>8.1}",
@@ -205,7 +208,7 @@
     if json {
         println!(
             "{}",
-            serde_json::to_string(summary).expect("plain fields have a JSON form")
+            serde_json::to_string(summary).expect("a summary serializes to JSON")
         );
     }
 }
--- a/examples/mixshift_parts/run/mod.rs
+++ b/examples/mixshift_parts/run/mod.rs
@@ -1,4 +1,5 @@
-//! One run: arrivals, steps of engines, reports, digests and role decisions in order of time.
+//! One run, as a discrete-event simulation of arrivals, engine steps, load reports, digests and role
+//! decisions.
 
 mod options;
 mod roles;
@@ -32,9 +33,9 @@
 const ROLE_INTERVAL_US: u64 = 2_000_000;
 const CRASH_AT_US: u64 = 120_000_000;
 const DRAIN_AT_US: u64 = 240_000_000;
-/// How many groups are tried in turn, as in the daemon.
+/// How many groups' first requests are tried per placement, as in the daemon.
 const MAX_GROUPS_TRIED: usize = 8;
-/// Share of cache events that are lost.
+/// Ratio of cache events that are lost on their way to a scheduler.
 const LOST_EVENT_RATIO: f64 = 0.2;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -43,7 +44,8 @@
     StepEnd(usize),
     SendDigests,
     SendReports,
-    /// A report as it was made some time ago reaches the deciders.
+    /// A load report reaches the schedulers: the engine, its waiting prompt tokens, its decoding
+    /// requests, and when the report was made.
     ReportArrives(usize, u64, u64, u64),
     DecideRoles,
     FinishRoleChange(usize),
@@ -55,19 +57,22 @@
     scheduler: usize,
     placement: Placement,
     first_token_at: Option<u64>,
-    /// Whether the second engine of a split has it.
+    /// Whether the engine that decodes has it: always for a single engine, after the prefill for a
+    /// split.
     decode_started: bool,
 }
 
 struct Simulation {
     now: u64,
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
+    /// Number of events scheduled so far; orders events of the same time.
     event_count: u64,
     requests: Vec<Request>,
     in_flight: Vec<Option<InFlightRequest>>,
     engines: Vec<Engine>,
     schedulers: Vec<Scheduler>,
     demand: Demand,
+    /// Prefill and decode work that has arrived since the last role decision, in microseconds.
     arrived_work: (u64, u64),
     last_role_change: Option<u64>,
     policy: Policy,
@@ -77,7 +82,7 @@
     results: Results,
 }
 
-/// Runs one case.
+/// Simulates one case under a policy and returns the results.
 pub fn run(case: Case, policy: Policy, options: Options) -> Results {
     let mut simulation = Simulation::new(case, policy, options);
     while let Some(Reverse((at, _, event))) = simulation.events.pop() {
@@ -176,7 +181,7 @@
             to_u64(to_f64(request.prompt_tokens) * BatchLatency::default().prefill_token_us);
         self.arrived_work.0 += prefill_us;
         self.arrived_work.1 += work - prefill_us.min(work);
-        // baselines have no queue: they send at once and refuse nothing
+        // baseline policies have no queue: they dispatch at once and refuse nothing
         if !matches!(self.policy.routing, Routing::Cost | Routing::NoInterference) {
             let statuses = self.engine_statuses();
             self.try_dispatch(scheduler, id, &statuses);
@@ -202,10 +207,11 @@
         while self.dispatch_one(scheduler, &statuses) {}
     }
 
-    /// Places the first request that fits; says whether there was one.
+    /// Dispatches the first queued request that can be placed, or refuses one past its deadline;
+    /// returns `false` if there was neither.
     fn dispatch_one(&mut self, scheduler: usize, statuses: &[EngineStatus]) -> bool {
         for (group, queued) in self.schedulers[scheduler].queue.peek(MAX_GROUPS_TRIED) {
-            let id = usize::try_from(queued.id).expect("an index");
+            let id = usize::try_from(queued.id).expect("a request id is an index");
             if self.now > queued.deadline {
                 self.schedulers[scheduler].queue.remove(group, queued.id);
                 self.results.record_refusal(self.requests[id].class);
@@ -294,7 +300,7 @@
     }
 
     fn handle_token(&mut self, engine: usize, token: Token) {
-        let id = usize::try_from(token.id).expect("an index");
+        let id = usize::try_from(token.id).expect("a request id is an index");
         let Some(running) = self.in_flight[id].as_mut() else {
             return;
         };
@@ -399,7 +405,7 @@
         }
     }
 
-    /// An engine is gone; its requests start anew, as their daemons would have them.
+    /// Crashes an engine; its requests are retried from the start, as their daemons would do.
     fn crash(&mut self, engine: usize) {
         self.engines[engine].state = State::Crashed;
         for id in 0..self.in_flight.len() {
--- a/examples/mixshift_parts/run/options.rs
+++ b/examples/mixshift_parts/run/options.rs
@@ -1,4 +1,4 @@
-//! What a run can be told.
+//! Options of a run.
 
 use policy::route::Weights;
 
@@ -7,28 +7,28 @@
     workload::Site,
 };
 
-/// Options of a run.
+/// Parameters of a run; the weights override those of the production code.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// Whose sizes.
+    /// The site whose prompt and answer sizes are used.
     pub site: Site,
-    /// How many deciders share the arrivals.
+    /// Number of schedulers that share the arrivals.
     pub schedulers: usize,
-    /// How late reports are.
+    /// Delay of the engines' load reports.
     pub report_delay_ms: u64,
-    /// The routing window.
+    /// Most prefill time that may wait at an engine.
     pub max_prefill_wait_ms: u64,
-    /// Weight of the delay to those that write.
+    /// Weight of the delay that a prompt causes to the requests that decode on the same engine.
     pub interference_weight: f64,
-    /// The longest time between tokens that is aimed at.
+    /// Highest inter-token latency of an interactive answer.
     pub max_inter_token_latency_ms: u64,
-    /// Most requests that write at an engine.
+    /// Most requests that decode at an engine.
     pub max_decode_requests: u64,
-    /// Weight of the delay by prompts behind.
+    /// Additional weight of the stalls that prompts queued behind a request cause to its answer.
     pub stall_weight: f64,
-    /// The horizon of role decisions.
+    /// Planning horizon of role decisions.
     pub horizon_s: u64,
-    /// The seed.
+    /// Seed of the arrivals and of all random choices.
     pub seed: u64,
 }
 
@@ -49,7 +49,7 @@
     }
 }
 
-/// The weights with which a policy routes.
+/// Returns the weights with which a policy routes.
 pub(super) fn weights(policy: Policy, options: Options) -> Weights {
     let configured = Weights {
         max_prefill_wait: options.max_prefill_wait_ms * 1_000,
--- a/examples/mixshift_parts/run/roles.rs
+++ b/examples/mixshift_parts/run/roles.rs
@@ -1,4 +1,4 @@
-//! Changes of engines' roles: when one is decided on, and how an engine goes through it.
+//! Role changes: when one is decided, and how an engine is drained and switched.
 
 use policy::{
     role::{self, Bounds, Change, RoleCounts},
@@ -14,7 +14,7 @@
     workload::DURATION_S,
 };
 
-/// The shortest time between two changes, in microseconds: forty an hour.
+/// Shortest time between two role changes: at most forty per hour.
 const MIN_CHANGE_INTERVAL_US: u64 = 3_600_000_000 / 40;
 
 impl Simulation {
@@ -53,7 +53,7 @@
         let count = |role: Role| {
             let engines = self.engines.iter();
             let matching = engines.filter(|e| e.role == role && e.state == State::Active);
-            u32::try_from(matching.count()).expect("a few")
+            u32::try_from(matching.count()).expect("the number of engines fits in u32")
         };
         RoleCounts {
             prefill: count(Role::Prefill),
@@ -62,7 +62,8 @@
         }
     }
 
-    /// The simple baseline: the phase with much the fuller engines gets one of the other's.
+    /// The threshold baseline: if the engines of one phase are overloaded and those of the other are
+    /// not, one of the latter changes its role.
     fn choose_threshold_change(&self) -> Option<Change> {
         let engines_with = |role: Role| self.engines.iter().filter(move |e| e.role == role);
         let prefill_tokens: u64 = engines_with(Role::Prefill)
@@ -104,7 +105,7 @@
         if !matches!(self.engines[engine].state, State::Draining(_)) {
             return;
         }
-        // a split's second half may still be on its way to it
+        // counts requests placed as a split whose decode phase has not reached this engine yet
         let has_requests = self
             .in_flight
             .iter()
--- a/examples/mixshift_parts/scheduler.rs
+++ b/examples/mixshift_parts/scheduler.rs
@@ -1,4 +1,5 @@
-//! A decider: one daemon's queue and view, with the real decisions.
+//! The scheduler of one daemon: its queue, what it knows of the engines, and the production decision
+//! code.
 
 use policy::{
     estimate::BatchLatency,
@@ -14,40 +15,44 @@
     workload::{Class, Request},
 };
 
-/// What a decider knows of an engine.
+/// What a scheduler knows of an engine. A load is the prompt tokens by priority class and the number
+/// of decoding requests.
 #[derive(Clone, Debug, Default)]
 pub struct KnownEngine {
-    /// Own dispatches.
+    /// Load of the scheduler's own requests.
     pub own: (TokensByClass, u64),
-    /// Peers', as of their last digests.
+    /// Load of the peers' requests, as of their last digests.
     pub peers: (TokensByClass, u64),
-    /// The engine's report and when it was made.
+    /// The engine's last report: waiting prompt tokens, decoding requests, and when it was made.
     pub reported: Option<(u64, u64, u64)>,
-    /// Blocks that its cache likely holds, sorted.
+    /// Blocks that the engine's prefix cache is expected to hold, sorted.
     pub cached_blocks: Vec<u64>,
-    /// The last cache event taken.
+    /// Sequence number of the last cache event received.
     pub sequence: u64,
 }
 
-/// An engine as all deciders see it at once: its role and whether it takes requests.
+/// State of an engine that all schedulers learn without delay: its role, and whether it accepts
+/// requests.
 pub type EngineStatus = (Role, bool);
 
-/// One decider.
+/// The scheduler of one daemon.
 pub struct Scheduler {
-    /// What it knows of each engine.
+    /// What it knows of each engine, by index.
     pub known_engines: Vec<KnownEngine>,
-    /// Its queue.
+    /// Requests that wait for an engine.
     pub queue: Queue,
-    /// Lengths of answers, by group.
+    /// Moving average of the answers' lengths, by group.
     mean_output_tokens: [f64; 4],
     round_robin_count: usize,
 }
 
+/// Expected length of an answer before any has been observed.
 const INITIAL_OUTPUT_TOKENS: f64 = 128.0;
+/// Weight of the last answer in the moving average.
 const OUTPUT_SMOOTHING: f64 = 0.1;
 
 impl Scheduler {
-    /// A decider that knows nothing yet.
+    /// Returns a scheduler with no knowledge of the engines yet.
     pub fn new(engines: usize) -> Self {
         let groups = Class::SHARES.map(|share| Group {
             parent: None,
@@ -61,18 +66,18 @@
         }
     }
 
-    /// The expected length of an answer.
+    /// Returns the expected length of the answer.
     pub fn expected_output_tokens(&self, request: &Request) -> u64 {
         to_u64(self.mean_output_tokens[request.class.group()]).max(1)
     }
 
-    /// Learns from an answer.
+    /// Updates the expected length with that of a complete answer.
     pub fn observe_output(&mut self, request: &Request) {
         let mean = &mut self.mean_output_tokens[request.class.group()];
         *mean += OUTPUT_SMOOTHING * (to_f64(request.output_tokens) - *mean);
     }
 
-    /// The work of a request, as the daemon estimates it.
+    /// Estimates the work of a request as the daemon does, in microseconds of engine time.
     pub fn estimate_work_us(&self, request: &Request) -> u64 {
         let latency = BatchLatency::default();
         let decode_token_us = latency.inter_token_us(16) / 16.0;
@@ -82,7 +87,8 @@
         )
     }
 
-    /// Adds a request to the queue, unless it can't meet its deadline.
+    /// Adds a request to the queue. Returns `false` if it is refused because it is expected to miss
+    /// its deadline or to wait too long; urgent requests are always admitted.
     pub fn admit(&mut self, id: usize, request: &Request, now: u64, engines: u64) -> bool {
         let deadline = request.arrival_us + request.class.deadline_us();
         let work = self.estimate_work_us(request);
@@ -108,7 +114,7 @@
         true
     }
 
-    /// Chooses engines for a request.
+    /// Chooses the engines for a request; `None` if none can take it now.
     pub fn choose_engines(
         &mut self,
         request: &Request,
@@ -221,7 +227,7 @@
         })
     }
 
-    /// Notes that an engine has likely these blocks now.
+    /// Records that an engine has prefilled these blocks and is expected to have them cached.
     pub fn record_prefill(&mut self, engine: usize, blocks: &[u64]) {
         let cached = &mut self.known_engines[engine].cached_blocks;
         for block in blocks {
--- a/examples/mixshift_parts/workload.rs
+++ b/examples/mixshift_parts/workload.rs
@@ -1,18 +1,18 @@
-//! Seeded arrivals: dossiers or histories, short questions, alarms.
+//! Seeded arrivals: long prompts (dossiers or histories), short questions and alarms.
 
 use rand::{Rng, RngExt, SeedableRng, rngs::StdRng};
 
-/// Whose sizes.
+/// The site whose prompt and answer sizes are used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Site {
-    /// Dossiers of some thousand tokens and questions from technicians.
+    /// Dossiers of several thousand tokens, and questions from technicians.
     Association,
     /// Long histories with short answers, and notes.
     Thrystivakt,
 }
 
 impl Site {
-    /// The one with a name.
+    /// Returns the site with this name.
     pub fn from_name(name: &str) -> Option<Self> {
         match name {
             "association" => Some(Self::Association),
@@ -21,7 +21,7 @@
         }
     }
 
-    /// Tokens of a long prompt, of the answer to it, of a short prompt, of the answer to that.
+    /// Returns the mean tokens of a long prompt, its answer, a short prompt and its answer.
     fn mean_tokens(self) -> [u64; 4] {
         match self {
             Self::Association => [6_000, 40, 200, 150],
@@ -30,23 +30,23 @@
     }
 }
 
-/// What arrives.
+/// How requests arrive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Case {
-    /// Always the same mix.
+    /// A constant mix.
     Steady,
-    /// Long and short prompts by turns of two minutes.
+    /// Two minutes with mostly long prompts, then two minutes with mostly short ones, in turn.
     Swing,
-    /// Steady, and bursts of both kinds together.
+    /// A constant mix with bursts of long and short prompts at the same time.
     Burst,
-    /// One group floods with short questions.
+    /// One group sends a flood of short questions.
     Flood,
-    /// Steady; an engine crashes and another one is withdrawn.
+    /// A constant mix; one engine crashes and later another one is drained.
     Crash,
 }
 
 impl Case {
-    /// All of them.
+    /// All cases.
     pub const ALL: [Self; 5] = [
         Self::Steady,
         Self::Swing,
@@ -55,7 +55,7 @@
         Self::Crash,
     ];
 
-    /// Its name.
+    /// Name on the command line and in the table.
     pub fn name(self) -> &'static str {
         match self {
             Self::Steady => "steady",
@@ -66,12 +66,13 @@
         }
     }
 
-    /// The one with a name.
+    /// Returns the case with this name.
     pub fn from_name(name: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|case| case.name() == name)
     }
 
-    /// Long prompts, short ones and those of the flooding group a second, at a time in seconds.
+    /// Returns the arrivals per second of long prompts, short prompts and prompts of the flooding
+    /// group at a time in seconds.
     fn arrival_rates(self, site: Site, at_s: f64) -> [f64; 3] {
         let long_rate = match site {
             Site::Association => 1.0,
@@ -90,37 +91,39 @@
     }
 }
 
-/// Length of half a swing, in seconds.
+/// Duration of each half of a swing, in seconds.
 const HALF_SWING_S: f64 = 120.0;
-/// How long a run takes, in seconds.
+/// Simulated time during which requests arrive, in seconds.
 pub const DURATION_S: f64 = 480.0;
-/// Alarms a second.
+/// Arrival rate of alarms.
 const ALARMS_PER_S: f64 = 1.0;
-/// Long prompts share the first blocks with others of their project.
+/// A long prompt belongs to one of this many projects and shares its first blocks with the others of
+/// that project.
 const PROJECTS: u64 = 40;
+/// Blocks that the long prompts of a project share.
 const SHARED_PREFIX_BLOCKS: u64 = 32;
 
-/// Who asks.
+/// The kind of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Class {
     /// A long prompt with a short answer.
     Long,
     /// A short question.
     Short,
-    /// A short question of the group that floods.
+    /// A short question of the flooding group.
     Flood,
     /// An alarm.
     Alarm,
 }
 
 impl Class {
-    /// All classes, in the order of their groups.
+    /// All classes, ordered by group index.
     pub const ALL: [Self; 4] = [Self::Long, Self::Short, Self::Flood, Self::Alarm];
 
-    /// The shares of the groups.
+    /// Fair shares of the groups.
     pub const SHARES: [u32; 4] = [2, 2, 1, 1];
 
-    /// Its group.
+    /// Index of its group.
     pub fn group(self) -> usize {
         match self {
             Self::Long => 0,
@@ -130,7 +133,7 @@
         }
     }
 
-    /// Its deadline in microseconds.
+    /// Time from arrival to its deadline.
     pub fn deadline_us(self) -> u64 {
         match self {
             Self::Long => 45_000_000,
@@ -139,8 +142,7 @@
         }
     }
 
-    /// How long it may wait for its turn, in microseconds; the rest of the first token's time is for
-    /// reading the prompt.
+    /// Longest time in the queue. The rest of the time to first token is left for the prefill.
     pub fn max_wait_us(self) -> u64 {
         match self {
             Self::Long => self.deadline_us(),
@@ -148,7 +150,6 @@
         }
     }
 
-    /// Its priority.
     pub fn priority(self) -> u8 {
         match self {
             Self::Long => 2,
@@ -158,22 +159,21 @@
     }
 }
 
-/// A request.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// When it arrives, in microseconds.
+    /// Arrival time, in microseconds since the start of the run.
     pub arrival_us: u64,
-    /// Who asks.
+    /// Its class.
     pub class: Class,
-    /// Tokens of its prompt.
+    /// Length of its prompt.
     pub prompt_tokens: u64,
-    /// Tokens of its answer.
+    /// Length of its answer.
     pub output_tokens: u64,
-    /// Its prompt's blocks.
+    /// Hashes of its prompt's blocks.
     pub blocks: Vec<u64>,
 }
 
-/// All requests of a run, in the order of their arrival.
+/// Generates all requests of a run in order of arrival.
 pub fn generate_requests(case: Case, site: Site, seed: u64) -> Vec<Request> {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut requests = Vec::new();
@@ -187,7 +187,7 @@
                 Class::Flood => rates[2],
                 Class::Alarm => ALARMS_PER_S,
             };
-            // a rate of nothing is looked at again a second later
+            // while the rate is zero, it is checked again a second later
             let step = if rate > 0.0 {
                 -rng.random::<f64>().max(f64::MIN_POSITIVE).ln() / rate
             } else {
--- a/examples/outcomes.rs
+++ b/examples/outcomes.rs
@@ -1,7 +1,7 @@
-//! Says of gateways' log lines what was expected of each generation and what came of it.
+//! Compares the expected latency of each generation with its outcome, from gateways' log lines.
 //!
-//! `cargo run --release --example outcomes -- FILE...` reads JSON lines, whatever stands before the first brace of each.
-//! See `docs/OPERATIONS.md#what-came-of-placements`.
+//! `cargo run --release --example outcomes -- FILE...` reads JSON lines and ignores any text before the first brace of
+//! each. See `docs/OPERATIONS.md#what-came-of-placements`.
 
 use std::{
     collections::BTreeMap,
@@ -22,19 +22,19 @@
     prefills::{Prefill, Prefills},
 };
 
-/// What came of placements, read from gateways' log lines.
+/// Summarizes the outcomes of placements from gateways' log lines.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options)]
 struct Options {
-    /// The longest pause between two events that callers bear, in milliseconds
+    /// Longest pause between two events that callers tolerate, in milliseconds
     #[bpaf(fallback(200), display_fallback)]
     pause_ms: u64,
     /// Files of log lines
-    #[bpaf(positional("FILE"), some("name a file of log lines"))]
+    #[bpaf(positional("FILE"), some("at least one file of log lines is required"))]
     files: Vec<String>,
 }
 
-/// A log line, as far as it is used.
+/// The fields of a log line that are used.
 #[derive(Debug, Deserialize)]
 struct Line {
     message: String,
@@ -51,51 +51,55 @@
     longest_gap_us: Option<u64>,
     cause: Option<String>,
     reason: Option<String>,
-    /// The gateway.
+    /// Name of the gateway.
     process: Option<String>,
     time_ms: Option<u64>,
     /// The parts of the prompt, as `KEY:TOKENS`.
     parts: Option<String>,
 }
 
-/// Bounds of unread tokens that are printed of together; longer prompts come last.
+/// Upper bounds of the size classes, in uncached prompt tokens. Longer prompts form a last class.
 const SIZE_BOUNDS: [u64; 3] = [1 << 10, 1 << 12, 1 << 14];
 
-/// Who reads the prompt.
+/// Which engine prefills the prompt.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord)]
 #[display(rename_all = "lowercase")]
 enum Placement {
-    /// The engine that answers.
+    /// The engine that decodes the answer.
     #[display("whole")]
     Single,
-    /// Another one.
+    /// Another engine.
     Split,
 }
 
-/// What a placement looked like; those of one kind are printed of together.
+/// Properties by which placements are grouped; each kind is a row of the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct PlacementKind {
+    /// Whether the first token was expected after its deadline.
     placed_late: bool,
     placement: Placement,
-    /// Unread tokens: the first of [`SIZE_BOUNDS`] that they stay below.
+    /// The first of [`SIZE_BOUNDS`] that exceeds the uncached tokens; `u64::MAX` if none does.
     below_tokens: u64,
-    /// Whether other prompts were ahead.
+    /// Whether the engine had other prompts to prefill first.
     prompts_ahead: bool,
 }
 
-/// A request that was placed.
+/// A placed request that has not been answered yet.
 #[derive(Debug)]
 struct PlacedRequest {
     kind: PlacementKind,
     expected_us: u64,
+    /// Time that was left until the first token was due.
     first_token_timeout_us: u64,
 }
 
-/// What came of the requests of a kind.
+/// Outcome of the requests of a kind.
 #[derive(Debug)]
 struct Outcome {
     answered: u64,
+    /// Answers whose first token was late.
     late_first_token: u64,
+    /// Answers whose first token was in time but that stalled for too long.
     stalled: u64,
     expected_us: Histogram<u64>,
     first_token_us: Histogram<u64>,
@@ -104,7 +108,7 @@
 
 impl Outcome {
     fn new() -> Result<Self, hdrhistogram::CreationError> {
-        // two digits are more than the table shows
+        // two significant digits are more than the table shows
         Ok(Self {
             answered: 0,
             late_first_token: 0,
@@ -116,7 +120,7 @@
     }
 }
 
-/// All that was read.
+/// Everything collected from the log lines.
 #[derive(Debug, Default)]
 struct Summary {
     placed: BTreeMap<String, PlacedRequest>,
@@ -287,7 +291,7 @@
     }
 }
 
-/// Three quantiles in milliseconds.
+/// Formats the quantiles 0.5, 0.9 and 0.99 in milliseconds.
 fn format_quantiles(times: &Histogram<u64>) -> String {
     let [a, b, c] = [0.5, 0.9, 0.99].map(|quantile| times.value_at_quantile(quantile) / 1_000);
     format!("{a:>5} {b:>5} {c:>5}")
--- a/examples/outcomes_parts/mod.rs
+++ b/examples/outcomes_parts/mod.rs
@@ -1,4 +1,4 @@
-//! Parts of the account of placements.
+//! Parts of the summary that `outcomes` prints.
 
 pub mod parts;
 pub mod prefills;
--- a/examples/outcomes_parts/parts.rs
+++ b/examples/outcomes_parts/parts.rs
@@ -1,4 +1,4 @@
-//! Which shared parts of prompts were read though some engine had read them before, and why.
+//! Shared parts of prompts that were prefilled again although an engine had prefilled them before, and why.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -7,10 +7,10 @@
 
 use derive_more::Display;
 
-/// For so long after a part was placed, engines are taken to be reading it still.
+/// A part is assumed to be still in prefill for this time after its first placement.
 const ASSUMED_PREFILL_MS: u64 = 250;
 
-/// Why a part was read.
+/// Why a shared part was prefilled.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord)]
 enum Cause {
     #[display("for the first time in these lines")]
@@ -23,7 +23,7 @@
     Unknown,
 }
 
-/// A shared part that was placed.
+/// When a shared part was placed for the first and for the last time.
 #[derive(Debug)]
 struct SharedPart {
     first_placed_ms: u64,
@@ -33,20 +33,22 @@
 /// The shared parts of all prompts.
 #[derive(Debug, Default)]
 pub struct Parts {
+    /// Placed parts, by key.
     placed: BTreeMap<String, SharedPart>,
+    /// Last start of each gateway, in milliseconds.
     gateway_starts: BTreeMap<String, u64>,
     prefilled_tokens: BTreeMap<Cause, u64>,
     cached_tokens: u64,
 }
 
 impl Parts {
-    /// Notes that a gateway has started.
+    /// Records the start of a gateway.
     pub fn record_start(&mut self, gateway: &str, at_ms: u64) {
         self.gateway_starts.insert(gateway.to_owned(), at_ms);
     }
 
-    /// Takes a prompt that was placed: its parts as `KEY:TOKENS`, of which so many tokens in all were held or could be
-    /// fetched, as its gateway believed.
+    /// Records a prompt that was placed: its parts as `KEY:TOKENS`, and how many of its first tokens were cached or could
+    /// be fetched as far as its gateway knew.
     pub fn record_placement(&mut self, gateway: &str, at_ms: u64, parts: &str, cached_tokens: u64) {
         let parts: Vec<(&str, u64)> = parts
             .split_whitespace()
@@ -55,7 +57,7 @@
             .collect();
         let mut end = 0;
         let mut counted = BTreeSet::new();
-        // the last part is the request's own
+        // the last part is not shared with other requests
         for (key, tokens) in parts.iter().take(parts.len().saturating_sub(1)) {
             end += tokens;
             if end <= cached_tokens {
@@ -84,7 +86,7 @@
         }
     }
 
-    /// Writes how many tokens were read for which cause, and how many were known to be held.
+    /// Writes the number of cached tokens, and the number of prefilled tokens by cause.
     pub fn print(&self, to: &mut impl io::Write) -> io::Result<()> {
         writeln!(to, "{:<44} {:>12}", "shared parts", "tokens")?;
         writeln!(to, "{:<44} {:>12}", "held, or fetched", self.cached_tokens)?;
--- a/examples/outcomes_parts/prefills.rs
+++ b/examples/outcomes_parts/prefills.rs
@@ -1,44 +1,45 @@
-//! What stood before a prompt at the engine that read it, from the lines of all gateways.
+//! The work that was ahead of a prompt at the engine that prefilled it, from the log lines of all gateways.
 //!
-//! A gateway expects of a prompt what it believes to be ahead of it. Here all gateways' placements are put together, so that
-//! a prompt that took much longer than expected shows what its gateway did not count.
+//! A gateway estimates the time of a prefill from the work that it knows to be ahead. Here the placements of all
+//! gateways are combined, which shows the work that the gateway of a slow prompt did not take into account.
 
 use std::{collections::BTreeMap, io};
 
 use derive_more::Display;
 
-/// A placement of another gateway that is no older than this could hardly be known: digests go out every ten
-/// milliseconds or more seldom, and take two on their way.
+/// A placement by another gateway that is more recent than this was probably unknown: digests are sent at most
+/// once per 10 ms and take 2 ms to arrive.
 const RECENT_MS: u64 = 30;
-/// A prompt whose end is not in the lines is taken to have been given up after so long: callers of streams leave
-/// after two seconds of silence or somewhat more.
+/// A prefill whose end is not in the log is assumed to have been cancelled after this time: callers of streams
+/// disconnect after two seconds of silence or slightly more.
 const ASSUMED_CANCEL_MS: u64 = 2_400;
-/// What stands before a prompt is printed of if it is at least so many times as much work as the prompt itself.
+/// Work counts as the cause of a delay only if it exceeds this ratio of the prompt's own work.
 const MIN_WORK_RATIO: f64 = 0.5;
-/// A prompt was slow if it took so many times as long as expected, and this much longer in milliseconds.
+/// A prefill is slow if it took longer than this ratio of the expected time plus [`SLOW_MARGIN_MS`].
 const SLOW_RATIO: f64 = 1.5;
+/// Time in addition to [`SLOW_RATIO`] by which a slow prefill exceeds the expected time.
 const SLOW_MARGIN_MS: f64 = 50.0;
 
-/// A prompt that an engine read for another one to answer.
+/// A prompt that one engine prefills and another one decodes.
 #[derive(Clone, Debug)]
 pub struct Prefill {
     /// The gateway that placed it.
     pub gateway: String,
     /// When it was placed, in milliseconds of the gateways' clocks.
     pub placed_ms: u64,
-    /// When it had been read; none if that is not in the lines.
+    /// When its prefill ended; `None` if that is not in the log.
     pub done_ms: Option<u64>,
-    /// Its tokens that the engine was believed to lack.
+    /// Prompt tokens that, as far as the gateway knew, the engine did not have cached.
     pub uncached_tokens: u64,
-    /// Whether it gave way to others.
+    /// Whether it was placed late; such prompts yield to others.
     pub placed_late: bool,
-    /// The time that was expected, in microseconds.
+    /// Expected time to first token, in microseconds.
     pub expected_us: u64,
-    /// Work that was believed to be ahead.
+    /// Work ahead of it that its gateway knew of.
     pub known_work_ahead: u64,
 }
 
-/// What stood before a prompt, or beside it.
+/// The work that probably delayed a prefill.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord)]
 enum Cause {
     #[display("nothing")]
@@ -53,16 +54,16 @@
     PlacedLater,
 }
 
-/// The prompts that engines read, by engine.
+/// The prefills of all engines, by engine.
 #[derive(Debug, Default)]
 pub struct Prefills {
     by_engine: BTreeMap<String, Vec<Prefill>>,
-    /// Where a prompt stands: its engine, and its place there.
+    /// Engine and index there of each request's prefill.
     positions: BTreeMap<String, (String, usize)>,
 }
 
 impl Prefills {
-    /// Notes a prompt that was placed.
+    /// Records a prompt that was placed.
     pub fn record_placement(&mut self, request: &str, engine: &str, prefill: Prefill) {
         let prefills = self.by_engine.entry(engine.to_owned()).or_default();
         self.positions
@@ -70,7 +71,7 @@
         prefills.push(prefill);
     }
 
-    /// Notes that a prompt has been read.
+    /// Records the end of a prefill.
     pub fn record_prefill_end(&mut self, request: &str, done_ms: u64) {
         if let Some((engine, index)) = self.positions.get(request)
             && let Some(prefills) = self.by_engine.get_mut(engine)
@@ -79,7 +80,7 @@
         }
     }
 
-    /// Writes how many prompts had what before them, and which part of those was slow.
+    /// Writes the number of prefills by probable cause of delay, and the ratio of slow ones.
     pub fn print(&self, to: &mut impl io::Write) -> io::Result<()> {
         let mut counts: BTreeMap<Cause, (u64, u64)> = BTreeMap::new();
         for prefills in self.by_engine.values() {
@@ -109,7 +110,7 @@
     }
 }
 
-/// What held a prompt up most likely, the first that applies.
+/// Returns the most likely cause of a delay: the first that applies.
 fn likely_cause(prefills: &[Prefill], prefill: &Prefill, done_ms: u64) -> Cause {
     let min_work = policy::to_f64(prefill.uncached_tokens) * MIN_WORK_RATIO;
     let work = |counts: &dyn Fn(&Prefill) -> bool| -> f64 {
--- a/examples/slopes.rs
+++ b/examples/slopes.rs
@@ -1,5 +1,5 @@
-//! Measures how state, messages and processor time grow, for `docs/CAPACITY.md`: three or more
-//! sizes each, and the line through them.
+//! Measures how memory, message sizes and CPU time grow with the number of objects: at three sizes
+//! each, with a linear fit. See `docs/CAPACITY.md`.
 
 use std::time::Instant;
 
@@ -15,7 +15,7 @@
     bytes: f64,
 }
 
-/// Least squares through the points: where it starts and how steep it is.
+/// Fits a line by least squares; returns its intercept and slope.
 fn fit(points: &[Point], value: impl Fn(&Point) -> f64) -> (f64, f64) {
     let n = to_f64(u64::try_from(points.len()).unwrap_or(0));
     let mean = |f: &dyn Fn(&Point) -> f64| points.iter().map(f).sum::<f64>() / n;
@@ -44,7 +44,7 @@
     );
 }
 
-/// The median time of some runs, in microseconds.
+/// Returns the median duration of 15 runs, in microseconds.
 fn median_us(mut run: impl FnMut()) -> f64 {
     let mut times: Vec<f64> = (0..15)
         .map(|_| {
@@ -68,7 +68,7 @@
     Tree::new(1, nodes.collect())
 }
 
-/// Resident memory of this process, in bytes.
+/// Returns the resident memory of this process.
 fn resident_bytes() -> f64 {
     let statm = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages: u64 = statm
@@ -119,12 +119,15 @@
         });
         drop(versions);
     }
-    print_series("typing a whole tree, by groups (bytes: as text)", &resolved);
     print_series(
-        "applying and checking one change, by groups (bytes: the change)",
+        "resolving a settings tree, by groups (bytes: as JSON)",
+        &resolved,
+    );
+    print_series(
+        "applying and checking one edit, by groups (bytes: the edit as JSON)",
         &applied,
     );
-    print_series("memory of a version in force, by groups", &memory);
+    print_series("memory of one settings version, by groups", &memory);
 }
 
 fn heartbeats() {
@@ -132,12 +135,12 @@
         let heartbeat = sample_heartbeat(size, 16, 20);
         measure_heartbeat(size, &heartbeat)
     });
-    print_series("heartbeat made and read, by endpoints", &points);
+    print_series("heartbeat encoded and decoded, by endpoints", &points);
     let points = [10, 100, 1_000].map(|size: u64| {
         let heartbeat = sample_heartbeat(12, 16, size);
         measure_heartbeat(size, &heartbeat)
     });
-    print_series("heartbeat made and read, by groups in use", &points);
+    print_series("heartbeat encoded and decoded, by groups in use", &points);
 }
 
 fn measure_heartbeat(size: u64, heartbeat: &Heartbeat) -> Point {
@@ -212,7 +215,10 @@
             bytes: to_f64(text.len() as u64),
         }
     });
-    print_series("one transaction of claims, by claims", &points);
+    print_series(
+        "building and serializing a transaction of claims, by claims",
+        &points,
+    );
 }
 
 fn reports() {
@@ -236,7 +242,7 @@
             bytes: to_f64(size * text.len() as u64),
         }
     });
-    print_series("load reports read, by engines (without HTTP)", &points);
+    print_series("load reports parsed, by engines (without HTTP)", &points);
 }
 
 fn main() {
@@ -244,5 +250,8 @@
     heartbeats();
     claims();
     reports();
-    println!("resident at the end: {:.0} MB", resident_bytes() / 1e6);
+    println!(
+        "resident memory at the end: {:.0} MB",
+        resident_bytes() / 1e6
+    );
 }
