--- a/examples/idle.rs
+++ b/examples/idle.rs
@@ -1,5 +1,6 @@
-//! Measures what control costs an idle daemon, at several numbers of daemons and engines, for
-//! `docs/CAPACITY.md`. Daemons and stand-ins share this process, so the figures are too high.
+//! Measures the overhead of the control traffic in an idle daemon, for several numbers of daemons and
+//! engines; see `docs/CAPACITY.md`. Daemons and stand-ins share one process, so the figures are too
+//! high.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -15,14 +16,14 @@
     platform::Platform,
 };
 
-const SETTLE: Duration = Duration::from_secs(3);
-const WATCH: Duration = Duration::from_secs(5);
+const SETTLE_TIME: Duration = Duration::from_secs(3);
+const MEASURE_TIME: Duration = Duration::from_secs(5);
 
-fn any() -> SocketAddr {
+fn any_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-fn set(path: &str, key: &str, value: &str) -> Edit {
+fn set_edit(path: &str, key: &str, value: &str) -> Edit {
     Edit::Set {
         path: path.to_owned(),
         key: key.to_owned(),
@@ -31,19 +32,19 @@
 }
 
 fn write_settings(platform: &Platform, engines: &[Engine]) {
-    let mut edits = vec![set("service/soil", "kind", "engines")];
+    let mut edits = vec![set_edit("service/soil", "kind", "engines")];
     for (number, engine) in engines.iter().enumerate() {
         let path = format!("endpoint/sala-a/{}", number + 1);
-        edits.push(set(&path, "service", "soil"));
-        edits.push(set(&path, "address", &engine.address().to_string()));
+        edits.push(set_edit(&path, "service", "soil"));
+        edits.push(set_edit(&path, "address", &engine.address().to_string()));
     }
     let tree = Tree::default()
         .apply(&edits)
-        .expect("fixed settings are fine");
+        .expect("the settings are valid");
     let head = r#"{"version":1,"token":1}"#.to_owned();
     let mut transaction = Transaction::default().write("settings/head", head);
     for node in &tree.nodes {
-        let text = serde_json::to_string(node).expect("a JSON form");
+        let text = serde_json::to_string(node).expect("a node serializes to JSON");
         transaction = transaction.write(&format!("settings/node/{}", node.path), text);
     }
     let _ = platform.commit(&transaction);
@@ -61,21 +62,22 @@
         seeds.join(", "),
         resolve::secret_digest("token")
     );
-    Settings::parse(&text, "idle").expect("fixed settings are fine")
+    Settings::parse(&text, "idle").expect("the settings are valid")
 }
 
-/// Processor time of this process in microseconds, and bytes sent over the loopback device.
-fn spent() -> (u64, u64) {
-    let stat = std::fs::read_to_string("/proc/self/stat").expect("a process has its figures");
+/// Returns the CPU time of this process in microseconds, and the bytes carried by the loopback
+/// device.
+fn process_usage() -> (u64, u64) {
+    let stat = std::fs::read_to_string("/proc/self/stat").expect("/proc/self/stat is readable");
     let fields: Vec<&str> = stat
         .rsplit(") ")
         .next()
         .unwrap_or_default()
         .split(' ')
         .collect();
-    // user and system time, in ticks of 10 ms
-    let ticks = |at: usize| fields[at].parse::<u64>().expect("a count");
-    let devices = std::fs::read_to_string("/proc/net/dev").expect("the device list");
+    // user and system time are counted in ticks of 10 ms
+    let ticks = |at: usize| fields[at].parse::<u64>().expect("CPU time is a number");
+    let devices = std::fs::read_to_string("/proc/net/dev").expect("/proc/net/dev is readable");
     let loopback = devices.lines().find(|line| line.trim().starts_with("lo:"));
     let received = loopback
         .and_then(|line| line.split_whitespace().nth(1))
@@ -84,29 +86,31 @@
 }
 
 async fn measure(daemons: usize, engines: usize) {
-    let platform = Platform::start(any()).await.expect("platform");
+    let platform = Platform::start(any_port())
+        .await
+        .expect("the platform starts");
     let mut running_engines = Vec::new();
     for _ in 0..engines {
-        let engine = Engine::start(any(), Setup::default()).await;
-        running_engines.push(engine.expect("engine"));
+        let engine = Engine::start(any_port(), Setup::default()).await;
+        running_engines.push(engine.expect("the engine starts"));
     }
     write_settings(&platform, &running_engines);
     let mut running: Vec<Running> = Vec::new();
     for number in 0..daemons {
         let settings = settings(number, platform.address(), &running);
-        running.push(daemon::start(settings).await.expect("daemon"));
+        running.push(daemon::start(settings).await.expect("the daemon starts"));
     }
-    tokio::time::sleep(SETTLE).await;
-    let (before, table) = (spent(), platform.counts());
-    tokio::time::sleep(WATCH).await;
-    let (after, table_after) = (spent(), platform.counts());
-    let each = to_f64(daemons as u64) * WATCH.as_secs_f64();
+    tokio::time::sleep(SETTLE_TIME).await;
+    let (before, table_before) = (process_usage(), platform.counts());
+    tokio::time::sleep(MEASURE_TIME).await;
+    let (after, table_after) = (process_usage(), platform.counts());
+    let daemon_seconds = to_f64(daemons as u64) * MEASURE_TIME.as_secs_f64();
     println!(
-        "{daemons} daemons, {engines} engines: {:.2} % of a core, {:.1} KB/s, {:.2} reads/s and {:.2} writes/s of the table, each daemon",
-        to_f64(after.0 - before.0) / each / 1e4,
-        to_f64(after.1 - before.1) / each / 1e3,
-        to_f64(table_after.reads - table.reads) / each,
-        to_f64(table_after.writes - table.writes) / each,
+        "{daemons} daemons, {engines} engines: {:.2} % of a core, {:.1} KB/s, {:.2} table reads/s and {:.2} table writes/s per daemon",
+        to_f64(after.0 - before.0) / daemon_seconds / 1e4,
+        to_f64(after.1 - before.1) / daemon_seconds / 1e3,
+        to_f64(table_after.reads - table_before.reads) / daemon_seconds,
+        to_f64(table_after.writes - table_before.writes) / daemon_seconds,
     );
 }
 
