--- a/examples/mixshift_parts/fleet.rs
+++ b/examples/mixshift_parts/fleet.rs
@@ -1,31 +1,30 @@
-//! The engines, with the timing of the stand-in.
+//! Simulated engines with the timing of the stand-in.
 
 use policy::route::Role;
 use standin::batch::{Batch, Job, Speed, Step};
 
-/// Whether an engine serves.
+/// Whether an engine accepts requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// It serves.
-    Open,
-    /// It gets nothing new and will change to this role when it is empty.
-    Closing(Role),
-    /// It is away for a change to this role.
-    Away(Role),
-    /// It is gone.
-    Gone,
+    /// It accepts requests.
+    Active,
+    /// It accepts no new requests and changes to this role once it has none left.
+    Draining(Role),
+    /// It is unavailable while it changes to this role.
+    ChangingRole(Role),
+    /// It has crashed and does not return.
+    Crashed,
 }
 
-/// One engine.
+/// A simulated engine.
 pub struct Engine {
-    /// Its batch.
+    /// Its batch and queue.
     pub batch: Batch,
-    /// Its role.
     pub role: Role,
-    /// Whether it serves.
+    /// Whether it accepts requests.
     pub state: State,
-    /// The step that is under way.
-    pub step: Option<Step>,
+    /// The step in flight.
+    pub current_step: Option<Step>,
 }
 
 impl Engine {
@@ -34,24 +33,24 @@
         Self {
             batch: Batch::new(speed),
             role,
-            state: State::Open,
-            step: None,
+            state: State::Active,
+            current_step: None,
         }
     }
 
-    /// Adds a job; says when the step that it starts will end, if the engine was idle.
+    /// Adds a job. If the engine was idle, starts a step and returns its duration in microseconds.
     pub fn submit(&mut self, job: Job) -> Option<u64> {
         self.batch.submit(job);
-        if self.step.is_some() {
+        if self.current_step.is_some() {
             None
         } else {
-            self.begin()
+            self.start_step()
         }
     }
 
-    /// Begins the next step; says how long it takes.
-    pub fn begin(&mut self) -> Option<u64> {
-        self.step = self.batch.step();
-        self.step.as_ref().map(|step| step.us)
+    /// Starts the next step and returns its duration in microseconds; `None` if there is no work.
+    pub fn start_step(&mut self) -> Option<u64> {
+        self.current_step = self.batch.step();
+        self.current_step.as_ref().map(|step| step.us)
     }
 }
--- a/examples/mixshift_parts/policies.rs
+++ b/examples/mixshift_parts/policies.rs
@@ -1,64 +1,79 @@
-//! What is compared in one run.
+//! The policies that the simulation compares.
 
 /// How requests are routed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Routing {
-    /// The real decision.
+    /// By the cost function of the production code.
     Cost,
-    /// By cost, blind to what prompts and writers do to each other.
-    Plain,
-    /// In turn.
+    /// By cost, without the interference between prefill and decode.
+    NoInterference,
+    /// To each engine in turn.
     RoundRobin,
-    /// To the engine with the fewest requests.
+    /// To the engine with the fewest requests in flight.
     LeastInFlight,
-    /// To the better of two at random.
+    /// To the less loaded of two engines drawn at random.
     TwoChoices,
 }
 
-/// How roles change.
+/// When engines change their roles.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Roles {
+pub enum RoleChanges {
     /// Never.
     Fixed,
-    /// The real decision.
+    /// By the demand forecast of the production code.
     Forecast,
-    /// As soon as one phase waits much longer than the other.
+    /// As soon as one phase is overloaded and the other is not.
     Threshold,
 }
 
-/// A way to run the fleet.
+/// A combination of routing and role changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Policy {
-    /// Its name.
+    /// Name on the command line and in the table.
     pub name: &'static str,
-    /// Routing.
+    /// How requests are routed.
     pub routing: Routing,
-    /// Roles.
-    pub roles: Roles,
-    /// Engines that read only and that write only, of twelve; the rest do both.
-    pub split: (usize, usize),
+    /// When engines change their roles.
+    pub role_changes: RoleChanges,
+    /// Numbers of prefill-only and decode-only engines, of twelve; the others are mixed.
+    pub dedicated_engines: (usize, usize),
 }
 
 impl Policy {
-    /// All that are compared; the first is what the daemon runs.
+    /// All policies; the first is the one that the daemon runs.
     pub const ALL: [Self; 8] = [
-        policy("wrenramp", Routing::Cost, Roles::Forecast, (0, 0)),
-        policy("dedicated", Routing::Cost, Roles::Forecast, (4, 5)),
-        policy("round-robin", Routing::RoundRobin, Roles::Fixed, (0, 0)),
+        policy("wrenramp", Routing::Cost, RoleChanges::Forecast, (0, 0)),
+        policy("dedicated", Routing::Cost, RoleChanges::Forecast, (4, 5)),
+        policy(
+            "round-robin",
+            Routing::RoundRobin,
+            RoleChanges::Fixed,
+            (0, 0),
+        ),
         policy(
             "least-in-flight",
             Routing::LeastInFlight,
-            Roles::Fixed,
+            RoleChanges::Fixed,
+            (0, 0),
+        ),
+        policy(
+            "two-choices",
+            Routing::TwoChoices,
+            RoleChanges::Fixed,
+            (0, 0),
+        ),
+        policy("fixed-split", Routing::Cost, RoleChanges::Fixed, (6, 6)),
+        policy(
+            "all-mixed",
+            Routing::NoInterference,
+            RoleChanges::Fixed,
             (0, 0),
         ),
-        policy("two-choices", Routing::TwoChoices, Roles::Fixed, (0, 0)),
-        policy("fixed-split", Routing::Cost, Roles::Fixed, (6, 6)),
-        policy("all-mixed", Routing::Plain, Roles::Fixed, (0, 0)),
-        policy("threshold", Routing::Cost, Roles::Threshold, (6, 6)),
+        policy("threshold", Routing::Cost, RoleChanges::Threshold, (6, 6)),
     ];
 
-    /// The one with a name.
-    pub fn named(name: &str) -> Option<Self> {
+    /// Returns the policy with this name.
+    pub fn from_name(name: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|policy| policy.name == name)
     }
 }
@@ -66,13 +81,13 @@
 const fn policy(
     name: &'static str,
     routing: Routing,
-    roles: Roles,
-    split: (usize, usize),
+    role_changes: RoleChanges,
+    dedicated_engines: (usize, usize),
 ) -> Policy {
     Policy {
         name,
         routing,
-        roles,
-        split,
+        role_changes,
+        dedicated_engines,
     }
 }
