--- a/components/daemon/src/process/claims.rs
+++ b/components/daemon/src/process/claims.rs
@@ -179,7 +179,7 @@
     }
 }
 
-/// After a lost response: a claim was written if the row has its token.
+/// Determines, after a lost response, which claims were written: those whose rows have their tokens.
 async fn read_results(process: &Process, claims: Vec<PendingClaim>) {
     let read = Read {
         keys: claims.iter().map(|claim| claim.key.clone()).collect(),
--- a/components/daemon/src/process/gates.rs
+++ b/components/daemon/src/process/gates.rs
@@ -57,7 +57,7 @@
         self.with_gate(id, |gate| gate.closed_for().is_none())
     }
 
-    /// The number of requests in flight at an endpoint.
+    /// Returns the number of requests in flight at an endpoint.
     pub fn in_flight(&self, id: &Id) -> u32 {
         self.with_gate(id, |gate| gate.in_flight())
     }
@@ -92,7 +92,7 @@
         self.0.changed.notify_waiters();
     }
 
-    /// The closed endpoints with the numbers of the orders that they are closed for, sorted.
+    /// Returns the closed endpoints with the numbers of the orders that they are closed for, sorted.
     pub fn closed(&self) -> Vec<(Id, u64)> {
         let mut closed: Vec<(Id, u64)> = Vec::new();
         for shard in &self.0.shards {
--- a/components/daemon/src/process/heartbeat.rs
+++ b/components/daemon/src/process/heartbeat.rs
@@ -50,7 +50,7 @@
     }
 }
 
-/// The heartbeat of this daemon.
+/// Builds the heartbeat of this daemon.
 pub fn compose(process: &Process) -> Heartbeat {
     let time = process.timeline.now();
     let known = process
--- a/components/daemon/src/process/members.rs
+++ b/components/daemon/src/process/members.rs
@@ -160,12 +160,12 @@
         state.vms = vms;
     }
 
-    /// All members, reachable or not.
+    /// Returns all members, reachable or not.
     pub fn all(&self) -> Vec<Member> {
         self.lock().members.clone()
     }
 
-    /// The members with a recent heartbeat.
+    /// Returns the members with a recent heartbeat.
     pub fn reachable(&self) -> Vec<Member> {
         let mut members = self.all();
         members.retain(|member| self.is_reachable(member));
@@ -203,7 +203,8 @@
                 || known.is_some_and(|member| member.known_since.elapsed() > lag))
     }
 
-    /// The addresses for a round of heartbeats: all, or [`MAX_HEARTBEATS_PER_ROUND`] of them in rotation.
+    /// Returns the addresses for a round of heartbeats: all, or [`MAX_HEARTBEATS_PER_ROUND`] of them in
+    /// rotation.
     pub fn heartbeat_targets(&self, own: SocketAddr, round: usize) -> Vec<SocketAddr> {
         let mut targets = self.addresses(own);
         if targets.len() > MAX_HEARTBEATS_PER_ROUND {
@@ -214,7 +215,7 @@
         targets
     }
 
-    /// All addresses at which a daemon may be: those of members, seeds and entry VMs, without `own`.
+    /// Returns all addresses at which a daemon may be: those of members, seeds and entry VMs, without `own`.
     pub fn addresses(&self, own: SocketAddr) -> Vec<SocketAddr> {
         let state = self.lock();
         let mut addresses: Vec<SocketAddr> = state
@@ -230,7 +231,7 @@
         addresses
     }
 
-    /// A client for a daemon, over a connection that is kept open.
+    /// Returns a client for a daemon, over a connection that is kept open.
     pub fn client(&self, address: SocketAddr) -> Option<PeerClient<Channel>> {
         let mut state = self.lock();
         let at = match state
--- a/components/daemon/src/process/mod.rs
+++ b/components/daemon/src/process/mod.rs
@@ -122,7 +122,7 @@
 }
 
 impl Process {
-    /// The pool of a service.
+    /// Returns the pool of a service.
     pub fn pool(&self, service: &str) -> Option<Arc<Pool>> {
         let pools = self.pools();
         let at = pools.binary_search_by(|pool| pool.service.as_str().cmp(service));
@@ -142,7 +142,7 @@
         }
     }
 
-    /// This daemon's entry for heartbeats and replies to peers.
+    /// Returns this daemon's entry for heartbeats and replies to peers.
     pub fn member(&self) -> wire::Member {
         wire::Member {
             incarnation: self.incarnation.0,
@@ -179,7 +179,7 @@
 }
 
 impl Running {
-    /// The addresses that the daemon listens on.
+    /// Returns the addresses that the daemon listens on.
     #[must_use]
     pub fn addresses(&self) -> Addresses {
         self.process.addresses
--- a/components/daemon/src/process/operators.rs
+++ b/components/daemon/src/process/operators.rs
@@ -265,7 +265,7 @@
     }
 }
 
-/// The reply that shows the change which was committed first.
+/// Returns the reply that shows the change which was committed first.
 async fn conflict_reply(process: &Process, version: u64) -> CommitReply {
     let key = settings_sync::log_key(version);
     let rows = process
--- a/components/daemon/src/process/orders/mod.rs
+++ b/components/daemon/src/process/orders/mod.rs
@@ -55,12 +55,12 @@
     Fulfilled(ChangeRequest),
 }
 
-/// The row key of the order to an endpoint.
+/// Returns the row key of the order to an endpoint.
 pub fn key_of(id: &Id) -> String {
     format!("{PREFIX}{}/{}", id.data_centre, id.number)
 }
 
-/// The endpoint of an order's row key.
+/// Returns the endpoint of an order's row key.
 pub fn id_of(key: &str) -> Option<Id> {
     let (data_centre, number) = key.strip_prefix(PREFIX)?.split_once('/')?;
     Some(Id {
--- a/components/daemon/src/process/pool/entry.rs
+++ b/components/daemon/src/process/pool/entry.rs
@@ -61,7 +61,7 @@
 }
 
 impl Entry {
-    /// An endpoint without any report or dispatch yet.
+    /// Creates an endpoint without any report or dispatch yet.
     pub fn new(endpoint: &resolve::Endpoint, data_centre: &str, has_reports: bool) -> Self {
         Self {
             id: Id {
@@ -126,7 +126,7 @@
         }
     }
 
-    /// The role that the endpoint last reported.
+    /// Returns the role that the endpoint last reported.
     pub fn role(&self) -> order::Role {
         self.report
             .as_ref()
@@ -134,7 +134,7 @@
             .unwrap_or_default()
     }
 
-    /// Input for the routing policy, for a given request.
+    /// Returns the input for the routing policy, for a given request.
     pub fn to_engine_for(&self, requirements: &Requirements) -> route::Engine {
         let cached = requirements
             .blocks
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Input for the routing policy, for any request of a priority: without cached tokens.
+    /// Returns the input for the routing policy, for any request of a priority: without cached tokens.
     pub fn to_engine(&self, priority: u8) -> route::Engine {
         let reported = self.report.as_ref().map(|(report, at)| {
             (
@@ -225,7 +225,8 @@
         }
     }
 
-    /// The sequence number of the last applied cache event, if the report shows that there are later ones.
+    /// Returns the sequence number of the last applied cache event, if the report shows that there are later
+    /// ones.
     pub fn missing_cache_events_after(&self) -> Option<u64> {
         let (report, _) = self.report.as_ref()?;
         (report.cache_sequence > self.cache_sequence).then_some(self.cache_sequence)
@@ -254,9 +255,9 @@
         }
     }
 
-    /// This daemon's dispatches to the endpoint, as reported to peers. In the message, `reading` holds the
-    /// tokens to prefill by priority class, `in_flight` the requests that decode or will decode, and
-    /// `written_tokens` the decoded tokens.
+    /// Returns this daemon's dispatches to the endpoint, as reported to peers. In the message, `reading`
+    /// holds the tokens to prefill by priority class, `in_flight` the requests that decode or will decode,
+    /// and `written_tokens` the decoded tokens.
     pub fn load(&self) -> wire::Load {
         wire::Load {
             endpoint: self.id.number,
--- a/components/daemon/src/process/pool/grant.rs
+++ b/components/daemon/src/process/pool/grant.rs
@@ -67,12 +67,12 @@
         Self { pool, engines }
     }
 
-    /// The engine that the request is sent to first.
+    /// Returns the engine that the request is sent to first.
     pub fn first(&self) -> Option<(Id, SocketAddr)> {
         self.engines.first().map(GrantedEngine::id_and_address)
     }
 
-    /// The engine that decodes in a split placement; `None` if one engine does both.
+    /// Returns the engine that decodes in a split placement; `None` if one engine does both.
     pub fn second(&self) -> Option<(Id, SocketAddr)> {
         self.engines.get(1).map(GrantedEngine::id_and_address)
     }
--- a/components/daemon/src/process/pool/mod.rs
+++ b/components/daemon/src/process/pool/mod.rs
@@ -95,7 +95,7 @@
 }
 
 impl Pool {
-    /// A pool without endpoints.
+    /// Creates a pool without endpoints.
     pub fn new(service: &str, gates: Gates, data_centre: &str, max_queued: usize) -> Self {
         Self {
             service: service.to_owned(),
@@ -264,8 +264,8 @@
         Some(Grant::new(Arc::clone(self), engines))
     }
 
-    /// The engines that can take a request, with their indices into `entries`. Engines at which the request
-    /// has failed are only included if there is no other.
+    /// Returns the engines that can take a request, with their indices into `entries`. Engines at which the
+    /// request has failed are only included if there is no other.
     fn candidates(
         &self,
         entries: &[Entry],
@@ -325,7 +325,7 @@
         Some(engines)
     }
 
-    /// The number of endpoints that accept requests now.
+    /// Returns the number of endpoints that accept requests now.
     pub fn available_endpoints(&self) -> u64 {
         let entries = self.entries();
         let available = entries
@@ -334,7 +334,7 @@
         u64::try_from(available.count()).unwrap_or(0)
     }
 
-    /// Time after which a refused caller should retry.
+    /// Returns the time after which a refused caller should retry.
     pub fn retry_after(&self) -> Duration {
         let entries = self.entries();
         let candidates: Vec<route::Engine> = entries
--- a/components/daemon/src/process/pool/queue.rs
+++ b/components/daemon/src/process/pool/queue.rs
@@ -36,7 +36,7 @@
 }
 
 impl Queue {
-    /// An empty queue without groups.
+    /// Creates an empty queue without groups.
     pub(super) fn new() -> Self {
         Self {
             fair: FairQueue::new(&[]),
--- a/components/daemon/src/process/registration.rs
+++ b/components/daemon/src/process/registration.rs
@@ -83,8 +83,8 @@
     close_gates_under_order(process).await
 }
 
-/// Row keys of earlier incarnations at the same address. They are gone, because only one process can listen
-/// there.
+/// Returns the row keys of earlier incarnations at the same address. They are gone, because only one process
+/// can listen there.
 fn replaced_registrations(rows: &[Row], own: &Registered) -> Vec<String> {
     rows.iter()
         .filter_map(|row| store::parse::<Registered>(Some(row)))
--- a/components/daemon/src/process/settings_sync.rs
+++ b/components/daemon/src/process/settings_sync.rs
@@ -137,7 +137,7 @@
     store::parse(Some(row))
 }
 
-/// The row key of a change.
+/// Returns the row key of a change.
 pub fn log_key(version: u64) -> String {
     format!("{LOG_PREFIX}{version:012}")
 }
--- a/components/daemon/src/process/steward/mod.rs
+++ b/components/daemon/src/process/steward/mod.rs
@@ -61,7 +61,7 @@
 }
 
 impl Stewardships {
-    /// The status of each stewardship.
+    /// Returns the status of each stewardship.
     pub fn statuses(&self) -> Vec<Status> {
         lock(&self.0)
             .iter()
@@ -92,7 +92,7 @@
     }
 }
 
-/// The services with engines in this daemon's data centre.
+/// Returns the services with engines in this daemon's data centre.
 fn engine_services(process: &Process) -> Vec<String> {
     let Some(current) = process.current.get() else {
         return Vec::new();
--- a/components/daemon/src/process/steward/planner.rs
+++ b/components/daemon/src/process/steward/planner.rs
@@ -55,7 +55,7 @@
 }
 
 impl Planner {
-    /// The next task, if there is any.
+    /// Plans the next task, if there is any.
     pub fn plan(&mut self, process: &Process, held: &HeldLease, rows: &[Row]) -> Option<Task> {
         self.observe_demand(process, held);
         let requested_changes = requested_changes(rows, held);
@@ -98,7 +98,7 @@
         }
     }
 
-    /// A change of role that is worth its cost, if there is one.
+    /// Returns a change of role that is worth its cost, if there is one.
     fn plan_role_change(
         &mut self,
         process: &Process,
@@ -149,7 +149,7 @@
     }
 }
 
-/// The next task for an order that a former steward left unfinished.
+/// Returns the next task for an order that a former steward left unfinished.
 fn resume_abandoned(process: &Process, held: &HeldLease, rows: &[Row]) -> Option<Task> {
     rows.iter().find_map(|row| {
         let id = orders::id_of(&row.key)?;
@@ -213,7 +213,7 @@
     pool.is_some_and(|pool| pool.with_entry(id, |_| ()).is_some())
 }
 
-/// The task that brings an endpoint closer to the wanted state.
+/// Returns the task that brings an endpoint closer to the wanted state.
 fn next_task(
     process: &Process,
     held: &HeldLease,
--- a/components/daemon/src/process/store.rs
+++ b/components/daemon/src/process/store.rs
@@ -82,7 +82,7 @@
     }
 }
 
-/// A read of the rows with the given keys.
+/// Builds a read of the rows with the given keys.
 pub fn by_keys(keys: &[&str]) -> Read {
     Read {
         keys: keys.iter().map(|key| (*key).to_owned()).collect(),
@@ -90,7 +90,7 @@
     }
 }
 
-/// A read of all rows whose key has a prefix.
+/// Builds a read of all rows whose key has a prefix.
 pub fn by_prefix(prefix: &str) -> Read {
     Read {
         keys: Vec::new(),
@@ -102,7 +102,7 @@
     rows.iter().find(|row| row.key == key)
 }
 
-/// The version of a row; 0 if it is absent.
+/// Returns the version of a row; 0 if it is absent.
 pub fn version_of(row: Option<&Row>) -> u64 {
     row.map_or(0, |row| row.version)
 }
--- a/components/daemon/src/request/generate/mod.rs
+++ b/components/daemon/src/request/generate/mod.rs
@@ -43,7 +43,7 @@
 }
 
 impl Aborted {
-    /// The error response for the caller.
+    /// Builds the error response for the caller.
     pub fn refusal(&self) -> Refusal {
         self.reason.into()
     }
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Number of tokens delivered so far.
+    /// Returns the number of tokens delivered so far.
     pub fn tokens_delivered(&self) -> u64 {
         self.assembler.offset()
     }
--- a/components/daemon/src/request/refusal.rs
+++ b/components/daemon/src/request/refusal.rs
@@ -104,7 +104,7 @@
 const OUTAGE_RETRY_AFTER: Duration = Duration::from_secs(5);
 
 impl Reason {
-    /// Code of the reason in error responses and metrics.
+    /// Returns the code of the reason in error responses and metrics.
     pub fn code(self) -> &'static str {
         match self {
             Self::WrongKey => "wrong_key",
@@ -162,7 +162,7 @@
         }
     }
 
-    /// Time after which a retry may help, `None` if a retry can't help.
+    /// Returns the time after which a retry may help, `None` if a retry can't help.
     fn retry_after(self) -> Option<Duration> {
         match self {
             Self::Late(after) | Self::Full(after) | Self::NoEndpoint(after) => Some(after),
--- a/components/protocol/src/gate.rs
+++ b/components/protocol/src/gate.rs
@@ -51,13 +51,13 @@
         self.in_flight == 0 && self.closed_for == Some(number)
     }
 
-    /// Number of the order that the gate is closed for.
+    /// Returns the number of the order that the gate is closed for.
     #[must_use]
     pub fn closed_for(&self) -> Option<u64> {
         self.closed_for
     }
 
-    /// Number of requests in flight.
+    /// Returns the number of requests in flight.
     #[must_use]
     pub fn in_flight(&self) -> u32 {
         self.in_flight
--- a/components/protocol/src/lease.rs
+++ b/components/protocol/src/lease.rs
@@ -63,7 +63,7 @@
     }
 }
 
-/// Lease row that a daemon writes to take over a stewardship.
+/// Returns the lease row that a daemon writes to take over a stewardship.
 #[must_use]
 pub fn acquire(lease: Option<&Lease>, me: Incarnation) -> Lease {
     Lease {
@@ -72,7 +72,7 @@
     }
 }
 
-/// Lease row that the holder writes to release a stewardship.
+/// Returns the lease row that the holder writes to release a stewardship.
 #[must_use]
 pub fn release(lease: &Lease) -> Lease {
     Lease {
@@ -81,8 +81,8 @@
     }
 }
 
-/// Time until which the holder may act without another renewal. `sent_ms` is taken before the
-/// renewal is sent, so that a slow answer can only shorten the time.
+/// Returns the time until which the holder may act without another renewal. `sent_ms` is taken
+/// before the renewal is sent, so that a slow answer can only shorten the time.
 #[must_use]
 pub fn valid_until(sent_ms: u64, term_ms: u64) -> u64 {
     // the margin leaves time for a step that has already started
--- a/components/protocol/src/order.rs
+++ b/components/protocol/src/order.rs
@@ -226,7 +226,7 @@
     }
 }
 
-/// Row that commits the intent, once all daemons have closed their gates.
+/// Returns the row that commits the intent, once all daemons have closed their gates.
 #[must_use]
 pub fn intent_row(row: &Row) -> Row {
     Row {
@@ -247,7 +247,7 @@
     Lost,
 }
 
-/// Row that commits the outcome, once the sender's call has ended.
+/// Returns the row that commits the outcome, once the sender's call has ended.
 #[must_use]
 pub fn outcome_row(row: &Row, outcome: CallOutcome) -> Row {
     let mut next = row.clone();
--- a/components/protocol/src/stream.rs
+++ b/components/protocol/src/stream.rs
@@ -60,13 +60,13 @@
         self.attempt = attempt;
     }
 
-    /// Attempt whose frames are accepted.
+    /// Returns the attempt whose frames are accepted.
     #[must_use]
     pub fn attempt(&self) -> Attempt {
         self.attempt
     }
 
-    /// Number of tokens delivered so far.
+    /// Returns the number of tokens delivered so far.
     #[must_use]
     pub fn offset(&self) -> u64 {
         self.offset
