--- a/components/gateway/src/endpoint/busy.rs
+++ b/components/gateway/src/endpoint/busy.rs
@@ -37,7 +37,8 @@
         busy.sort_unstable_by_key(|target| target.short_id);
         busy.dedup_by(|a, b| Arc::ptr_eq(a, b));
         loads.sort_unstable_by_key(|(short_id, _)| *short_id);
-        // an endpoint may be listed twice; two that share a short id only have their loads blended
+        // an endpoint may be in the set twice; of two that share a short id only one load is
+        // reported
         loads.dedup_by_key(|(short_id, _)| *short_id);
         loads
     }
--- a/components/gateway/src/endpoint/connection.rs
+++ b/components/gateway/src/endpoint/connection.rs
@@ -18,20 +18,21 @@
 use socket2::{SockRef, TcpKeepalive};
 use tokio::{net::TcpStream, task::JoinHandle};
 
-/// Time-out of connecting. Data centres are a few milliseconds apart. A lost SYN is only
+/// Timeout of connecting. Data centres are a few milliseconds apart. A lost SYN is only
 /// retransmitted after a second, by when another endpoint has served the request.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// How long data may stay unacknowledged before the connection breaks, since the endpoint's host is
-/// down or cut off. Well above the time of a few retransmissions on a lossy link.
+/// down or unreachable. Well above the time of a few retransmissions on a lossy link.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(3);
 /// Idle time before the first TCP keep-alive probe, and the interval between probes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 /// Number of unanswered keep-alive probes after which the connection breaks.
 const KEEPALIVE_RETRIES: u32 = 3;
-/// An idle connection is dropped this long before the endpoint would close it, so that no request
-/// is sent while it is being closed.
+/// Time by which an idle connection is dropped before the endpoint's reported idle timeout, so that
+/// no request is sent while it is being closed.
 const CLOSE_MARGIN: Duration = Duration::from_millis(700);
-/// Idle time-out of a connection if the endpoint does not report its own.
+/// Time after which an idle connection is dropped if the endpoint does not report an idle timeout.
+/// [`CLOSE_MARGIN`] is not subtracted from it.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// Reason why no connection was opened. Nothing was sent.
--- a/components/gateway/src/endpoint/health.rs
+++ b/components/gateway/src/endpoint/health.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 #[display(rename_all = "kebab-case")]
 pub enum Verdict {
-    /// It answered correctly.
+    /// It answered, or the answer was interrupted at the request's deadline.
     Fine,
     /// It reported that it has no free slot or is not the intended instance.
     Refused,
@@ -20,15 +20,17 @@
     Silent,
 }
 
-/// Weight of the latest attempt in the moving average of failures: five failures in a row take a
+/// Weight of the latest attempt in the moving average of failures: four failures in a row take a
 /// healthy endpoint past [`UNHEALTHY_FAILURE_RATIO`], one failure in five does not.
 const FAILURE_WEIGHT: f64 = 0.25;
-/// Failure ratio from which an endpoint is avoided if there is another one.
+/// Failure ratio from which an endpoint counts as unhealthy, which is logged and excludes an engine
+/// from the plan of stages. Placement uses the failure ratio itself as a penalty.
 const UNHEALTHY_FAILURE_RATIO: f64 = 0.6;
-/// Number of consecutive silent attempts after which an endpoint counts as unavailable.
+/// Number of consecutive silent attempts after which an endpoint counts as unhealthy and is backed
+/// off from.
 const SILENT_ATTEMPTS_TO_BACK_OFF: u32 = 2;
-/// First backoff of an unavailable endpoint, which gets no requests until it has passed and is then
-/// tried again. Doubles up to [`MAX_BACKOFF`] while trials fail.
+/// First backoff after silent attempts. The endpoint gets no requests until it has passed, and is
+/// then tried again. Doubles up to [`MAX_BACKOFF`] while trials fail.
 const SILENT_BACKOFF: Duration = Duration::from_millis(400);
 /// Maximum backoff: bounds the time until a recovered endpoint is used again.
 const MAX_BACKOFF: Duration = Duration::from_millis(1_600);
--- a/components/gateway/src/endpoint/load.rs
+++ b/components/gateway/src/endpoint/load.rs
@@ -7,20 +7,21 @@
 /// Work in flight at an endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Load {
-    /// Work of the prompts sent and not prefilled yet, see [`policy::prompt::prefill_work`]. Excludes
-    /// low-priority prompts.
+    /// Work of the prompts sent and not prefilled yet, see [`policy::prompt::prefill_work`].
+    /// Excludes deferred prompts.
     pub prefill_work: u64,
-    /// Work of the low-priority prompts, which yield to all others.
+    /// Work of the deferred prompts, which yield to all others.
     pub deferred_work: u64,
     /// Number of prompts sent and not prefilled yet.
     pub prompts: u64,
-    /// Number of these prompts that are low-priority.
+    /// Number of these prompts that are deferred.
     pub deferred_prompts: u64,
-    /// Number of requests that are being decoded, or will be once their prompts are prefilled.
+    /// Number of answers that are being decoded, or will be once their prompts are prefilled. For
+    /// plain services, the number of requests.
     pub decoding: u64,
-    /// Number of these requests with long answers.
+    /// Number of these answers that are long.
     pub long_answers: u64,
-    /// Number of suspect requests: other endpoints have crashed during them.
+    /// Number of suspect requests: other endpoints have crashed while running them.
     pub suspects: u64,
 }
 
@@ -57,7 +58,7 @@
 }
 
 impl PrefillGuard {
-    /// Counts a prompt with `work` at an endpoint. A low-priority prompt yields to all others.
+    /// Counts a prompt with `work` at an endpoint. A deferred prompt yields to all others.
     #[must_use]
     pub fn new(target: &Arc<Target>, work: u64, deferred: bool) -> Self {
         target.add_load(|load| {
@@ -89,7 +90,8 @@
     }
 }
 
-/// Counts a request that is decoded in the load of an endpoint until it is dropped.
+/// Counts an answer, or a request to a plain service, in the load of an endpoint until it is
+/// dropped.
 #[derive(Debug)]
 pub struct DecodeGuard {
     target: Arc<Target>,
--- a/components/gateway/src/endpoint/mod.rs
+++ b/components/gateway/src/endpoint/mod.rs
@@ -1,7 +1,7 @@
 //! Endpoints: what the platform lists about them, what this process has sent them, and their
 //! health.
 //!
-//! An endpoint here is one incarnation of a back end. A restarted back end is a new endpoint, even
+//! An endpoint here is one incarnation of a server. A restarted server is a new endpoint, even
 //! under the same name or at the same address, so nothing learnt about one is applied to the other.
 
 mod busy;
@@ -93,8 +93,8 @@
 
 impl Profile {
     /// Returns a short hash that identifies the incarnation, the same in every process. In a fleet
-    /// of thousands the chance that any two endpoints share one is about one in a thousand, and
-    /// would only blend their loads.
+    /// of thousands the chance that any two endpoints share one is about one in a thousand; it
+    /// would only hide the load of one of them.
     #[must_use]
     pub fn short_id(&self) -> u32 {
         match self.started {
--- a/components/gateway/src/endpoint/registry.rs
+++ b/components/gateway/src/endpoint/registry.rs
@@ -7,9 +7,9 @@
 use super::{BusySet, Id, IncarnationOrder, Profile, State, Target, subset};
 use crate::edge::Change;
 
-/// Maximum number of changes in an update up to which each new endpoint gets a log line. The lists
-/// of the first deployments have 60 endpoints; at each start the thousands of a large fleet would
-/// push all other lines out of the log.
+/// Maximum number of changes in an update whose new endpoints are logged individually. Above the 60
+/// endpoints on the lists of the first deployments; at each start the thousands of endpoints of a
+/// large fleet would push all other lines out of the log.
 const MAX_CHANGES_LOGGED_INDIVIDUALLY: usize = 100;
 
 /// The endpoints of one service, sorted by name.
@@ -125,7 +125,7 @@
         gone
     }
 
-    /// Adds or updates an endpoint from a list entry. Returns the former incarnation if the entry
+    /// Adds or updates an endpoint from a list entry. Returns the previous incarnation if the entry
     /// replaces it.
     fn put(
         &self,
--- a/components/gateway/src/endpoint/requests.rs
+++ b/components/gateway/src/endpoint/requests.rs
@@ -127,7 +127,7 @@
 
 impl RequestGuard {
     /// Records a request that is about to be sent to an endpoint. `suspect` tells whether other
-    /// endpoints have crashed during it.
+    /// endpoints have crashed while running it.
     #[must_use]
     pub fn new(target: &Arc<Target>, fingerprint: Fingerprint, suspect: bool) -> Self {
         target.add_load(|load| load.suspects += u64::from(suspect));
--- a/components/gateway/src/endpoint/subset.rs
+++ b/components/gateway/src/endpoint/subset.rs
@@ -2,8 +2,8 @@
 //!
 //! With thousands of endpoints and hundreds of processes, a process that considered every endpoint
 //! for each request, and kept connections to all of them, would spend more on the choice than it
-//! gains. Instead it uses a subset selected by rendezvous hashing: each process uses a different
-//! one, and it changes little when an endpoint is added or removed. See
+//! gains from it. Instead it uses a subset selected by rendezvous hashing: each process uses a
+//! different one, and it changes little when an endpoint is added or removed. See
 //! `docs/CAPACITY.md#gateways-on-a-platform`.
 
 use std::sync::Arc;
@@ -12,12 +12,12 @@
 
 use super::Target;
 
-/// Number of endpoints in the own data centre that are used. Placement among this many is nearly as
-/// good as among all, and the fleets of the first deployments (57 engines at most) are used
-/// completely.
+/// Maximum number of local endpoints of a large fleet that are used. Placement among this many is
+/// nearly as good as among all, and the fleets of the first deployments (57 engines at most) are
+/// used completely.
 const MAX_LOCAL: usize = 64;
-/// Number of endpoints in other data centres that are used besides, for when none is left in the
-/// own one.
+/// Number of remote endpoints that are used as well, as a fallback if no local one is left; more if
+/// there are fewer than [`MAX_LOCAL`] local ones.
 const MAX_REMOTE: usize = 32;
 
 /// Selection of endpoints by a process.
--- a/components/gateway/src/endpoint/target.rs
+++ b/components/gateway/src/endpoint/target.rs
@@ -21,7 +21,7 @@
 use crate::request::Fingerprint;
 
 /// How long a check whether an endpoint still listens stays valid: when an endpoint crashes, its
-/// connections break within some milliseconds of each other.
+/// connections break within a few milliseconds of each other.
 const LISTEN_CHECK_TTL: Duration = Duration::from_millis(100);
 
 /// An endpoint. It lives as long as anything is in flight there, also after it is no longer listed.
@@ -59,21 +59,21 @@
     pub peer_load: Load,
     /// Its health.
     pub health: Health,
-    /// Its pace in its current stage; `None` until it has been measured.
+    /// Its latency in its current stage; `None` until it has been measured.
     pub latency: Option<Latency>,
     /// Prompt parts that it likely has cached.
     pub prefix_cache: PrefixCache,
-    /// Idle connections, longest idle first.
+    /// Idle connections, longest idle first; that one is also reused first.
     idle: Vec<IdleConnection>,
     /// Until when it counts as changing its stage.
     pub changing_until: Option<Instant>,
-    /// Idle time-out of its connections, as last reported by the endpoint.
+    /// Idle timeout of its connections, as last reported by the endpoint.
     idle_timeout: Option<Duration>,
     /// When a request of this process or of a peer last progressed there.
     last_progress: Instant,
     /// Estimate of the prefill work that remains of the prompts in flight.
     backlog: Backlog,
-    /// When this process first listed it: the origin of the clock that `age` reads.
+    /// When this process created it: the origin of the times passed to `policy`, see `age`.
     known_since: Instant,
     /// This process's requests, by fingerprint.
     pub requests: RequestTracker,
@@ -81,17 +81,17 @@
     last_checked: Option<Instant>,
 }
 
-/// Average paces of the engines of a service.
+/// Average latencies of the engines of a service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Latencies {
-    /// Pace of prefill engines.
+    /// Latency of prefill engines.
     pub prefill: Latency,
-    /// Pace of decode engines.
+    /// Latency of decode engines.
     pub decode: Latency,
 }
 
 impl Latencies {
-    /// Returns the average pace of engines in a stage; endpoints without a stage count as decode
+    /// Returns the average latency of engines in a stage; endpoints without a stage count as decode
     /// engines.
     #[must_use]
     pub fn for_stage(&self, stage: Option<Stage>) -> Latency {
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Returns the average pace of engines in a stage for updates.
+    /// Returns the average latency of engines in a stage for updates.
     pub fn for_stage_mut(&mut self, stage: Stage) -> &mut Latency {
         match stage {
             Stage::Prefill => &mut self.prefill,
@@ -121,14 +121,14 @@
 
 /// Values common to all engines of a service.
 ///
-/// The size of their caches is that of the current configuration and is passed in with each
+/// The capacity of their KV caches is that of the current configuration and is passed in with each
 /// snapshot and each recorded prompt: an endpoint may be listed before the first configuration is
 /// known, and a later configuration may change it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ServiceDefaults {
-    /// Their average paces.
+    /// Their average latencies.
     pub latencies: Latencies,
-    /// Number of tokens that the cache of each engine holds; 0 for plain services.
+    /// Number of tokens that the KV cache of each engine holds; 0 for plain services.
     pub kv_capacity_tokens: u64,
 }
 
@@ -139,7 +139,7 @@
     pub profile: Profile,
     /// All load there, of this process and of peers.
     pub load: Load,
-    /// Its pace in its current stage.
+    /// Its latency in its current stage.
     pub latency: Latency,
     /// Number of tokens of the given prompt that it likely has cached.
     pub cached_tokens: u64,
@@ -155,8 +155,8 @@
         self.own_load.plus(self.peer_load)
     }
 
-    /// Returns the prefill work that remains there. `default_latency` applies until its own pace is
-    /// known.
+    /// Returns the prefill work that remains there. `default_latency` applies until its own latency
+    /// is known.
     pub fn remaining_prefill(&self, now: Instant, default_latency: Latency) -> u64 {
         let prefill_token_us = self.latency.unwrap_or(default_latency).prefill_token_us;
         let remaining = self.backlog.remaining(
@@ -361,7 +361,7 @@
         }
     }
 
-    /// Sends nothing new there until then, since it is changing its stage.
+    /// Marks it as changing its stage; until `until` it gets no new requests.
     pub fn mark_changing(&self, until: Instant) {
         let now = Instant::now();
         let before = self.with(|state| state.changing_until.replace(until));
@@ -370,7 +370,7 @@
         }
     }
 
-    /// Updates the profile from the platform's list and returns the former one.
+    /// Updates the profile from the platform's list and returns the previous one.
     pub fn update(&self, profile: &Profile) -> Profile {
         let before = self.with(|state| {
             if state.profile.stage != profile.stage {
@@ -430,7 +430,8 @@
             return Ok(idle.connection);
         }
         if self.open_connections.load(Ordering::Relaxed) >= max_open {
-            // an idle connection that is too old for this request still counts towards the limit
+            // idle connections that this request can't use count towards the limit too; the most
+            // recent one is closed
             let removed = self.with(|state| state.idle.pop().is_some());
             if !removed {
                 return Err(ConnectError::Full);
@@ -443,9 +444,9 @@
     /// Checks whether the endpoint still listens after a connection broke at `broke`. If it does
     /// not, takes the fingerprints of the requests that may have caused the crash.
     ///
-    /// Returns nothing if it still listens, if it is draining or no longer listed, or if the last
-    /// check is later than `broke` or shortly before it. An endpoint that merely resets connections
-    /// still accepts new ones, one that has crashed refuses them.
+    /// Returns nothing if it still listens, if it is draining or no longer listed, or if it was
+    /// checked after `broke` or less than `LISTEN_CHECK_TTL` before. An endpoint that merely resets
+    /// connections still accepts new ones, one that has crashed refuses them.
     pub async fn take_requests_if_crashed(&self, broke: Instant) -> Vec<Fingerprint> {
         let _listen_check = self.listen_check.lock().await;
         let (address, due) = self.with(|state| {
@@ -470,7 +471,7 @@
         })
     }
 
-    /// Returns a connection that can serve another request.
+    /// Puts a connection that can serve another request back into the pool.
     pub fn put_back_connection(&self, connection: Connection) {
         let now = Instant::now();
         self.with(|state| {
--- a/components/gateway/src/peer/cache_listing.rs
+++ b/components/gateway/src/peer/cache_listing.rs
@@ -2,7 +2,7 @@
 //!
 //! All gateways may have started at once, so peers may not know either. Listing its cache delays an
 //! engine's work, so each engine is queried by only one of the starting processes, which passes the
-//! result to its peers. From then on recorded placements tell what engines have cached. See
+//! result to its peers. Afterwards the cache contents are estimated from recorded placements. See
 //! `docs/PLATFORM.md#what-engines-hold`.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
@@ -24,7 +24,8 @@
 /// Delay before the parts are sent to the peers a second time, for those that start at the same
 /// time and missed the first.
 const RESEND_DELAY: Duration = Duration::from_secs(1);
-/// Maximum number of parts in one placement, so that a digest fits into a packet or two.
+/// Maximum number of parts of a listing in one placement, so that a digest with one such placement
+/// fits into a packet or two.
 const MAX_PARTS_PER_PLACEMENT: usize = 96;
 
 /// Queries the engines assigned to this process for their cached parts and passes these to the
@@ -81,7 +82,7 @@
     Some(parts)
 }
 
-/// Whether a target is a ready engine that this process is to query.
+/// Whether a target is a ready engine that is assigned to this process.
 fn is_assigned_here(gateway: &Gateway, target: &Target) -> bool {
     let (is_engine, data_centre) = target.with(|state| {
         let is_engine = state.profile.stage.is_some() && state.profile.state == State::Ready;
@@ -100,7 +101,8 @@
     /// Whether an engine is assigned to this process, by rendezvous hashing over all known
     /// processes in the engine's data centre, or over all known processes if there is none.
     ///
-    /// Engines assigned to an unreachable process are not queried; later placements make up for it.
+    /// Engines assigned to an unreachable process are not queried; their contents become known from
+    /// later placements.
     fn is_assigned_engine(&self, engine: u32, data_centre: &str, own: (SocketAddr, &str)) -> bool {
         let known = self.known.lock();
         let others = known.iter().filter(|peer| !peer.data_centre.is_empty());
--- a/components/gateway/src/peer/changes.rs
+++ b/components/gateway/src/peer/changes.rs
@@ -33,8 +33,8 @@
         }
     }
 
-    /// Decodes a message. Returns `None` if any change in it is invalid, since the remaining ones
-    /// would pass for the complete set.
+    /// Decodes a message. Returns `None` if any change in it is invalid, since the others would be
+    /// taken for the complete set.
     pub fn decode(message: &EndpointChanges) -> Option<Self> {
         let changes: Option<Vec<Change>> = message.changes.iter().map(decode).collect();
         Some(Self {
--- a/components/gateway/src/peer/discovery.rs
+++ b/components/gateway/src/peer/discovery.rs
@@ -17,13 +17,13 @@
 const ROW_PREFIX: &str = "gateway/";
 /// Delay before the first retry of a registration; doubled for each further retry, up to
 /// [`MAX_RETRY_DELAY`]. Without this, gateways that start together would keep the store so busy
-/// that each answer comes after its time-out.
+/// that each answer comes after its timeout.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(400);
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(10);
 /// Fraction by which a retry delay is randomly shortened or lengthened, so that the gateways'
 /// retries spread.
 const JITTER_RATIO: f64 = 0.5;
-/// Interval between reads of all rows, which finds peers that were cut off when both started.
+/// Interval between reads of all rows, which finds peers that were unreachable when both started.
 const REFRESH_INTERVAL: Duration = Duration::from_secs(20);
 
 /// Registration row of a gateway.
@@ -47,8 +47,8 @@
     tokio::join!(refresh(gateway, membership_known), query);
 }
 
-/// Writes this process's row and reads all rows at intervals. Signals `membership_known` after the first
-/// successful read.
+/// Writes this process's row and reads all rows at intervals. Signals `membership_known` after the
+/// first successful read.
 async fn refresh(gateway: &Gateway, membership_known: oneshot::Sender<()>) {
     let mut membership_known = Some(membership_known);
     let mut retry_delay = MIN_RETRY_DELAY;
@@ -58,7 +58,7 @@
         let registered = written && read_rows(gateway, &mut written).await;
         if registered {
             if let Some(membership_known) = membership_known.take() {
-                // the receiver is gone if the process is stopping
+                // the receiver is gone if the process is shutting down
                 let _ = membership_known.send(());
             }
             retry_delay = MIN_RETRY_DELAY;
--- a/components/gateway/src/peer/fan_out.rs
+++ b/components/gateway/src/peer/fan_out.rs
@@ -14,29 +14,30 @@
 /// Minimum interval between two digests: twice the one-way delay between two data centres, and well
 /// below the duration of a prefill.
 pub(super) const MIN_DIGEST_INTERVAL: Duration = Duration::from_millis(10);
-/// Added to the minimum interval for each peer. A process then receives some 600 digests a second
-/// from its data centre and as many from all others. The more gateways there are, the less each one
-/// matters to the others' placement, so its reports may be older.
+/// Minimum interval between two digests per recipient: multiplied by their number, it applies where
+/// it exceeds [`MIN_DIGEST_INTERVAL`]. A process then receives about 600 digests a second from its
+/// data centre and as many from all others. The more gateways there are, the less each one matters
+/// to the others' placement, so its reports may be older.
 const MIN_INTERVAL_PER_PEER: Duration = Duration::from_micros(1_600);
 /// Maximum interval between two digests to neighbours, so that they know that this process is
 /// alive.
 pub(super) const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
-/// Minimum interval between two digests to peers that are not neighbours, and the time added for
-/// each of them: a process receives some 125 such digests a second, however many peers there are.
-/// They show who shares the budgets, and roughly where engines are busy.
+/// Interval between two digests to peers that are not neighbours, unless
+/// [`OTHERS_INTERVAL_PER_PEER`] multiplied by their number is longer: a process receives at most
+/// about 125 such digests a second, however many peers there are. They show who shares the budgets,
+/// and roughly where engines are busy.
 const OTHERS_INTERVAL: Duration = Duration::from_secs(1);
 const OTHERS_INTERVAL_PER_PEER: Duration = Duration::from_millis(8);
-/// Number of peers in a data centre up to which all of them are neighbours. It is above the 22 of
-/// the first large deployments, where having fewer neighbours in other data centres was measured to
-/// reduce throughput (`docs/MEASUREMENTS.md#on-the-platform`).
+/// Maximum number of peers in a data centre of which all are neighbours. Above the 22 gateways of
+/// the first large deployments, where fewer neighbours in other data centres reduced throughput
+/// (`docs/MEASUREMENTS.md#on-the-platform`).
 const MAX_FULL_MESH: usize = 32;
-/// Neighbours in the own data centre if it has more than [`MAX_FULL_MESH`] peers: their loads are
-/// received some 160 times a second, a quarter of the rate with 32 neighbours. Other values were
-/// not measured.
+/// Number of neighbours in the local data centre if it has more than [`MAX_FULL_MESH`] peers: their
+/// loads are received about 160 times a second, a quarter of the rate with 32 neighbours.
 const LOCAL_NEIGHBOURS: usize = 16;
-/// Neighbours in each other data centre that has more than [`MAX_FULL_MESH`] peers. Several, since
-/// a data centre is found unreachable when all of them are silent; few, since traffic between data
-/// centres is paid for. Other values were not measured.
+/// Number of neighbours in each remote data centre that has more than [`MAX_FULL_MESH`] peers.
+/// Several, since a data centre is found unreachable when all of them are silent; few, since
+/// traffic between data centres is paid for.
 const REMOTE_NEIGHBOURS: usize = 4;
 
 /// Peers that get digests at the same intervals.
@@ -111,9 +112,9 @@
     }
 }
 
-/// Splits the peers of a data centre into neighbours and others. The hash by which they are drawn
-/// is the same for both of a pair, so a process most likely gets digests from those that it sends
-/// them to.
+/// Splits the peers of a data centre into neighbours and others. Neighbours are selected by a hash
+/// that is the same for both processes of a pair, so a process most likely receives digests from
+/// those that it sends them to.
 fn neighbours<'a>(
     own: SocketAddr,
     peers: impl Iterator<Item = &'a Peer>,
@@ -131,8 +132,8 @@
     (peers, others)
 }
 
-/// Returns the minimum and maximum interval between two digests to so many peers. With `full_mesh`
-/// all peers in the data centres of the group are neighbours.
+/// Returns the minimum and maximum interval between two digests to the given number of peers. With
+/// `full_mesh` all peers in the data centres of the group are neighbours.
 fn digest_intervals(
     group: PeerGroup,
     peers: usize,
--- a/components/gateway/src/peer/latencies.rs
+++ b/components/gateway/src/peer/latencies.rs
@@ -1,7 +1,7 @@
-//! Exchange of learnt engine paces between peers.
+//! Exchange of learnt engine latencies between peers.
 //!
-//! What one process learns in the first moments of a service spares the others the same wrong
-//! estimates, and a process that starts knows at once what the others know.
+//! The other processes thus need not start from the same wrong estimates as the first one that uses
+//! a service, and a process that starts gets at once what the others have learnt.
 
 use std::sync::Arc;
 
@@ -13,8 +13,8 @@
     process::Gateway,
 };
 
-/// Returns the paces that this process has learnt, encoded for a digest. With `all`, paces that
-/// only a new peer lacks are included.
+/// Returns the latencies that this process has learnt, encoded for a digest. With `all`, latencies
+/// that only a new peer lacks are included.
 pub(super) fn collect(gateway: &Gateway, all: bool) -> Vec<ServicePace> {
     let services = gateway.own_latencies(all);
     services
@@ -28,7 +28,7 @@
         .collect()
 }
 
-/// Adopts paces learnt by a peer, for services of the current configuration.
+/// Adopts latencies learnt by a peer, for services of the current configuration.
 pub(super) fn apply(gateway: &Gateway, received: &[ServicePace]) {
     if received.is_empty() {
         return;
--- a/components/gateway/src/peer/mod.rs
+++ b/components/gateway/src/peer/mod.rs
@@ -40,20 +40,21 @@
 /// How long a peer stays known without a digest from it. A peer that recovers sends a digest on its
 /// own.
 const PEER_TTL: Duration = Duration::from_secs(60);
-/// How long after its start a peer counts as new: a few heartbeat intervals, also of peers that are
-/// not neighbours.
+/// How long after its start a peer counts as new: three times the shortest interval of digests to
+/// peers that are not neighbours.
 const NEW_PEER_PERIOD: Duration = Duration::from_secs(3);
 /// Gateways in each data centre that retry an unavailable store at the shortest interval. At least
-/// as many as read the operators' lists, since one of them may be cut off for longer than the
+/// as many as read the operators' lists, since one of them may be unreachable for longer than the
 /// outage lasts.
 const STORE_PROBERS: usize = 2;
 /// Maximum number of placements that wait for the next digest. Placements are hints, so losing one
 /// costs little.
 const MAX_PENDING_PLACEMENTS: usize = 64;
-/// Maximum number of endpoint changes in one message, so that it fits into a datagram.
+/// Maximum number of endpoint changes in one message, so that it fits into a datagram, and maximum
+/// number of messages that wait for the next digest.
 const MAX_CHANGES: usize = 32;
-/// Maximum number of received advertisements that wait for processing. Changes in dropped ones are
-/// read from the store.
+/// Number of received advertisements that wait for processing above which those in further digests
+/// are dropped. Their changes are read from the store instead.
 const MAX_ADVERTISEMENTS: usize = 256;
 
 /// A known gateway.
@@ -82,13 +83,13 @@
     is_steward: bool,
     /// Demand of its callers by service since it started, sorted by service.
     demands: Vec<(u32, DemandTotals)>,
-    /// Whether its last call to the store succeeded.
+    /// Whether the store is available to it, as it reported.
     store_available: bool,
-    /// Since when all its calls to the store have succeeded, if it reads the operators' lists.
+    /// Since when the store has been available to it, if it reads the operators' lists.
     store_available_since: Option<Instant>,
-    /// The epoch that it ceded: it was the steward in it and issues no more orders.
+    /// The last epoch that it has given up as the steward; it gives no more orders in it.
     ceded_epoch: u64,
-    /// When it issued its last order, if it reported one.
+    /// When it gave its last order, if it reported one.
     last_order: Option<Instant>,
 }
 
@@ -132,7 +133,7 @@
     /// it is unknown.
     ///
     /// Unreachable peers count until [`PEER_TTL`] has passed. A process that has just started may
-    /// not have received digests from peers that are cut off from it. Until its uptime reaches
+    /// not have received digests from peers that are unreachable from it. Until its uptime reaches
     /// [`PEER_TTL`] it therefore also counts peers known only by address, and needs to have read
     /// the registration rows to know them.
     pub fn budget_sharers(&self, uptime: Duration) -> Option<u64> {
@@ -187,8 +188,8 @@
 
     /// Whether at least [`STORE_PROBERS`] live peers in `data_centre` precede this process by
     /// address. They retry a store that is unavailable to all gateways at the shortest interval, so
-    /// that this process need not. There are several since one may be cut off for longer than the
-    /// outage lasts.
+    /// that this process need not. There are several since one may be unreachable for longer than
+    /// the outage lasts.
     pub fn has_preceding_store_probers(&self, own: SocketAddr, data_centre: &str) -> bool {
         let now = Instant::now();
         let known = self.known.lock();
@@ -199,8 +200,8 @@
         before.count() >= STORE_PROBERS
     }
 
-    /// Returns the earliest time since which all store calls of some live peer that reads the
-    /// operators' lists have succeeded.
+    /// Returns the earliest time since which the store has been available to some live peer that
+    /// reads the operators' lists.
     pub fn store_available_since(&self) -> Option<Instant> {
         let now = Instant::now();
         let known = self.known.lock();
@@ -208,14 +209,14 @@
         alive.filter_map(|peer| peer.store_available_since).min()
     }
 
-    /// Returns the highest epoch that a steward has ceded.
+    /// Returns the highest epoch that a steward has given up.
     pub fn ceded_epoch(&self) -> u64 {
         let known = self.known.lock();
         known.iter().map(|peer| peer.ceded_epoch).max().unwrap_or(0)
     }
 
-    /// Returns the time since the last order of the peer that ceded the highest epoch, if one ceded
-    /// an epoch.
+    /// Returns the time since the last order of the peer that gave up the highest epoch, if one
+    /// gave up an epoch.
     pub fn time_since_last_order(&self) -> Option<Duration> {
         let known = self.known.lock();
         let last = known.iter().max_by_key(|peer| peer.ceded_epoch)?;
@@ -274,10 +275,10 @@
 
     /// Returns the data centres that are unreachable from here: at least one peer there has been
     /// alive, none is now, while peers elsewhere are. If no peer is reachable at all, this process
-    /// itself is cut off and knows nothing about others, so the result is empty.
+    /// itself is isolated and knows nothing about the others, so the result is empty.
     ///
-    /// In each data centre the peers with the shortest heartbeat interval decide; others may be
-    /// silent for longer anyway.
+    /// In each data centre the peers with the shortest heartbeat interval decide; others are
+    /// expected to send less often.
     pub fn unreachable_data_centres(&self) -> Vec<Arc<str>> {
         let now = Instant::now();
         let known = self.known.lock();
@@ -452,7 +453,7 @@
     now.checked_sub(age).filter(|_| age_ms > 0)
 }
 
-/// Returns a digest of this process without loads, placements, changes, paces and suspects.
+/// Returns a digest of this process without loads, placements, changes, latencies and suspects.
 fn own_digest(gateway: &Gateway, number: u64) -> Digest {
     Digest {
         incarnation: gateway.incarnation,
--- a/components/gateway/src/peer/receive.rs
+++ b/components/gateway/src/peer/receive.rs
@@ -153,9 +153,9 @@
         .collect()
 }
 
-/// Applies what a steward reports: sends nothing new to engines that are changing their stage, and
-/// adopts the stages that engines have reported to it. This includes reports from a steward that
-/// has just lost its lease and completes a change.
+/// Applies what a steward reports: marks engines that are changing their stage, so that they get no
+/// new requests, and adopts the stages that engines have reported to it. This includes reports from
+/// a steward that has just lost its lease and completes a change.
 pub fn apply_stage_changes(gateway: &Gateway, changing: &[u32], stages: &[StageTold]) {
     let until = Instant::now() + CHANGING_TTL;
     for changed in stages {
@@ -175,7 +175,7 @@
     }
 }
 
-/// Replaces a peer's former loads by its new ones; both lists are sorted by endpoint.
+/// Replaces a peer's previous loads by its new ones; both lists are sorted by endpoint.
 fn update_peer_loads(gateway: &Gateway, before: &[(u32, Load)], after: &[(u32, Load)]) {
     let find = |loads: &[(u32, Load)], short_id: u32| {
         let index = loads.binary_search_by_key(&short_id, |(short_id, _)| *short_id);
--- a/components/gateway/src/peer/send.rs
+++ b/components/gateway/src/peer/send.rs
@@ -27,8 +27,8 @@
 /// Maximum number of suspect requests in one digest, for the same reason.
 const MAX_SUSPECTS_PER_DIGEST: usize = 24;
 
-/// Minimum interval between two digests of a stream that contain paces; learning more takes several
-/// prompts.
+/// Minimum interval between two digests to a group that contain latencies; learning more takes
+/// several prompts.
 const LATENCIES_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Sends digests until the process ends.
@@ -111,7 +111,7 @@
     }
 }
 
-/// Digests to one group of peers.
+/// Digests to one group of peers: what they contained last and what waits for the next one.
 #[derive(Debug)]
 struct DigestSchedule {
     group: PeerGroup,
@@ -129,7 +129,7 @@
     placed: Vec<Placed>,
     changes: Vec<EndpointChanges>,
     suspects: Vec<Suspect>,
-    /// When a digest last contained paces.
+    /// When a digest last contained latencies.
     latencies_sent: Instant,
 }
 
@@ -150,8 +150,8 @@
         }
     }
 
-    /// Queues what must be sent exactly once. Placements are hints, of use only to peers that get
-    /// the loads in time, so peers that are not neighbours get none.
+    /// Queues items that are sent in one digest only. Placements are hints that are useful only to
+    /// peers that receive the loads in time, so peers that are not neighbours get none.
     fn enqueue(&mut self, update: &Update) {
         if self.group != PeerGroup::Others {
             let remaining = MAX_PENDING_PLACEMENTS.saturating_sub(self.placed.len());
@@ -165,8 +165,8 @@
     /// Whether a digest is due.
     fn is_due(&self, update: &Update) -> bool {
         let since = self.last_sent.elapsed();
-        // revisions that this process got from peers that read the lists have reached the others,
-        // too
+        // a revision learnt from a peer needs no urgent digest: the peer that read it has sent it
+        // to all
         let urgent = !self.changes.is_empty()
             || !self.suspects.is_empty()
             || update.changing != self.changing
--- a/components/gateway/src/process/backoff.rs
+++ b/components/gateway/src/process/backoff.rs
@@ -1,4 +1,4 @@
-//! How the operators' lists are requested: long-poll timeout and back-off after failures.
+//! How the operators' lists are requested: long-poll timeout and backoff after failures.
 
 use std::time::Duration;
 
@@ -10,11 +10,11 @@
 /// How long the store may hold a request before it answers that nothing changed.
 ///
 /// A call in flight when the store becomes unreachable is lost without an error. The loss must be noticed,
-/// and the list read again, within the three seconds after the store's recovery that operators allow
-/// (`stable_window_ms` of the first deployments). Each call is billed, so the timeout is not much shorter.
+/// and the list read again, within the operators' `stable_window_ms` after the store's recovery, three
+/// seconds in the first deployments. Each call is billed, so the timeout is not much shorter.
 const LONG_POLL_TIMEOUT: Duration = Duration::from_millis(2_200);
 
-/// The next read after one that ended at `revision`.
+/// Returns the next read after one that ended at `revision`.
 pub fn next_read(revision: u64, answered: bool) -> Cursor {
     // after a failure, ask for an immediate answer until the store gives one
     let wait = if answered {
@@ -25,20 +25,21 @@
     Cursor::After { revision, wait }
 }
 
-/// Exponential back-off: each delay is twice the previous one, up to a maximum.
+/// Exponential backoff: each delay is twice the previous one, up to a maximum.
 #[derive(Clone, Copy, Debug)]
 pub struct Backoff {
     next_delay: Duration,
 }
 
-/// The first delay: short, as a single lost answer is no reason to wait.
+/// First delay: short, since most failures are a single lost answer.
 const INITIAL_DELAY: Duration = Duration::from_millis(50);
-/// The maximum delay: a recovered store must be found well within the time allowed for a configuration to
-/// take effect.
+/// Maximum delay: a recovered store must be found well within the time allowed for a configuration to take
+/// effect.
 const MAX_DELAY: Duration = Duration::from_millis(500);
-/// The maximum delay while peers retry as often and report a recovery. If none of them reaches the store,
-/// this process finds it within the three seconds after its recovery that operators allow (`stable_window_ms`
-/// of the first deployments).
+/// Maximum delay while enough peers of the data centre precede this process by address: these retry with a
+/// delay of at most [`MAX_DELAY`] and report a recovery. If none of them reaches the store, this process
+/// finds it within the operators' `stable_window_ms` after its recovery, three seconds in the first
+/// deployments.
 const MAX_DELAY_WITH_PEERS: Duration = Duration::from_millis(1_500);
 /// How often a pause checks whether the store answered a peer: the peers' heartbeat interval.
 const PEER_POLL_INTERVAL: Duration = Duration::from_millis(100);
@@ -52,7 +53,7 @@
 }
 
 impl Backoff {
-    /// The pause before the next retry.
+    /// Returns the pause before the next retry.
     pub fn pause(&mut self, gateway: &Gateway) -> Pause {
         let own = &gateway.settings.gateway;
         let max_delay = if gateway
@@ -83,7 +84,7 @@
 }
 
 impl Pause {
-    /// The time until the next check of the pause; `None` once it is over.
+    /// Returns the time until the next check of the pause; `None` once it is over.
     pub fn remaining(&self, gateway: &Gateway) -> Option<Duration> {
         let left = self.until.saturating_duration_since(Instant::now());
         let recovered = !self.store_was_available && gateway.peers.is_store_available();
--- a/components/gateway/src/process/configuration.rs
+++ b/components/gateway/src/process/configuration.rs
@@ -86,8 +86,8 @@
 }
 
 impl Outage {
-    /// Records a failed call. It is logged after twice as many failures as the previous time, so that a
-    /// gateway that stays behind keeps reporting it with a bounded number of lines.
+    /// Records a failed call. Failures 1, 2, 4, 8 and so on are logged, so that a gateway that stays behind
+    /// keeps reporting it with few lines.
     fn record_failure(&mut self, gateway: &Gateway, failure: Failure, took: Duration) {
         self.failed = self.failed.saturating_add(1);
         let since = *self.since.get_or_insert_with(Instant::now);
--- a/components/gateway/src/process/crashes.rs
+++ b/components/gateway/src/process/crashes.rs
@@ -7,8 +7,8 @@
 use super::Gateway;
 use crate::{endpoint::Target, request::Fingerprint};
 
-/// The maximum number of requests named in a log line: as many as an engine of the first deployments runs at
-/// once.
+/// Maximum number of requests named in a log line: as many as an engine of the first deployments runs
+/// concurrently.
 const MAX_LOGGED_REQUESTS: usize = 48;
 
 impl Gateway {
@@ -19,8 +19,8 @@
         self.record_crash(target, &fingerprints, "it refuses connections", request);
     }
 
-    /// Records the requests that were in flight at an endpoint whose entry disappeared from the list without
-    /// an announcement that it leaves.
+    /// Records the requests that were in flight at an endpoint whose entry disappeared from the list although
+    /// it was not draining.
     pub fn record_unlisted(&self, target: &Arc<Target>) {
         let fingerprints = target.with(|state| state.requests.take_broken(Instant::now()));
         self.record_crash(target, &fingerprints, "it is no longer listed", "");
--- a/components/gateway/src/process/endpoints.rs
+++ b/components/gateway/src/process/endpoints.rs
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Applies changes that a peer has read if they continue the known revision and are new.
+    /// Applies changes that a peer has read if they follow the known revision without a gap and are new.
     fn apply_advertised(&mut self, advertised: Advertisement) {
         match self.cursor {
             Cursor::After { revision, .. }
@@ -190,14 +190,14 @@
                 self.missing.remove(change.id());
             }
         }
-        // endpoints absent from the full list after an outage have been deferred
+        // the removal of endpoints absent from the full list after an outage has been postponed
         let unlisted = self.gateway.registry.apply(&changes, full && !recovered);
         self.record_unlisted(&unlisted);
         self.gateway.endpoints_read.send_replace(true);
         self.remove_missing();
     }
 
-    /// Defers removals of endpoints after an outage, as their entries may only have expired during it.
+    /// Postpones removals of endpoints after an outage, as their entries may only have expired during it.
     fn postpone_removals(&mut self, changes: &mut Vec<Change>, full: bool) {
         let known = self.gateway.registry.all();
         for target in known.iter().filter(|_| full) {
--- a/components/gateway/src/process/follow.rs
+++ b/components/gateway/src/process/follow.rs
@@ -1,8 +1,8 @@
 //! Decides which gateways read the operators' lists from the store, and when the others fall back to it.
 //!
 //! Each call to the store is billed, so a few gateways of a data centre read the lists and send the changes
-//! to the others, the followers. A follower reads a list itself if too few readers are alive, or if it was
-//! told of a change that did not reach it. See `docs/PLATFORM.md#who-reads-the-lists`.
+//! to the others, the followers. A follower reads a list itself if too few readers are alive, or if a peer
+//! reported a revision whose change did not reach it. See `docs/PLATFORM.md#who-reads-the-lists`.
 
 use std::{
     sync::atomic::{AtomicU64, Ordering},
@@ -14,17 +14,18 @@
 use super::Gateway;
 use crate::{edge::Cursor, peer::Reader};
 
-/// The minimum number of gateways that read the lists, so that one may fail without the others' lists
-/// becoming older. One of them must be in the own data centre, so that changes are known there even when it
-/// is cut off.
+/// The minimum number of gateways that read the lists, so that one may fail without delaying updates to the
+/// others. One of them must be in this process's data centre, so that changes are known there even when no
+/// other data centre is reachable.
 const MIN_READERS: usize = 2;
 /// How often a follower checks what its peers have reported: their heartbeat interval.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// The minimum time that a follower waits for a change to reach it before it asks the store. The delay lets
 /// changes in quick succession be read together, and keeps followers from asking all at once.
 const MIN_CATCH_UP_DELAY: Duration = Duration::from_millis(100);
-/// The maximum of that delay: a small part of the two seconds that operators allow for a configuration and
-/// for a leaving endpoint (`config_ms` and `drain_ms` of the first deployments).
+/// The maximum of that delay: a fraction of the operators' `config_ms` and `drain_ms`, the time that they
+/// allow for a configuration to take effect and for an endpoint to drain, two seconds in the first
+/// deployments.
 const MAX_CATCH_UP_DELAY: Duration = Duration::from_millis(500);
 
 /// One of the operators' lists.
@@ -72,7 +73,7 @@
     readers.len() < MIN_READERS || !readers.iter().any(|reader| reader.is_local)
 }
 
-/// The reading gateways with lower addresses in the own data centre, and all those in other data centres.
+/// Returns the reading gateways with lower addresses in the local data centre, and all those in remote ones.
 fn readers(gateway: &Gateway) -> Vec<Reader> {
     let own = &gateway.settings.gateway;
     gateway.peers.readers(own.peers, &own.data_centre)
@@ -113,7 +114,7 @@
         }
     }
 
-    /// The time between two checks.
+    /// Returns the time between two checks.
     pub fn poll_interval() -> Duration {
         POLL_INTERVAL
     }
@@ -158,9 +159,9 @@
         }
     }
 
-    /// Whether every removal is advertised: one of the readers has read the list before this process last
-    /// did. A removal before a reader's first read leaves no row for it to report. Configurations are never
-    /// removed.
+    /// Whether a current reader was already one before this process last read the list, so that it advertises
+    /// every removal since. A removal before a reader's first read leaves no row for it to report.
+    /// Configurations are never removed.
     fn readers_overlap(&self, readers: &[Reader]) -> bool {
         self.list == List::Configuration
             || readers.iter().any(|r| self.previous_readers.contains(r))
--- a/components/gateway/src/process/missing.rs
+++ b/components/gateway/src/process/missing.rs
@@ -12,15 +12,15 @@
 use crate::{edge::Change, endpoint::Id};
 
 /// How long after the store's recovery an expired entry may take to reappear if its endpoint is alive; after
-/// that the endpoint is gone. A little longer than the platform specifies, to allow for the time until the
-/// change arrives here.
+/// that the endpoint counts as gone. The time that the platform specifies, and a margin for the time until
+/// the change arrives here.
 const REAPPEAR_TIMEOUT: Duration = Duration::from_millis(2_200);
 /// How often to check whether peers report that the store was never unavailable: their heartbeat interval.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// The interval between checks when no endpoint is missing.
 const IDLE_INTERVAL: Duration = Duration::from_secs(3600);
 
-/// The missing endpoints, each with the time since when it has been missing.
+/// The missing endpoints, each with the time at which it was found missing.
 #[derive(Debug, Default)]
 pub struct Missing(Vec<(Id, Instant)>);
 
@@ -33,12 +33,12 @@
         }
     }
 
-    /// Removes an endpoint of which something newer is known.
+    /// Removes an endpoint about which a newer change is known.
     pub fn remove(&mut self, id: &Id) {
         self.0.retain(|(missing, _)| missing != id);
     }
 
-    /// When to check again.
+    /// Returns when to check again.
     pub fn next_check(&self) -> Instant {
         Instant::now()
             + if self.0.is_empty() {
@@ -48,7 +48,7 @@
             }
     }
 
-    /// Takes out the endpoints that will not reappear.
+    /// Removes the endpoints that will not reappear, and returns their removals from the list.
     pub fn take_gone(&mut self, gateway: &Gateway) -> Vec<Change> {
         let now = Instant::now();
         let available_since = [
--- a/components/gateway/src/process/mod.rs
+++ b/components/gateway/src/process/mod.rs
@@ -44,8 +44,8 @@
 };
 
 /// How long a starting process stays not ready because it has not yet read the withheld requests from the
-/// store; several times the store's response time. Serving without them costs one or two endpoints, not
-/// serving costs all callers.
+/// store; several times the store's response time. Serving without them may crash one or two endpoints; as
+/// long as the process is not ready it serves no caller at all.
 const WITHHELD_READ_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The phases of a graceful shutdown. See `docs/DESIGN.md#planned-stop`.
@@ -53,8 +53,8 @@
 pub enum Phase {
     /// Serving normally.
     Serving,
-    /// No longer ready, but connections that the balancer still sends are served. Connections close after the
-    /// response in flight.
+    /// No longer ready, but connections that the load balancer still sends are served. Connections close
+    /// after the response in flight.
     Draining,
     /// About to exit: new requests are refused.
     Closing,
@@ -104,9 +104,10 @@
     idle_limits: idle::History,
     /// Whether the list of endpoints has been read at least once.
     endpoints_read: watch::Sender<bool>,
-    /// Since when the store has answered every call of this process; `None` if the last call failed.
+    /// Since when the store has been available to this process; `None` if the last call recorded by
+    /// `record_store_availability` failed, or before the first one.
     store_available_since: Mutex<Option<Instant>>,
-    /// The newest revisions of the operators' lists that this process knows.
+    /// The newest known revisions of the operators' lists.
     pub last_changes: LastChanges,
     /// Counters and learnt values of each service.
     services: Services,
@@ -116,12 +117,12 @@
 }
 
 impl Gateway {
-    /// The configuration in force; `None` until the first one is known.
+    /// Returns the configuration in force; `None` until the first one is known.
     pub fn configuration(&self) -> Option<Arc<Configuration>> {
         self.configuration.read().clone()
     }
 
-    /// The limits for callers.
+    /// Returns the limits for callers.
     pub fn limits(&self) -> Limits {
         self.configuration
             .read()
@@ -143,9 +144,9 @@
         newer
     }
 
-    /// How long a connection that has been idle since `since` may stay open: the longest limit that its
-    /// caller may still rely on. Callers may not know of a shortened limit until the time has passed that
-    /// operators allow for a configuration to take effect.
+    /// Returns how long a connection that has been idle since `since` may stay open: the longest limit that
+    /// its caller may still rely on. Callers may not know of a shortened limit until the time that operators
+    /// allow for a configuration to take effect has passed.
     pub fn idle_limit(&self, since: Instant) -> Duration {
         let notice_period = self.bounds.read().configuration_ms;
         let since = since.checked_sub(notice_period).unwrap_or(since);
@@ -153,19 +154,20 @@
         longest.unwrap_or_else(|| Limits::default().idle_timeout)
     }
 
-    /// Whether the store answered the last call of this process.
+    /// Whether the store is available to this process: the last call that was recorded succeeded.
     pub fn store_available(&self) -> bool {
         self.store_available_since.lock().is_some()
     }
 
-    /// Since when the store has answered every call of this process; `None` if the last call failed, or if
-    /// this process makes too few calls to know.
+    /// Returns since when the store has been available to this process; `None` if the last recorded call
+    /// failed, or if this process does not read the operators' lists.
     pub fn store_available_since(&self) -> Option<Instant> {
         let since = *self.store_available_since.lock();
         since.filter(|_| self.reads_lists())
     }
 
-    /// Records whether the store answered a call.
+    /// Records whether the store answered a call. Called after reads of the endpoint list, after failed reads
+    /// and renewals of the steward's lease, and after successful reads of the registration rows.
     pub fn record_store_availability(&self, answered: bool) {
         let mut since = self.store_available_since.lock();
         if answered {
@@ -186,12 +188,12 @@
         follow::reads_lists(self)
     }
 
-    /// The graceful shutdown in progress, if any.
+    /// Returns the graceful shutdown in progress, if any.
     pub fn shutdown(&self) -> Option<Shutdown> {
         *self.shutdown.read()
     }
 
-    /// Microseconds since the start of the process, for the policy's time-based decisions.
+    /// Returns the microseconds since the start of the process, for the policy's time-based decisions.
     pub fn micros(&self) -> policy::Micros {
         policy::micros(self.started.elapsed())
     }
@@ -211,7 +213,7 @@
 pub struct Addresses {
     /// For callers.
     pub callers: SocketAddr,
-    /// For the balancer's readiness probes.
+    /// For the load balancer's readiness probes.
     pub ready: SocketAddr,
     /// For peers.
     pub peers: SocketAddr,
@@ -219,14 +221,16 @@
     pub metrics: SocketAddr,
 }
 
-/// A running gateway. Dropping it aborts all its tasks at once, as a kill would.
+/// A running gateway. Dropping it aborts all its tasks without a graceful shutdown, as if the process were
+/// killed.
 pub struct Running {
     gateway: Arc<Gateway>,
     tasks: JoinSet<()>,
 }
 
 impl Running {
-    /// The addresses that it listens on; a port left open in the settings is replaced by the one chosen.
+    /// Returns the addresses that it listens on; a port left open in the settings is replaced by the one
+    /// chosen.
     #[must_use]
     pub fn addresses(&self) -> Addresses {
         let settings = &self.gateway.settings.gateway;
@@ -243,7 +247,7 @@
         reload::apply(&self.gateway, settings);
     }
 
-    /// The name of the gateway.
+    /// Returns the name of the gateway.
     #[must_use]
     pub fn name(&self) -> &str {
         &self.gateway.settings.gateway.name
@@ -254,7 +258,7 @@
         shutdown::begin(&self.gateway);
     }
 
-    /// Waits for the end of a graceful shutdown and returns how many requests were cut.
+    /// Waits for the end of a graceful shutdown and returns how many requests were interrupted.
     pub async fn ended(&mut self) -> usize {
         let mut phase = self.gateway.phase.subscribe();
         // the sender lives in the process, which this handle keeps alive
--- a/components/gateway/src/process/reload.rs
+++ b/components/gateway/src/process/reload.rs
@@ -33,8 +33,8 @@
     );
 }
 
-/// The settings that cannot change: who the process is and where it listens. Ports are left out, as those
-/// left open in the file have been chosen since.
+/// Returns the settings that cannot change: who the process is and where it listens. Ports are left out, as
+/// those left open in the file have been chosen since.
 fn identity(settings: &Settings) -> (&str, &str, [std::net::IpAddr; 4]) {
     let gateway = &settings.gateway;
     let addresses = [
--- a/components/gateway/src/process/service.rs
+++ b/components/gateway/src/process/service.rs
@@ -1,5 +1,5 @@
-//! Counters and learnt values of each service: its retry budget, the demand of its callers, and the speed of
-//! its engines.
+//! Counters and learnt values of each service: its retry budget, the demand of its callers, and the latencies
+//! of its engines.
 
 use std::{sync::Arc, time::Duration};
 
@@ -17,7 +17,7 @@
 
 const NANOS_PER_MICRO: f64 = 1e3;
 
-/// Cumulative demand of a service's callers; only the difference between two readings has a meaning.
+/// Cumulative demand of a service's callers; only the difference between two readings is meaningful.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DemandTotals {
     /// Prefill work of prompts long enough for a separate prefill engine, beyond the tokens that engines were
@@ -28,7 +28,7 @@
 }
 
 impl DemandTotals {
-    /// The sum of both.
+    /// Returns the sum of both.
     #[must_use]
     pub fn plus(self, other: Self) -> Self {
         Self {
@@ -37,7 +37,7 @@
         }
     }
 
-    /// The growth since an earlier reading.
+    /// Returns the growth since an earlier reading.
     #[must_use]
     pub fn since(self, before: Self) -> Self {
         Self {
@@ -54,16 +54,16 @@
     retries: Window,
     /// Demand of this process's callers.
     demand: DemandTotals,
-    /// How much later than expected its answers begin.
+    /// Delay beyond the expected time to the first event that few of its answers exceed.
     margin: Margin,
-    /// The ratio of the actual to the expected wait of its low-priority prompts.
+    /// Ratio of the actual to the expected wait of its deferred prompts.
     wait_factor: WaitFactor,
-    /// Average prefill and decode speed of its engines.
+    /// Average latencies of its engines in each stage.
     latencies: Latencies,
     /// The longest inter-token latency, in microseconds, with which every long answer so far could have met
     /// its deadline.
     max_inter_token_latency_us: f64,
-    /// Requests that wait for capacity.
+    /// Requests that wait for a slot.
     queue: Arc<Queue>,
 }
 
@@ -84,7 +84,7 @@
 /// Permission for one retry from a service's retry budget.
 #[derive(Debug)]
 pub struct RetryPermit {
-    /// When it was taken from the budget.
+    /// When it was spent.
     spent_at: policy::Micros,
 }
 
@@ -111,7 +111,7 @@
         self.with_service(service, |state| state.retries.record_request(now));
     }
 
-    /// Takes one retry from a service's retry budget; `None` if it is exhausted.
+    /// Spends one retry of a service's retry budget. Returns `None` if it is exhausted.
     pub fn spend_retry(&self, service: &Arc<str>, request: &str) -> Option<RetryPermit> {
         let now = self.micros();
         let share = self.retry_share();
@@ -129,12 +129,12 @@
         allowed.then_some(RetryPermit { spent_at: now })
     }
 
-    /// Returns a permit to the budget when no retry was sent.
+    /// Refunds a retry to the budget when it was not sent.
     pub fn refund_retry(&self, service: &Arc<str>, request: &str, permit: &RetryPermit) {
         let labels = [&**service, "given-back"];
         self.metrics.retries.with_label_values(&labels).inc();
         self.with_service(service, |state| state.retries.refund(permit.spent_at));
-        log::info!(request, service = &**service; "a retry was returned to the budget");
+        log::info!(request, service = &**service; "a retry was refunded to the budget");
     }
 
     /// Whether the service's retry budget has a retry left.
@@ -147,7 +147,7 @@
         usage.allows_retry()
     }
 
-    /// An empty retry window for a service without any count yet.
+    /// Returns an empty retry window for a service without any count yet.
     fn empty_window(&self) -> Window {
         let span = policy::micros(self.bounds.read().retry_window_s);
         if self.settings.gateway.restarted {
@@ -158,10 +158,10 @@
         }
     }
 
-    /// This process's share of the operators' limits on retries.
+    /// Returns this process's share of the operators' limits on retries.
     ///
-    /// Unreachable peers keep their share for a while: what they have sent still counts, and those that are
-    /// only cut off go on sending.
+    /// Unreachable peers keep their share for a while: what they have sent still counts, and those that
+    /// merely can't reach this process go on sending.
     fn retry_share(&self) -> RetryShare {
         let bounds = self.bounds.read();
         let sharers = self.peers.budget_sharers(self.started.elapsed());
@@ -179,7 +179,7 @@
         self.with_service(service, |state| state.demand = state.demand.plus(demand));
     }
 
-    /// The cumulative demand of this process's callers for each service.
+    /// Returns the cumulative demand of this process's callers for each service.
     pub fn own_demand(&self) -> Vec<(Arc<str>, DemandTotals)> {
         let services = self.services.0.lock();
         services
@@ -188,8 +188,8 @@
             .collect()
     }
 
-    /// The cumulative demand for a service, from this process and from its peers since the first digest of
-    /// each.
+    /// Returns the cumulative demand for a service, from this process and from its peers since the first
+    /// digest of each.
     pub fn demand(&self, service: &Arc<str>) -> DemandTotals {
         let own = self.with_service(service, |state| state.demand);
         own.plus(self.peers.demand(service))
@@ -209,37 +209,39 @@
         self.with_service(service, |state| state.max_inter_token_latency_us)
     }
 
-    /// How much later than expected most answers of a service begin, in microseconds.
+    /// Returns the delay beyond the expected time to the first event, in microseconds, that few answers of a
+    /// service exceed.
     pub fn margin_us(&self, service: &Arc<str>) -> f64 {
         self.with_service(service, |state| state.margin.us())
     }
 
-    /// Learns from the expected and the actual time to first token of an answer.
+    /// Learns from the expected time to the first event of an answer, and from the time from the request's
+    /// arrival until the response headers.
     pub fn learn_margin(&self, service: &Arc<str>, expected_us: f64, took: policy::Micros) {
         self.with_service(service, |state| state.margin.observe(expected_us, took));
     }
 
-    /// The ratio of the actual to the expected wait of a service's low-priority prompts.
+    /// Returns the ratio of the actual to the expected wait of a service's deferred prompts.
     pub fn wait_factor(&self, service: &Arc<str>) -> WaitFactor {
         self.with_service(service, |state| state.wait_factor)
     }
 
-    /// Learns from the wait of a low-priority prompt.
+    /// Learns from the wait of a deferred prompt.
     pub fn learn_wait_factor(&self, service: &Arc<str>, learn: impl FnOnce(&mut WaitFactor)) {
         self.with_service(service, |state| learn(&mut state.wait_factor));
     }
 
-    /// The queue of requests of a service that wait for capacity.
+    /// Returns the queue of a service's requests that wait for a slot.
     pub fn queue(&self, service: &Arc<str>) -> Arc<Queue> {
         self.with_service(service, |state| Arc::clone(&state.queue))
     }
 
-    /// Average speed of the engines of a service.
+    /// Returns the average latencies of the engines of a service.
     pub fn latencies(&self, service: &Arc<str>) -> Latencies {
         self.with_service(service, |state| state.latencies)
     }
 
-    /// Properties that all engines of a service have in common.
+    /// Returns the values common to all engines of a service.
     pub fn service_defaults(&self, service: &Arc<str>) -> ServiceDefaults {
         let configuration = self.configuration();
         let engines = configuration
@@ -251,7 +253,7 @@
         }
     }
 
-    /// Learns the speed of an engine, both for the engine itself and for the average of its service.
+    /// Learns the latency of an engine, both for the engine itself and for the average of its service.
     pub fn learn_latency(&self, target: &Target, learn: impl Fn(&mut Latency)) {
         let (service, stage) = target.with(|state| {
             let stage = state.profile.stage.unwrap_or(Stage::Decode);
@@ -268,8 +270,8 @@
         });
     }
 
-    /// Learnt speeds of the engines of each service. Without `include_known` only values that are still being
-    /// learnt; peers have learnt the others themselves.
+    /// Returns the learnt latencies of the engines of each service. Without `include_known`, these are only
+    /// the services with values still converging; peers have learnt the others themselves.
     pub fn own_latencies(&self, include_known: bool) -> Vec<(Arc<str>, Latencies)> {
         let services = self.services.0.lock();
         let learnt = services.iter().filter(|(_, state)| {
@@ -283,9 +285,9 @@
             .collect()
     }
 
-    /// Adopts a peer's learnt speed of a service's engines in one stage. Without it, a process that has just
-    /// started would place its first prompts by a guess: the prefill of 44,958 tokens was expected to take
-    /// 0.3 s and took 1.9 s.
+    /// Adopts a peer's learnt latency of a service's engines in one stage. Without it, a process that has
+    /// just started would place its first prompts by the initial estimates, which can be several times too
+    /// low: the prefill of 44,958 tokens was expected to take 0.3 s and took 1.9 s.
     pub fn adopt_latency(&self, service: &Arc<str>, stage: Stage, received: &Latency) {
         let adopted = self.with_service(service, |state| {
             state.latencies.for_stage_mut(stage).adopt(received)
@@ -304,7 +306,7 @@
         log::info!(
             service = &**service, stage:%, read_ns = policy::to_u64(received.prefill_token_us * NANOS_PER_MICRO),
             step_us = policy::to_u64(received.decode_token_us), samples = received.samples.prefill;
-            "adopted engine speeds from a peer"
+            "adopted engine latencies from a peer"
         );
     }
 
--- a/components/gateway/src/process/shutdown.rs
+++ b/components/gateway/src/process/shutdown.rs
@@ -1,4 +1,5 @@
-//! Graceful shutdown: report not ready at once, serve while the balancer still sends connections, then exit.
+//! Graceful shutdown: report not ready at once, serve while the load balancer still sends connections, then
+//! exit.
 
 use std::{sync::Arc, time::Duration};
 
@@ -6,11 +7,11 @@
 
 use super::{Gateway, Phase};
 
-/// The balancer removes a process after two failed readiness probes, one per second. Connections already on
-/// their way take a moment longer.
+/// The load balancer removes a process after two failed readiness probes, one per second. Connections already
+/// on their way take a moment longer.
 const BALANCER_LAG: Duration = Duration::from_millis(2_500);
-/// The process cuts requests in flight this long before it would be killed. This leaves time for final
-/// responses and for flushing the log, each with as much again to spare on a busy VM.
+/// The process interrupts requests in flight this long before it would be killed. This leaves time for final
+/// responses and for flushing the log, each doubled to allow for a busy VM.
 const KILL_MARGIN: Duration = Duration::from_millis(500);
 /// How long the final responses may take to be written.
 const FINAL_RESPONSE_TIMEOUT: Duration = Duration::from_millis(100);
@@ -18,10 +19,10 @@
 /// The deadlines of a graceful shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Shutdown {
-    /// When the process cuts the requests in flight, and answers those without a response yet.
+    /// When the process interrupts the requests in flight, and answers those without a response yet.
     pub deadline: Instant,
-    /// When the balancer no longer sends connections. A request accepted later and then cut counts as a
-    /// fault.
+    /// When the load balancer no longer sends connections. A request accepted later and then interrupted
+    /// counts as a fault.
     pub balancer_removed: Instant,
 }
 
--- a/components/gateway/src/process/status.rs
+++ b/components/gateway/src/process/status.rs
@@ -1,4 +1,4 @@
-//! HTTP responses about the process itself: readiness for the balancer, metrics for the collector.
+//! HTTP responses about the process itself: readiness for the load balancer, metrics for the collector.
 
 use std::{convert::Infallible, sync::Arc};
 
@@ -43,7 +43,7 @@
     }
 }
 
-/// Whether the process takes new connections: status 200, or 503 if it does not.
+/// Responds with status 200 if the process is ready for new connections, otherwise with 503.
 pub fn ready(gateway: &Gateway) -> StatusResponse {
     let mut response = Response::new(Full::default());
     if !gateway.is_ready() {
@@ -52,7 +52,7 @@
     response
 }
 
-/// The metrics, with all gauges brought up to date.
+/// Responds with the metrics, after all gauges have been updated.
 pub fn metrics(gateway: &Gateway) -> StatusResponse {
     let metrics = &gateway.metrics;
     let set = |gauge: &telemetry::metrics::Gauge, count: u64| {
--- a/components/gateway/src/process/suspects.rs
+++ b/components/gateway/src/process/suspects.rs
@@ -15,21 +15,22 @@
 use super::Gateway;
 use crate::request::Fingerprint;
 
-/// How often suspects are sent to peers again: a datagram may be lost, and a peer may have just started or
-/// been cut off.
+/// How often suspects are resent to peers: a datagram may be lost, and a peer may have just started or been
+/// unreachable.
 const RESEND_INTERVAL: Duration = Duration::from_secs(1);
-/// How long a request under which a single endpoint crashed is sent again; those with more crashes are sent
-/// as long as they are known.
+/// How long after its last crash or success a request with at most one crash is resent, in microseconds;
+/// those with more crashes are resent as long as they are known.
 const SINGLE_CRASH_RESEND_PERIOD_US: Moment = 5_000_000;
-/// The maximum number of suspects sent again at once, the most recent first, so that a datagram fits in a
-/// packet.
+/// Maximum number of suspects that are queued to be resent at once, the most recent first. One digest
+/// contains at most 24 of them, so that a datagram fits into a packet; the rest waits for the next ones.
 const MAX_RESENT: usize = 32;
 
-/// How many gateways, in order of address, write to the store a request that became withheld by crashes that
-/// several of them saw: more than one, as one of them may have just failed.
+/// Number of gateways, lowest addresses first, that write to the store a request that became withheld by a
+/// peer's report, as no single gateway may have observed all its crashes. More than one, since one of them
+/// may have just failed.
 const STORE_WRITERS: usize = 2;
 
-/// The source of a report that an endpoint crashed under a request, or that the request was served.
+/// The source of a report that an endpoint crashed while running a request, or that the request was served.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Source<'a> {
     /// This process saw it.
@@ -43,7 +44,7 @@
     Store,
 }
 
-/// The requests under which endpoints crashed, as far as this process knows.
+/// The requests that endpoints were running when they crashed, as far as this process knows.
 #[derive(Debug, Default)]
 pub struct Suspects {
     known: Mutex<suspect::Suspects>,
@@ -85,18 +86,18 @@
 struct Updates {
     /// Records that have not been sent to peers yet.
     records: Vec<(Fingerprint, Record)>,
-    /// When the known suspects were last sent again.
+    /// When the known suspects were last resent.
     resent_at: Option<Instant>,
 }
 
 impl Gateway {
-    /// Whether an endpoint has crashed under a request since the request was last served.
+    /// Whether an endpoint has crashed while running a request since the request was last served.
     pub fn is_suspect(&self, fingerprint: Fingerprint) -> bool {
         self.suspect(fingerprint)
             .is_some_and(|record| !record.crashes.is_empty())
     }
 
-    /// How much longer a request is withheld from all endpoints; `None` if it is not withheld.
+    /// Returns how much longer a request is withheld from all endpoints; `None` if it is not withheld.
     pub fn withheld_for(&self, fingerprint: Fingerprint) -> Option<Duration> {
         let left = self
             .suspect(fingerprint)?
@@ -104,14 +105,14 @@
         u64::try_from(left).ok().map(Duration::from_micros)
     }
 
-    /// The record of a suspected request.
+    /// Returns the record of a suspected request.
     pub fn suspect(&self, fingerprint: Fingerprint) -> Option<Record> {
         let any = self.suspects.any.load(Ordering::Relaxed);
         any.then(|| self.suspects.known.lock().get(fingerprint.into()).cloned())
             .flatten()
     }
 
-    /// The records of all suspected requests.
+    /// Returns the records of all suspected requests.
     pub fn all_suspects(&self) -> Vec<(Fingerprint, Record)> {
         let known = self.suspects.known.lock();
         let records = known.records().iter();
@@ -143,7 +144,7 @@
         }
     }
 
-    /// Adds what this process saw itself, and queues it for the peers if it is new.
+    /// Adds what this process observed itself, and queues it for the peers if it is new.
     fn record_suspect(&self, fingerprint: Fingerprint, record: &Record) {
         if self.merge_suspect(fingerprint, record, Source::Own) {
             let known = self.suspect(fingerprint).unwrap_or_default();
@@ -184,8 +185,8 @@
     }
 
     /// Queues a request that has just become withheld to be written to the store, if this process is
-    /// responsible: it saw the last crash, or it is one of the [`STORE_WRITERS`] for crashes that several
-    /// gateways saw.
+    /// responsible: it observed the last crash itself, or a peer reported it and this process is one of the
+    /// first [`STORE_WRITERS`] gateways.
     fn store_withheld(&self, fingerprint: Fingerprint, source: Source) {
         let writes = match source {
             Source::Own => true,
@@ -198,7 +199,7 @@
         }
     }
 
-    /// Drops requests whose last crash or success was long ago.
+    /// Evicts requests whose last crash or success was long ago.
     pub fn evict_expired_suspects(&self) {
         let mut known = self.suspects.known.lock();
         known.evict_expired(self.moment());
@@ -206,7 +207,7 @@
         self.suspects.any.store(any, Ordering::Relaxed);
     }
 
-    /// The records to send to peers now.
+    /// Returns the records to send to peers now.
     pub fn suspects_to_send(&self) -> Vec<(Fingerprint, Record)> {
         let mut updates = self.suspects.updates.lock();
         let mut records = std::mem::take(&mut updates.records);
@@ -237,13 +238,13 @@
         records
     }
 
-    /// The current time on the clock of suspects.
+    /// Returns the current time on the clock of suspects.
     pub fn moment(&self) -> Moment {
         Moment::try_from(self.micros()).unwrap_or(Moment::MAX)
     }
 }
 
-/// The crashed endpoints of a record, by short number, for a log line.
+/// Returns the crashed endpoints of a record, by short id, for a log line.
 fn crash_list(record: &Record) -> String {
     let crashes: Vec<String> = record
         .crashes
--- a/components/gateway/src/process/withheld.rs
+++ b/components/gateway/src/process/withheld.rs
@@ -16,9 +16,9 @@
 /// How often to check whether the store is available; short, as the process is not ready until the rows have
 /// been read.
 const STORE_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// The delay before a failed read or write is retried.
+/// Delay before a failed read or write is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(400);
-/// The maximum number of rows; further requests are known only to the gateways.
+/// Maximum number of rows; further requests are known only to the gateways.
 const MAX_ROWS: usize = 200;
 /// How often rows that are no longer needed are removed.
 const CLEANUP_INTERVAL: Duration = Duration::from_secs(60);
@@ -35,7 +35,7 @@
 struct StoredCrash {
     endpoint: u32,
     /// Wall-clock time in Unix milliseconds: no monotonic clock survives a restart of all processes, and a
-    /// clock step of some seconds matters little beside the minutes for which a request is withheld.
+    /// clock step of a few seconds is negligible compared with the minutes for which a request is withheld.
     at_ms: i64,
 }
 
@@ -71,8 +71,8 @@
     }
 }
 
-/// Reads all rows and merges their records. Returns the requests, or `None` if the store did not answer.
-/// While the store fails other calls it is not asked, as in an outage all gateways would ask at once.
+/// Reads all rows and merges their records. Returns the requests, or `None` if the store did not answer. The
+/// store is not called while other calls to it fail, so that not all gateways retry at once during an outage.
 async fn read_rows(gateway: &Gateway) -> Option<Vec<Fingerprint>> {
     if !gateway.peers.is_membership_known() || !gateway.store_available() {
         return None;
@@ -102,7 +102,7 @@
                 fingerprints.push(fingerprint);
             }
             (_, Err(error)) => {
-                log::warn!(key = row.key, error:%; "the row of a withheld request cannot be parsed");
+                log::warn!(key = row.key, error:%; "could not parse the row of a withheld request");
             }
             (None, Ok(_)) => {
                 log::warn!(key = row.key; "the row of a withheld request has no valid key");
@@ -178,7 +178,7 @@
     }
 }
 
-/// The current wall-clock time in Unix milliseconds.
+/// Returns the current wall-clock time in Unix milliseconds.
 fn unix_millis() -> i64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(0, |since| {
--- a/components/gateway/src/steward/change.rs
+++ b/components/gateway/src/steward/change.rs
@@ -13,16 +13,18 @@
     request::call,
 };
 
-/// Within this time peers learn that an engine is changing, and requests that they sent before have arrived.
+/// Time within which peers learn that an engine is changing, and requests that they sent before arrive there.
+/// Also the interval between checks of the engine's load before the order.
 const PROPAGATION_DELAY: Duration = Duration::from_millis(80);
-/// How long an engine's answers may finish before it gets the order. It completes the remaining ones after
-/// the order, but accepts nothing else meanwhile.
+/// How long to wait before the order for the engine's requests to finish. It completes the remaining ones
+/// after the order, but accepts no others in that time.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(2);
 /// How often an engine's state is checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(300);
-/// The maximum number of attempts to give an order.
+/// Maximum number of attempts to give an order.
 const MAX_ORDERS: u32 = 6;
-/// How much longer than its switch time an engine may take: its longest answers finish first.
+/// Time allowed for a change of stage in addition to the switch time: the engine completes its longest
+/// answers first.
 const MAX_ANSWER_TIME: Duration = Duration::from_secs(20);
 
 /// Marks an engine as changing; gateways send requests to it again when this is dropped.
@@ -136,7 +138,7 @@
 async fn wait_for_stage(gateway: &Arc<Gateway>, change: &StageChange) -> bool {
     let switch = switch_duration(gateway, &change.target);
     let deadline = Instant::now() + switch + MAX_ANSWER_TIME;
-    // the engine cannot be back before then
+    // the engine cannot be available again earlier
     clock::sleep(switch.saturating_sub(POLL_INTERVAL)).await;
     while Instant::now() < deadline {
         if change.target.stage() == Some(change.stage) {
@@ -159,7 +161,7 @@
 }
 
 /// Whether a report comes from another incarnation of the engine than the one to be changed. Its order count
-/// has started anew, so an order meant for the former incarnation could be valid there.
+/// has started anew, so an order meant for the previous incarnation could be valid there.
 fn has_restarted(target: &Target, report: &Report) -> bool {
     let started = target.with(|state| state.profile.started);
     let restarted = started.is_some() && report.started.is_some() && started != report.started;
@@ -172,7 +174,7 @@
     restarted
 }
 
-/// How long the engine is unavailable while it changes its stage, as configured by the operators.
+/// Returns how long the engine is unavailable while it changes its stage, as configured by the operators.
 fn switch_duration(gateway: &Gateway, target: &Target) -> Duration {
     let service = target.with(|state| Arc::clone(&state.profile.service));
     gateway
--- a/components/gateway/src/steward/lease.rs
+++ b/components/gateway/src/steward/lease.rs
@@ -19,12 +19,13 @@
 const LEASE_KEY: &str = "steward/lease";
 const RENEWAL_KEY: &str = "steward/renewal";
 /// The term of a lease as a fraction of the time that must lie between the orders of two holders. A short
-/// term lets a successor be found soon; the successor waits for the rest of that time before its first order.
+/// term lets a successor take over soon; the successor waits for the rest of that time before its first
+/// order.
 const TERM_RATIO: f64 = 0.8;
 const RENEWALS_PER_TERM: u32 = 4;
-/// How many gateways watch a lease held by another. The others save the calls.
+/// Number of gateways that watch a lease held by another. The others don't, to save calls to the store.
 const CANDIDATES: usize = 1;
-/// How long an order may take to arrive.
+/// Maximum time that an order takes to arrive.
 const MAX_ORDER_TRANSIT: Duration = Duration::from_millis(400);
 
 /// What this process knows of the lease, and its part in acquiring and holding it.
@@ -47,17 +48,18 @@
     renewals: u64,
     /// Until when this process may act as the steward.
     valid_until: Instant,
-    /// From when on it may give orders: long enough after the last order of the previous holder.
+    /// When it may start to give orders: long enough after the last order of the previous holder.
     may_order_from: Instant,
 }
 
 impl LeaseKeeper {
-    /// Until when this process may act as the steward.
+    /// Returns until when this process may act as the steward.
     pub fn lease_end(&self) -> Option<Instant> {
         self.held.map(|held| held.valid_until)
     }
 
-    /// The fencing token of its orders: higher than that of all previous stewards.
+    /// Returns the epoch of the lease that this process holds. It is the fencing token of its orders, and
+    /// higher than that of all previous stewards.
     pub fn epoch(&self) -> Option<u64> {
         self.held.map(|held| held.epoch)
     }
@@ -83,7 +85,7 @@
                 self.step_down(gateway, "the lease was not renewed in time");
             }
             Some(held) => self.renew(gateway, held, term).await,
-            // the tasks that follow the lists find out when the store recovers
+            // not polled here during an outage: the tasks that follow the lists detect the recovery
             None if !gateway.store_available() => {}
             None if is_candidate(gateway) => self.watch_lease(gateway, term, ceded).await,
             None => self.watch = None,
@@ -123,7 +125,7 @@
             Err(error) => {
                 gateway.record_store_availability(false);
                 log::warn!(error:%; "failed to renew the steward's lease");
-                // a peer that still reaches the store takes over sooner than the lease expires
+                // a peer that still reaches the store takes over before the lease expires
                 if gateway.peers.is_store_available() {
                     self.step_down(gateway, "the store answers peers and not this process");
                 }
@@ -187,7 +189,7 @@
         if is_expired || released {
             let version = row.map_or(0, |row| row.version);
             let first_order_delay = match gateway.peers.time_since_last_order() {
-                // the former holder has reported when it gave its last order
+                // the previous holder has reported when it gave its last order
                 Some(ago) if released => gateway.settings.bounds.lease_ms.saturating_sub(ago),
                 _ => order_delay(gateway, lease.as_ref(), term),
             };
@@ -239,10 +241,10 @@
     }
 }
 
-/// How long a new holder waits before its first order. The former holder could give orders until its term was
-/// over, less the margin, and an order may take [`MAX_ORDER_TRANSIT`] to arrive.
+/// Returns how long a new holder waits before its first order. The previous holder could give orders until
+/// the margin before the end of its term, and an order may take [`MAX_ORDER_TRANSIT`] to arrive.
 fn order_delay(gateway: &Gateway, lease: Option<&Lease>, term: Duration) -> Duration {
-    // the very first steward has no predecessor
+    // the first steward has no predecessor
     lease.map_or(Duration::ZERO, |_| {
         let margin =
             term.saturating_sub(Duration::from_millis(lease::valid_until(0, millis(term))));
@@ -252,7 +254,7 @@
 
 /// Whether this process should watch the lease: it is among the first, by address, of the gateways that the
 /// store answers and that do not hold the lease. Candidates watch continuously, as a term counts from the
-/// last renewal seen.
+/// last renewal observed.
 fn is_candidate(gateway: &Gateway) -> bool {
     *gateway.phase.borrow() == Phase::Serving
         && gateway.peers.store_rank(gateway.settings.gateway.peers) < CANDIDATES
@@ -270,6 +272,6 @@
 
 fn parse<T: DeserializeOwned>(row: &Row) -> Option<T> {
     serde_json::from_str(&row.value)
-        .inspect_err(|error| log::error!(key = row.key, error:%; "a row of the steward's lease cannot be parsed"))
+        .inspect_err(|error| log::error!(key = row.key, error:%; "could not parse a row of the steward's lease"))
         .ok()
 }
--- a/components/gateway/src/steward/mod.rs
+++ b/components/gateway/src/steward/mod.rs
@@ -23,7 +23,7 @@
 /// How long a stage reported by an engine is advertised to peers, until the list of endpoints has it too.
 const ANNOUNCEMENT_TTL: Duration = Duration::from_secs(3);
 
-/// What this process and its peers can know of it as the steward.
+/// State of this process as the steward, as reported to peers.
 #[derive(Debug, Default)]
 pub struct Steward {
     state: Mutex<State>,
@@ -33,13 +33,13 @@
 struct State {
     /// Until when this process may give orders; `None` while it does not hold the lease.
     lease_until: Option<Instant>,
-    /// The engines that this process is changing, by short number.
+    /// The engines that this process is changing, by short id.
     changing: Vec<u32>,
-    /// Stages reported by engines, by short number, with the time of the report.
+    /// Stages reported by engines, by short id, with the time of the report.
     stages: Vec<(u32, Stage, Instant)>,
     /// When this process gave its last order.
     last_order: Option<Instant>,
-    /// The last epoch in which this process was the steward and gives no more orders.
+    /// The last epoch that this process has given up; it gives no more orders in it.
     ceded: u64,
 }
 
@@ -53,12 +53,12 @@
             .is_some_and(|until| until > now)
     }
 
-    /// The engines that this process is changing.
+    /// Returns the engines that this process is changing.
     pub fn changing(&self) -> Vec<u32> {
         self.state.lock().changing.clone()
     }
 
-    /// The stages that engines have reported recently.
+    /// Returns the stages that engines have reported recently.
     pub fn stages(&self) -> Vec<(u32, Stage)> {
         let now = Instant::now();
         let mut state = self.state.lock();
@@ -70,12 +70,12 @@
             .collect()
     }
 
-    /// The last epoch in which this process was the steward and gives no more orders.
+    /// Returns the last epoch that this process has given up; it gives no more orders in it.
     pub fn ceded(&self) -> u64 {
         self.state.lock().ceded
     }
 
-    /// When this process gave its last order.
+    /// Returns when this process gave its last order.
     pub fn last_order(&self) -> Option<Instant> {
         self.state.lock().last_order
     }
@@ -92,7 +92,7 @@
         may_order
     }
 
-    /// Gives up an epoch for good.
+    /// Gives up an epoch for good, and with it the lease.
     fn cede(&self, epoch: u64) {
         let mut state = self.state.lock();
         state.ceded = state.ceded.max(epoch);
@@ -117,8 +117,8 @@
     }
 }
 
-/// How many live peers with lower addresses a process may have and still keep track of the data that a
-/// steward needs. The first gateway after the steward takes over when the steward fails.
+/// Number of gateways besides the steward, lowest addresses first, that keep the data that a steward needs.
+/// The first of them takes over when the steward fails.
 const SUCCESSORS: usize = 2;
 
 /// Whether this process is the steward or among its next successors.
--- a/components/gateway/src/steward/plan.rs
+++ b/components/gateway/src/steward/plan.rs
@@ -34,7 +34,7 @@
     services: Vec<Service>,
 }
 
-/// An engine as the plan sees it.
+/// State of an engine, as an input of the plan.
 struct Engine {
     target: Arc<Target>,
     stage: Stage,
@@ -47,7 +47,7 @@
 }
 
 impl Engine {
-    /// The slots in use, and those that its prompts in prefill will need at another engine.
+    /// Returns the slots in use, and those that its prompts in prefill will need at another engine.
     fn slots_taken(&self) -> u64 {
         match self.stage {
             Stage::Prefill => self.decoding + self.prompts,
@@ -114,7 +114,7 @@
         }
     }
 
-    /// The changes to begin now.
+    /// Returns the changes to begin now.
     pub fn changes(&self, gateway: &Gateway) -> Vec<StageChange> {
         let services = self.services.iter();
         services
@@ -165,7 +165,7 @@
     })
 }
 
-/// The engines as they will be after the changes in flight.
+/// Returns the engines as they will be after the changes in flight.
 fn members_after_changes<'a>(engines: &'a [Engine], changing: &[u32]) -> Vec<Member<'a>> {
     engines
         .iter()
@@ -173,15 +173,16 @@
             let decodes = engine.stage == Stage::Decode;
             Member {
                 data_centre: &engine.data_centre,
-                // one that is changing will be of the other kind
+                // one that is changing will be in the other stage
                 decodes: decodes != changing.contains(&engine.target.short_id),
             }
         })
         .collect()
 }
 
-/// A prefill engine that should decode because no engine of its data centre does: the data centre may be cut
-/// off later. One in a data centre that is cut off already cannot be reached.
+/// Returns a prefill engine that should decode because no engine of its data centre does: the data centre may
+/// become unreachable later. Engines in data centres that already are unreachable are skipped, as an order
+/// would not arrive.
 fn uncovered_prefill_engine<'a>(
     gateway: &Gateway,
     candidates: &[(usize, &'a Engine)],
@@ -196,7 +197,7 @@
     Some(engine.1)
 }
 
-/// The engine for which a change costs least, with its new stage.
+/// Returns the engine for which a change costs least, with its new stage.
 fn cheapest<'a>(
     change: Change,
     candidates: &[(usize, &'a Engine)],
@@ -226,7 +227,7 @@
     Some((found?.1, stage))
 }
 
-/// The engines of a service that are listed, ready and healthy.
+/// Returns the engines of a service that are listed, ready and healthy.
 fn available_engines(gateway: &Gateway, service: &str) -> Vec<Engine> {
     let fleet = gateway.registry.fleet(service);
     fleet
--- a/components/gateway/tests/gateway/lists.rs
+++ b/components/gateway/tests/gateway/lists.rs
@@ -90,7 +90,7 @@
 /// Calls of a gateway without peers when the test compares the two.
 const CALLS_ALONE: usize = 14;
 /// The maximum number of calls of a gateway with peers in the same time: after four quick retries its pauses
-/// are at least half as long again, whatever the jitter.
+/// are at least one and a half times as long, whatever the jitter.
 const MAX_CALLS_WITH_PEERS: usize = 11;
 
 #[tokio::test]
--- a/components/gateway/tests/gateway/peers.rs
+++ b/components/gateway/tests/gateway/peers.rs
@@ -39,7 +39,7 @@
         let sent = peers[0].send_to(&digest(address, true), to).await;
         sent.expect("a digest is sent");
     }
-    // until all peers are known, the known ones get digests alike
+    // before all peers are known, the known ones may all be neighbours and get digests equally often
     tokio::time::sleep(Duration::from_millis(500)).await;
     for socket in &peers {
         received(socket);
--- a/components/gateway/tests/loads.rs
+++ b/components/gateway/tests/loads.rs
@@ -1,5 +1,5 @@
-//! The loads reported to peers match the requests in flight, also when work on an endpoint ends and begins
-//! again between two reports.
+//! The loads reported to peers match the requests in flight, also when an endpoint becomes idle and
+//! busy again between two reports.
 
 use std::sync::Arc;
 
@@ -65,7 +65,7 @@
     drop((first, other));
     assert_eq!(registry.busy().loads(), [(short_id("e1"), decoding(1))]);
     drop(second);
-    // it begins again before the loads have been read
+    // the endpoint becomes busy again before the loads have been read
     let third = DecodeGuard::new(&target("e1"), false);
     assert_eq!(registry.busy().loads(), [(short_id("e1"), decoding(1))]);
     drop(third);
--- a/components/gateway/tests/registry.rs
+++ b/components/gateway/tests/registry.rs
@@ -146,7 +146,7 @@
             (None, 0)
         );
     });
-    // peers that do not know of the restart yet still report the former incarnation
+    // peers that do not know of the restart yet still report the previous incarnation
     assert_ne!(previous.short_id, next.short_id);
     assert!(registry.find(previous.short_id).is_none());
 }
