--- a/components/gateway/src/process/suspects.rs
+++ b/components/gateway/src/process/suspects.rs
@@ -1,5 +1,5 @@
 //! Requests suspected of crashing endpoints, from what this process has seen and what peers have reported.
-//! See `docs/DESIGN.md#requests-that-crash-endpoints`.
+//! See `docs/DESIGN.md#requests-that-end-endpoints`.
 
 use std::{
     sync::atomic::{AtomicBool, Ordering},
