--- a/components/caller/src/exchange.rs
+++ b/components/caller/src/exchange.rs
@@ -50,7 +50,7 @@
 #[derive(Debug)]
 pub struct Exchange {
     state: Mutex<State>,
-    /// Attempts in which the last request may have executed; kept after the request has ended.
+    /// Number of attempts that may have executed the last request; kept after the request has ended.
     executions: AtomicU32,
 }
 
@@ -88,7 +88,7 @@
 
     /// Returns what the connection is waiting for.
     #[must_use]
-    pub fn wait(&self) -> Wait {
+    pub fn waiting_for(&self) -> Wait {
         let state = self.state.lock();
         match (&state.request, state.head_since) {
             (Some(_), _) => Wait::Request,
@@ -131,7 +131,7 @@
 
     /// Returns the request in flight, if any.
     #[must_use]
-    pub fn in_flight(&self) -> Option<Request> {
+    pub fn request(&self) -> Option<Request> {
         self.state.lock().request.clone()
     }
 
@@ -151,7 +151,7 @@
         })
     }
 
-    /// Whether the last request may have executed.
+    /// Whether the last request may have been executed.
     #[must_use]
     pub fn may_have_executed(&self) -> bool {
         self.executions.load(Ordering::Relaxed) > 0
@@ -161,6 +161,7 @@
     pub fn sent_bytes(&self) {
         if let Some(request) = &mut self.state.lock().request {
             request.stage = match request.stage {
+                // an interim or early response does not end the reception of the body
                 Stage::Receiving => Stage::Receiving,
                 Stage::Waiting | Stage::Responding => Stage::Responding,
             };
@@ -175,7 +176,7 @@
 
 impl ExchangeGuard {
     /// Records that the request body is complete.
-    pub fn received(&self) {
+    pub fn body_received(&self) {
         self.with(|request| request.stage = Stage::Waiting);
     }
 
--- a/components/daemon/src/process/orders/mod.rs
+++ b/components/daemon/src/process/orders/mod.rs
@@ -39,19 +39,19 @@
     /// The wanted state.
     pub wanted: Wanted,
     /// Key and version of the operator's row.
-    pub row: Option<(String, u64)>,
+    pub operator_row: Option<(String, u64)>,
 }
 
 /// The next action for an endpoint. Rows come with the version that they replace.
 #[derive(Clone, Debug)]
 pub enum Task {
-    /// Close the endpoint at all daemons, then send the order.
-    Close(ChangeRequest, Row, u64),
+    /// Close the endpoint at all daemons, then commit the intent and send the order.
+    CloseAndOrder(ChangeRequest, Row, u64),
     /// Nothing was sent: open the endpoint again.
     Reopen(Id, Row, u64),
     /// Send the same order again.
     Resend(ChangeRequest, Row, u64),
-    /// The requested state is reached: remove the operator's row.
+    /// The wanted state is reached: remove the operator's row.
     Fulfilled(ChangeRequest),
 }
 
@@ -84,7 +84,7 @@
                 send(process, held, &request, &row, version).await;
             }
         }
-        Task::Close(request, row, version) => {
+        Task::CloseAndOrder(request, row, version) => {
             close_and_send(process, held, request, row, version).await;
         }
     }
@@ -191,20 +191,21 @@
         wanted: row.wanted.clone(),
     };
     if !steward::is_lease_valid(process, held) {
-        // the lease has expired, as when the process was suspended: the order will never be sent, and recording
-        // that lets a successor proceed
+        // The lease has expired, as when the process was stopped for a while: the order will never be sent,
+        // and recording that lets a successor proceed. A suspension of the machine is not noticed here,
+        // because the lease is measured on a clock that stands still during it.
         withdraw_sender(process, &request.id, row.number).await;
         return;
     }
-    let ended = match process.engine.order(address, &order, ORDER_TIMEOUT).await {
+    let outcome = match process.engine.order(address, &order, ORDER_TIMEOUT).await {
         Ok(()) => CallOutcome::Reached,
         Err(Failure::NotSent | Failure::Refused(_)) => CallOutcome::NotReached,
         Err(Failure::Lost) => find_outcome(process, address, row, boot).await,
     };
-    if ended == CallOutcome::Lost {
+    if outcome == CallOutcome::Lost {
         process.record_lost_order(&request.id, row.number);
     }
-    let next = order::outcome_row(row, ended);
+    let next = order::outcome_row(row, outcome);
     let mut backoff = REPORT_POLL_INTERVAL;
     // the outcome is certain, so it is worth retrying the commit until the table recovers
     let mut committed = false;
@@ -218,14 +219,14 @@
         tokio::time::sleep(backoff).await;
         backoff *= 2;
     }
-    if !committed && ended != CallOutcome::Lost {
+    if !committed && outcome != CallOutcome::Lost {
         withdraw_sender(process, &request.id, row.number).await;
     }
-    if !next.blocks_dispatch(ended == CallOutcome::Reached) {
+    if !next.blocks_dispatch(outcome == CallOutcome::Reached) {
         announce_outcome(process, &request.id, row.number).await;
     }
     // an order of a former steward is completed first; a different request is handled by the next task
-    if ended == CallOutcome::Reached && row.wanted == request.wanted {
+    if outcome == CallOutcome::Reached && row.wanted == request.wanted {
         remove_request(process, held, request).await;
     }
 }
@@ -247,9 +248,9 @@
     let Some(mut row) = store::parse::<Row>(found) else {
         return;
     };
-    let position = row.earlier.binary_search(&process.incarnation);
+    let position = row.possible_senders.binary_search(&process.incarnation);
     if let (true, Ok(at)) = (row.number == number, position) {
-        row.earlier.remove(at);
+        row.possible_senders.remove(at);
         let transaction = Transaction::default()
             .check(&key, store::version_of(found))
             .write(&key, store::to_json(&row));
@@ -267,9 +268,9 @@
     })
 }
 
-/// Determines the outcome of an order whose response was lost. The order was sent once, so when the
-/// engine's report shows its number, that copy has arrived. If the engine has restarted, the copy was lost
-/// with the connection.
+/// Determines the outcome of an order whose response was lost. When the engine's report shows the order's
+/// number, a copy of the order has arrived: this sender's or, after a resend, perhaps the one of an earlier
+/// sender. If the engine has restarted, the copy counts as lost with the connection.
 async fn find_outcome(
     process: &Process,
     address: SocketAddr,
@@ -294,9 +295,9 @@
     CallOutcome::Lost
 }
 
-/// Removes the operator's row once the requested state is reached.
+/// Removes the operator's row once the wanted state is reached.
 async fn remove_request(process: &Process, held: &HeldLease, request: &ChangeRequest) {
-    let Some((key, version)) = &request.row else {
+    let Some((key, version)) = &request.operator_row else {
         return;
     };
     let transaction = Transaction::default()
@@ -352,7 +353,7 @@
             let Some(row) = store::parse::<Row>(found) else {
                 continue;
             };
-            let reached = registration::is_fulfilled(&process, &id, &row);
+            let reached = registration::has_wanted_state(&process, &id, &row);
             match () {
                 () if row.number < number => {}
                 () if row.blocks_dispatch(reached) => process.gates.close(&id, row.number),
--- a/components/daemon/src/process/steward/planner.rs
+++ b/components/daemon/src/process/steward/planner.rs
@@ -24,9 +24,9 @@
     store,
 };
 
-/// Assumed time that an engine is unavailable for a change, including its drain; it is not measured.
+/// Assumed time for which an engine is unavailable during a change, including its drain.
 const ASSUMED_CHANGE_DURATION: Duration = Duration::from_secs(10);
-/// Number of requests decoding together that demand is estimated with.
+/// Assumed number of requests that an engine decodes together, for the estimate of demand.
 const TYPICAL_BATCH_REQUESTS: u64 = 16;
 const HOUR_US: u64 = 3_600_000_000;
 
@@ -141,7 +141,7 @@
                 role: to,
                 ..holds.clone()
             },
-            row: None,
+            operator_row: None,
         };
         let task = next_task(process, held, rows, request)?;
         self.last_change = Some(Instant::now());
@@ -158,7 +158,7 @@
         let request = ChangeRequest {
             id,
             wanted: previous.wanted.clone(),
-            row: None,
+            operator_row: None,
         };
         (unfinished && is_in_pool(process, held, &request.id))
             .then(|| next_task(process, held, rows, request))
@@ -202,7 +202,7 @@
             Some(ChangeRequest {
                 id,
                 wanted: store::parse(Some(row))?,
-                row: Some((row.key.clone(), row.version)),
+                operator_row: Some((row.key.clone(), row.version)),
             })
         })
         .collect()
@@ -213,7 +213,7 @@
     pool.is_some_and(|pool| pool.with_entry(id, |_| ()).is_some())
 }
 
-/// The task that brings an endpoint closer to the requested state.
+/// The task that brings an endpoint closer to the wanted state.
 fn next_task(
     process: &Process,
     held: &HeldLease,
@@ -234,18 +234,18 @@
     // a registration is removed only by its own daemon or once that daemon is known to be gone
     let gone = |other: Incarnation| !registered.contains(&other);
     let number = previous.as_ref().map_or(0, |previous| previous.number);
-    let settled = !process.is_lost_order(&request.id, number);
+    let no_copy_in_flight = !process.is_lost_order(&request.id, number);
     let next = order::next_step(
         previous.as_ref(),
         &request.wanted,
         process.incarnation,
         held.epoch,
         fences,
-        settled,
+        no_copy_in_flight,
         gone,
     );
     match next {
-        Step::Nothing if request.row.is_some() => Some(Task::Fulfilled(request)),
+        Step::Nothing if request.operator_row.is_some() => Some(Task::Fulfilled(request)),
         Step::Nothing => None,
         Step::Wait(sender) => {
             log::info!(
@@ -254,7 +254,7 @@
             );
             None
         }
-        Step::Close(row) => Some(Task::Close(request, row, store::version_of(found))),
+        Step::Close(row) => Some(Task::CloseAndOrder(request, row, store::version_of(found))),
         Step::Reopen(row) => Some(Task::Reopen(request.id, row, store::version_of(found))),
         Step::Resend(row) => Some(Task::Resend(request, row, store::version_of(found))),
     }
--- a/components/telemetry/src/timeline/mod.rs
+++ b/components/telemetry/src/timeline/mod.rs
@@ -1,7 +1,7 @@
 //! A timeline of events with hybrid logical times, which each process keeps in memory.
 //!
-//! `wrenramp timeline` merges the timelines of all daemons. If one event caused another by a message between two
-//! daemons, the later event has a later time, even if the clocks of the two machines disagree.
+//! `wrenramp timeline` merges the timelines of all daemons. An event that is caused by a message from another daemon has
+//! a later time than the event that sent it, even if the clocks of the two machines disagree.
 
 use std::{
     collections::VecDeque,
@@ -18,14 +18,14 @@
 
 /// A hybrid logical time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize)]
-pub struct Time {
+pub struct HybridTime {
     /// Milliseconds since 1970; the highest value that this process has seen, including those in messages.
     pub physical_ms: u64,
-    /// Counter of events with the same `physical_ms`.
+    /// Orders events with the same `physical_ms`.
     pub logical: u32,
 }
 
-impl Time {
+impl HybridTime {
     /// Returns the time of the next event, given the wall-clock time and the time of the previous event.
     #[must_use]
     pub fn next(self, wall_ms: u64) -> Self {
@@ -62,7 +62,7 @@
     Retried,
     /// An interrupted stream continues on another engine.
     Resumed,
-    /// The answer was delivered completely.
+    /// The answer was received: completely from an engine, at least its head from a plain service.
     Finished,
     /// The answer could not be completed.
     Broken,
@@ -100,7 +100,7 @@
     StoreUp,
     /// The table service became unavailable.
     StoreDown,
-    /// An endpoint became unreachable.
+    /// An endpoint became unreachable; the daemon does not record this at present.
     EndpointDown,
     /// An endpoint became reachable.
     EndpointUp,
@@ -110,7 +110,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Event {
     /// When it happened.
-    pub time: Time,
+    pub time: HybridTime,
     /// What happened.
     pub kind: Kind,
     /// The request, order or endpoint that the event belongs to, such as `request/1f00`.
@@ -121,7 +121,7 @@
 
 #[derive(Debug, Default)]
 struct State {
-    time: Time,
+    time: HybridTime,
     events: VecDeque<Event>,
 }
 
@@ -148,12 +148,12 @@
 
     /// Returns the time to send with a message.
     #[must_use]
-    pub fn now(&self) -> Time {
+    pub fn now(&self) -> HybridTime {
         self.lock().time.next(wall_ms())
     }
 
     /// Advances the time to one received with a message.
-    pub fn observe(&self, time: Time) {
+    pub fn observe(&self, time: HybridTime) {
         let mut state = self.lock();
         state.time = state.time.max(time);
     }
