--- a/components/cli/src/cmd/change.rs
+++ b/components/cli/src/cmd/change.rs
@@ -10,13 +10,13 @@
 use super::engine;
 use crate::{
     client::Client,
-    console::{self, FAILED, PARTIAL},
+    console::{self, EXIT_FAILED, EXIT_PARTIAL_OR_UNKNOWN},
     error::Error,
 };
 
 /// Whether to wait until all daemons have applied the new version.
 #[derive(Clone, Copy, Debug)]
-pub struct Wait(pub bool);
+pub struct WaitForAll(pub bool);
 
 /// Time-out for all daemons to apply a version: the target for a settings change.
 const APPLY_TIMEOUT: Duration = Duration::from_secs(7);
@@ -29,13 +29,13 @@
     path: &str,
     values: &[String],
     base: u64,
-    wait: Wait,
+    wait: WaitForAll,
 ) -> Result<ExitCode, Error> {
     let mut edits = Vec::new();
     for value in values {
         let Some((key, value)) = value.split_once('=') else {
             console::print_line(format!("{value} is not of the form KEY=VALUE"));
-            return Ok(ExitCode::from(FAILED));
+            return Ok(ExitCode::from(EXIT_FAILED));
         };
         edits.push(value_edit(path, key, Some(value)));
     }
@@ -49,7 +49,7 @@
         0,
         vec![value_edit(path, key, None)],
         false,
-        Wait(false),
+        WaitForAll(false),
     )
     .await
 }
@@ -58,17 +58,21 @@
 pub async fn add_group(client: &mut Client, group: &str, share: u32) -> Result<ExitCode, Error> {
     let path = format!("group/{group}");
     let edits = vec![value_edit(&path, "share", Some(&share.to_string()))];
-    commit(client, 0, edits, false, Wait(false)).await
+    commit(client, 0, edits, false, WaitForAll(false)).await
 }
 
 /// `group remove`: removes a group.
 pub async fn remove_group(client: &mut Client, group: &str) -> Result<ExitCode, Error> {
     let edits = vec![removal_edit(&format!("group/{group}"))];
-    commit(client, 0, edits, false, Wait(false)).await
+    commit(client, 0, edits, false, WaitForAll(false)).await
 }
 
 /// `drain` and `undrain`: sets whether an endpoint is drained, and waits until that is in force.
-pub async fn drain(client: &mut Client, endpoint: &str, drain: bool) -> Result<ExitCode, Error> {
+pub async fn set_drained(
+    client: &mut Client,
+    endpoint: &str,
+    drained: bool,
+) -> Result<ExitCode, Error> {
     let (data_centre, number) = engine::parse_endpoint(endpoint)?;
     let path = format!("endpoint/{data_centre}/{number}");
     if !client
@@ -78,10 +82,10 @@
         .iter()
         .any(|node| node.path == path)
     {
-        return Err(Error::NotSet(path));
+        return Err(Error::NotFound(path));
     }
-    let edits = vec![value_edit(&path, "drain", Some(&drain.to_string()))];
-    commit(client, 0, edits, false, Wait(true)).await
+    let edits = vec![value_edit(&path, "drain", Some(&drained.to_string()))];
+    commit(client, 0, edits, false, WaitForAll(true)).await
 }
 
 /// An edit that sets a value or, without one, removes it.
@@ -109,12 +113,12 @@
     base: u64,
     edits: Vec<Edit>,
     dry_run: bool,
-    wait: Wait,
+    wait: WaitForAll,
 ) -> Result<ExitCode, Error> {
     let reply = client.commit(base, edits, dry_run).await?;
     let code = console::report_commit(&reply, dry_run);
     match wait {
-        Wait(true) if reply.version > 0 => wait_until_applied(client, reply.version).await,
+        WaitForAll(true) if reply.version > 0 => wait_until_applied(client, reply.version).await,
         _ => Ok(code),
     }
 }
@@ -141,7 +145,7 @@
                 let state = if daemon.answered { "lags" } else { "silent" };
                 console::print_line(format!("  {} {state}", member.address));
             }
-            return Ok(ExitCode::from(PARTIAL));
+            return Ok(ExitCode::from(EXIT_PARTIAL_OR_UNKNOWN));
         }
         tokio::time::sleep(POLL_INTERVAL).await;
     }
--- a/components/cli/src/cmd/file.rs
+++ b/components/cli/src/cmd/file.rs
@@ -7,10 +7,10 @@
 use settings::tree::{Node, Tree, check as checks};
 use wire::Edit;
 
-use super::change::{self, Wait};
+use super::change::{self, WaitForAll};
 use crate::{
     client::Client,
-    console::{self, FAILED},
+    console::{self, EXIT_FAILED},
     error::Error,
 };
 
@@ -23,7 +23,7 @@
         return Ok(ExitCode::SUCCESS);
     }
     problems.iter().for_each(console::print_line);
-    Ok(ExitCode::from(FAILED))
+    Ok(ExitCode::from(EXIT_FAILED))
 }
 
 /// `diff`: shows what applying a file would change.
@@ -41,7 +41,7 @@
     client: &mut Client,
     path: &Path,
     dry_run: bool,
-    wait: Wait,
+    wait: WaitForAll,
 ) -> Result<ExitCode, Error> {
     let (version, edits) = edits_to_apply(client, path).await?;
     if edits.is_empty() {
@@ -114,7 +114,7 @@
         let text = match value {
             toml::Value::String(text) => text,
             toml::Value::Integer(number) => number.to_string(),
-            toml::Value::Boolean(switch) => switch.to_string(),
+            toml::Value::Boolean(flag) => flag.to_string(),
             _ => return Err(unsupported(key)),
         };
         texts.push((key, text));
--- a/components/cli/src/cmd/mod.rs
+++ b/components/cli/src/cmd/mod.rs
@@ -12,7 +12,7 @@
     client::Client,
     error::Error,
 };
-use change::Wait;
+use change::WaitForAll;
 
 /// Runs the command given in the options.
 pub async fn run(options: &Options) -> Result<ExitCode, Error> {
@@ -37,20 +37,20 @@
             base,
             path,
             values,
-        } => change::set(client, path, values, base.unwrap_or(0), Wait(*wait)).await,
+        } => change::set(client, path, values, base.unwrap_or(0), WaitForAll(*wait)).await,
         Command::Unset { path, key } => change::unset(client, path, key).await,
         Command::Group { step } => match step {
             GroupCommand::Add { share, group } => change::add_group(client, group, *share).await,
             GroupCommand::Remove { group } => change::remove_group(client, group).await,
         },
-        Command::Drain { endpoint } => change::drain(client, endpoint, true).await,
-        Command::Undrain { endpoint } => change::drain(client, endpoint, false).await,
+        Command::Drain { endpoint } => change::set_drained(client, endpoint, true).await,
+        Command::Undrain { endpoint } => change::set_drained(client, endpoint, false).await,
         Command::Diff { file } => file::diff(client, file).await,
         Command::Apply {
             dry_run,
             wait,
             file,
-        } => file::apply(client, file, *dry_run, Wait(*wait)).await,
+        } => file::apply(client, file, *dry_run, WaitForAll(*wait)).await,
         Command::Role { endpoint, role } => engine::role(client, endpoint, role).await,
         Command::Load {
             role,
--- a/components/cli/src/cmd/show.rs
+++ b/components/cli/src/cmd/show.rs
@@ -11,7 +11,7 @@
 use super::engine;
 use crate::{
     client::Client,
-    console::{self, PARTIAL},
+    console::{self, EXIT_PARTIAL_OR_UNKNOWN},
     error::Error,
 };
 
@@ -27,7 +27,7 @@
         .nodes
         .iter()
         .find(|node| node.path == path)
-        .ok_or_else(|| Error::NotSet(path.to_owned()))?;
+        .ok_or_else(|| Error::NotFound(path.to_owned()))?;
     let values: BTreeMap<&str, &str> = node
         .values
         .iter()
@@ -35,7 +35,7 @@
         .map(|(name, value)| (name.as_str(), value.as_str()))
         .collect();
     match key {
-        Some(key) if values.is_empty() => Err(Error::NotSet(format!("{path} {key}"))),
+        Some(key) if values.is_empty() => Err(Error::NotFound(format!("{path} {key}"))),
         _ if json => {
             console::print_json(&values);
             Ok(ExitCode::SUCCESS)
@@ -219,7 +219,7 @@
     let code = if silent.is_empty() {
         ExitCode::SUCCESS
     } else {
-        ExitCode::from(PARTIAL)
+        ExitCode::from(EXIT_PARTIAL_OR_UNKNOWN)
     };
     if json {
         console::print_json(&Timeline { events, silent });
--- a/components/cli/src/console.rs
+++ b/components/cli/src/console.rs
@@ -8,14 +8,14 @@
 use crate::error::Error;
 
 /// Exit code of a command that was refused or failed.
-pub const FAILED: u8 = 1;
+pub const EXIT_FAILED: u8 = 1;
 /// Exit code of a command that succeeded in part, or whose outcome is not known.
-pub const PARTIAL: u8 = 3;
+pub const EXIT_PARTIAL_OR_UNKNOWN: u8 = 3;
 
 /// Prints why a command failed and returns the exit code.
 pub fn report_error(error: &Error) -> ExitCode {
     eprintln!("{error}");
-    ExitCode::from(FAILED)
+    ExitCode::from(EXIT_FAILED)
 }
 
 /// Prints a value as JSON.
@@ -38,7 +38,7 @@
         CommitReply { unknown: true, .. } => {
             eprintln!("it is not known whether the change was accepted");
             print_problems(reply);
-            ExitCode::from(PARTIAL)
+            ExitCode::from(EXIT_PARTIAL_OR_UNKNOWN)
         }
         CommitReply {
             conflict: Some(winner),
@@ -46,12 +46,12 @@
         } => {
             eprintln!("not accepted: another change was committed first");
             eprintln!("{}", format_change(winner));
-            ExitCode::from(FAILED)
+            ExitCode::from(EXIT_FAILED)
         }
         reply if !reply.problems.is_empty() => {
             eprintln!("not accepted:");
             print_problems(reply);
-            ExitCode::from(FAILED)
+            ExitCode::from(EXIT_FAILED)
         }
         _ if dry_run => {
             println!("the change would be accepted");
--- a/components/cli/src/error.rs
+++ b/components/cli/src/error.rs
@@ -48,7 +48,7 @@
     Refused(Box<tonic::Status>),
     /// The node or value does not exist.
     #[display("{_0} is not set")]
-    NotSet(#[error(not(source))] String),
+    NotFound(#[error(not(source))] String),
     /// An endpoint is not written as `DATA-CENTRE/NUMBER`.
     #[display("{_0} is not an endpoint; write it as DATA-CENTRE/NUMBER")]
     InvalidEndpoint(#[error(not(source))] String),
--- a/components/cloud/tests/contract.rs
+++ b/components/cloud/tests/contract.rs
@@ -43,7 +43,7 @@
         self.platform.set_fault(fault);
     }
 
-    fn stored(&self, key: &str) -> Option<String> {
+    fn stored_value(&self, key: &str) -> Option<String> {
         let read = Read {
             keys: vec![key.to_owned()],
             prefixes: Vec::new(),
--- a/components/endpoint/tests/contract.rs
+++ b/components/endpoint/tests/contract.rs
@@ -187,6 +187,6 @@
             )
             .await;
         assert_eq!(answer.err(), expected_failure, "{fault:?}");
-        assert_eq!(standin.runs("reading"), runs, "{fault:?}");
+        assert_eq!(standin.execution_count("reading"), runs, "{fault:?}");
     }
 }
--- a/components/settings/src/tree/check.rs
+++ b/components/settings/src/tree/check.rs
@@ -2,7 +2,7 @@
 
 use super::{
     Node, Problem, Tree,
-    schema::{self, Kind},
+    schema::{self, NodeKind},
 };
 
 /// Finds all problems of a tree; it may be committed if there are none.
@@ -24,7 +24,7 @@
     problems
 }
 
-fn check_values(node: &Node, kind: &Kind, problems: &mut Vec<Problem>) {
+fn check_values(node: &Node, kind: &NodeKind, problems: &mut Vec<Problem>) {
     for (name, value) in &node.values {
         match kind.key(name) {
             Some(key) if key.value_type.accepts(value) => {}
@@ -50,7 +50,7 @@
     }
 }
 
-fn check_references(tree: &Tree, node: &Node, kind: &Kind, problems: &mut Vec<Problem>) {
+fn check_references(tree: &Tree, node: &Node, kind: &NodeKind, problems: &mut Vec<Problem>) {
     let mut require_node = |key: &str, target: String| {
         if tree.node(&target).is_none() {
             problems.push(Problem::DanglingReference {
@@ -86,7 +86,7 @@
 }
 
 fn check_caller_keys(tree: &Tree, problems: &mut Vec<Problem>) {
-    let mut claims: Vec<(&str, &str)> = tree
+    let mut owners: Vec<(&str, &str)> = tree
         .nodes_of_kind("group")
         .flat_map(|(_, node)| {
             let keys = node
@@ -96,10 +96,10 @@
             keys.map(|digest| (digest, node.path.as_str()))
         })
         .collect();
-    claims.sort_unstable();
-    for pair in claims.windows(2) {
+    owners.sort_unstable();
+    for pair in owners.windows(2) {
         if pair[0].0 == pair[1].0 {
-            problems.push(Problem::AlreadyClaimed {
+            problems.push(Problem::DuplicateKey {
                 path: pair[1].1.to_owned(),
                 what: "a caller's key".to_owned(),
                 other: pair[0].1.to_owned(),
--- a/components/settings/src/tree/mod.rs
+++ b/components/settings/src/tree/mod.rs
@@ -134,7 +134,7 @@
     },
     /// Two nodes claim something that only one may have.
     #[display("{path}: {what} is already that of {other}")]
-    AlreadyClaimed {
+    DuplicateKey {
         /// Path of the node.
         path: String,
         /// What is claimed.
--- a/components/settings/src/tree/resolve.rs
+++ b/components/settings/src/tree/resolve.rs
@@ -156,9 +156,9 @@
                 .nodes_of_kind("model")
                 .map(|(name, node)| Model {
                     name: name.to_owned(),
-                    service: text(tree, &node.path, "service"),
-                    adapter: text(tree, &node.path, "adapter"),
-                    version: text(tree, &node.path, "version"),
+                    service: text_value(tree, &node.path, "service"),
+                    adapter: text_value(tree, &node.path, "adapter"),
+                    version: text_value(tree, &node.path, "version"),
                 })
                 .collect(),
             services: tree
@@ -210,7 +210,7 @@
     }
 }
 
-fn text(tree: &Tree, path: &str, key: &str) -> String {
+fn text_value(tree: &Tree, path: &str, key: &str) -> String {
     value_or_default(tree, path, key)
         .unwrap_or_default()
         .to_owned()
@@ -221,13 +221,13 @@
         .or_else(|| schema::kind_of(path)?.key(key)?.default)
 }
 
-fn number(tree: &Tree, path: &str, key: &str) -> u32 {
+fn number_value(tree: &Tree, path: &str, key: &str) -> u32 {
     value_or_default(tree, path, key)
         .and_then(|value| value.parse().ok())
         .unwrap_or_default()
 }
 
-fn duration(tree: &Tree, path: &str, key: &str) -> Duration {
+fn duration_value(tree: &Tree, path: &str, key: &str) -> Duration {
     value_or_default(tree, path, key)
         .and_then(|value| humantime::parse_duration(value).ok())
         .unwrap_or_default()
@@ -245,7 +245,7 @@
 
 fn groups(tree: &Tree) -> Vec<Group> {
     let paths: Vec<&str> = tree.nodes_of_kind("group").map(|(name, _)| name).collect();
-    let priority = |path: &str, key: &str| u8::try_from(number(tree, path, key)).unwrap_or(0);
+    let priority = |path: &str, key: &str| u8::try_from(number_value(tree, path, key)).unwrap_or(0);
     tree.nodes_of_kind("group")
         .map(|(name, node)| {
             let path = node.path.as_str();
@@ -261,10 +261,10 @@
                     .unwrap_or(1),
                 priority: (priority(path, "priority"), priority(path, "priority_max")),
                 deadline: (
-                    duration(tree, path, "deadline"),
-                    duration(tree, path, "deadline_max"),
+                    duration_value(tree, path, "deadline"),
+                    duration_value(tree, path, "deadline_max"),
                 ),
-                max_queue_time: duration(tree, path, "first_token"),
+                max_queue_time: duration_value(tree, path, "first_token"),
                 models: sorted_names(value_or_default(tree, path, "models")),
             }
         })
@@ -328,7 +328,7 @@
             _ => RetryPolicy::Allowed,
         },
         no_retry_prefixes: sorted_names(value_or_default(tree, path, "repeat_never_routes")),
-        retention: duration(tree, path, "retention"),
+        retention: duration_value(tree, path, "retention"),
     }
 }
 
@@ -342,7 +342,7 @@
                 data_centre: data_centre.to_owned(),
                 number: number.parse().ok()?,
                 address: value_or_default(tree, path, "address")?.parse().ok()?,
-                service: text(tree, path, "service"),
+                service: text_value(tree, path, "service"),
                 drain: value_or_default(tree, path, "drain") == Some("true"),
                 fences: value_or_default(tree, path, "fences") == Some("true"),
             })
@@ -356,8 +356,8 @@
     let path = "fleet/roles";
     Fleet {
         adaptive: value_or_default(tree, path, "roles") != Some("fixed"),
-        max_role_changes_per_hour: number(tree, path, "role_changes_per_hour"),
-        min_engines_per_role: number(tree, path, "role_reserve"),
-        horizon: duration(tree, path, "role_horizon"),
+        max_role_changes_per_hour: number_value(tree, path, "role_changes_per_hour"),
+        min_engines_per_role: number_value(tree, path, "role_reserve"),
+        horizon: duration_value(tree, path, "role_horizon"),
     }
 }
--- a/components/settings/src/tree/schema.rs
+++ b/components/settings/src/tree/schema.rs
@@ -4,7 +4,7 @@
 
 /// The type of a value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Type {
+pub enum ValueType {
     /// A whole number between a minimum and a maximum.
     Number(u64, u64),
     /// `true` or `false`.
@@ -25,11 +25,11 @@
 
 /// A key of a kind of node.
 #[derive(Clone, Copy, Debug)]
-pub struct Key {
+pub struct KeySchema {
     /// Its name.
     pub name: &'static str,
     /// Type and range of its value.
-    pub value_type: Type,
+    pub value_type: ValueType,
     /// Default value as text; `None` if the key is required, or optional without a default.
     pub default: Option<&'static str>,
     /// Whether every node of the kind must set it.
@@ -40,19 +40,23 @@
 
 /// A kind of node.
 #[derive(Clone, Copy, Debug)]
-pub struct Kind {
+pub struct NodeKind {
     /// First segment of the path.
     pub name: &'static str,
     /// Minimum and maximum number of path segments after it.
     pub depth: (usize, usize),
     /// Keys of the nodes, sorted by name.
-    pub keys: &'static [Key],
+    pub keys: &'static [KeySchema],
 }
 
 const HOUR_MS: u64 = 3_600_000;
 
-const fn optional(name: &'static str, value_type: Type, description: &'static str) -> Key {
-    Key {
+const fn optional(
+    name: &'static str,
+    value_type: ValueType,
+    description: &'static str,
+) -> KeySchema {
+    KeySchema {
         name,
         value_type,
         default: None,
@@ -61,8 +65,12 @@
     }
 }
 
-const fn required(name: &'static str, value_type: Type, description: &'static str) -> Key {
-    Key {
+const fn required(
+    name: &'static str,
+    value_type: ValueType,
+    description: &'static str,
+) -> KeySchema {
+    KeySchema {
         name,
         value_type,
         default: None,
@@ -73,11 +81,11 @@
 
 const fn with_default(
     name: &'static str,
-    value_type: Type,
+    value_type: ValueType,
     default: &'static str,
     description: &'static str,
-) -> Key {
-    Key {
+) -> KeySchema {
+    KeySchema {
         name,
         value_type,
         default: Some(default),
@@ -87,154 +95,154 @@
 }
 
 /// All kinds of nodes, sorted by name.
-pub const KINDS: &[Kind] = &[
-    Kind {
+pub const KINDS: &[NodeKind] = &[
+    NodeKind {
         name: "endpoint",
         depth: (2, 2),
         keys: &[
-            required("address", Type::Address, "Where the endpoint listens."),
+            required("address", ValueType::Address, "Where the endpoint listens."),
             with_default(
                 "drain",
-                Type::Bool,
+                ValueType::Bool,
                 "false",
                 "Whether the endpoint takes no new work.",
             ),
             with_default(
                 "fences",
-                Type::Bool,
+                ValueType::Bool,
                 "false",
                 "Whether the engine refuses orders with an old fencing number.",
             ),
             required(
                 "service",
-                Type::Text,
+                ValueType::Text,
                 "The service that the endpoint belongs to.",
             ),
         ],
     },
-    Kind {
+    NodeKind {
         name: "fleet",
         depth: (1, 1),
         keys: &[
             with_default(
                 "role_changes_per_hour",
-                Type::Number(0, 3600),
+                ValueType::Number(0, 3600),
                 "12",
                 "Most role changes an hour in a service and data centre.",
             ),
             with_default(
                 "role_horizon",
-                Type::Duration(1000, HOUR_MS),
+                ValueType::Duration(1000, HOUR_MS),
                 "120s",
                 "How far ahead the gain of a role change is counted.",
             ),
             with_default(
                 "role_reserve",
-                Type::Number(0, 1000),
+                ValueType::Number(0, 1000),
                 "1",
                 "Engines of each phase that stay whatever the mix.",
             ),
             with_default(
                 "roles",
-                Type::OneOf(&["adaptive", "fixed"]),
+                ValueType::OneOf(&["adaptive", "fixed"]),
                 "adaptive",
                 "Whether the stewards change roles by themselves.",
             ),
         ],
     },
-    Kind {
+    NodeKind {
         name: "group",
         depth: (1, 8),
         keys: &[
             with_default(
                 "deadline",
-                Type::Duration(10, HOUR_MS),
+                ValueType::Duration(10, HOUR_MS),
                 "30s",
                 "Deadline of a request that names none.",
             ),
             with_default(
                 "deadline_max",
-                Type::Duration(10, HOUR_MS),
+                ValueType::Duration(10, HOUR_MS),
                 "10m",
                 "Longest deadline a request may name.",
             ),
             with_default(
                 "first_token",
-                Type::Duration(10, HOUR_MS),
+                ValueType::Duration(10, HOUR_MS),
                 "1h",
                 "Longest wait for a turn; a request that would wait longer is refused at once.",
             ),
             optional(
                 "keys",
-                Type::Digests,
+                ValueType::Digests,
                 "SHA-256 digests of the callers' keys.",
             ),
             optional(
                 "models",
-                Type::Names,
+                ValueType::Names,
                 "Models the group may use; all when absent.",
             ),
             with_default(
                 "priority",
-                Type::Number(0, 9),
+                ValueType::Number(0, 9),
                 "4",
                 "Priority of a request that names none; 9 goes first.",
             ),
             with_default(
                 "priority_max",
-                Type::Number(0, 9),
+                ValueType::Number(0, 9),
                 "7",
                 "Highest priority a request may name.",
             ),
             with_default(
                 "share",
-                Type::Number(1, 1_000_000),
+                ValueType::Number(1, 1_000_000),
                 "1",
                 "Share against the group's siblings.",
             ),
         ],
     },
-    Kind {
+    NodeKind {
         name: "model",
         depth: (1, 1),
         keys: &[
             with_default(
                 "adapter",
-                Type::Text,
+                ValueType::Text,
                 "none",
                 "The adapter that requests get.",
             ),
             required(
                 "service",
-                Type::Text,
+                ValueType::Text,
                 "The service whose engines run the model.",
             ),
-            required("version", Type::Text, "The version that requests get."),
+            required("version", ValueType::Text, "The version that requests get."),
         ],
     },
-    Kind {
+    NodeKind {
         name: "service",
         depth: (1, 1),
         keys: &[
             required(
                 "kind",
-                Type::OneOf(&["engines", "plain"]),
+                ValueType::OneOf(&["engines", "plain"]),
                 "What stands behind the service.",
             ),
             with_default(
                 "repeat",
-                Type::OneOf(&["allowed", "never"]),
+                ValueType::OneOf(&["allowed", "never"]),
                 "allowed",
                 "Whether a request may run twice.",
             ),
             optional(
                 "repeat_never_routes",
-                Type::Names,
+                ValueType::Names,
                 "Path prefixes whose requests may not be repeated.",
             ),
             with_default(
                 "retention",
-                Type::Duration(1000, 720 * HOUR_MS),
+                ValueType::Duration(1000, 720 * HOUR_MS),
                 "24h",
                 "How long a claim of an idempotency key is kept.",
             ),
@@ -244,7 +252,7 @@
 
 /// The kind of the node at a path; `None` if the kind is unknown or the path malformed.
 #[must_use]
-pub fn kind_of(path: &str) -> Option<&'static Kind> {
+pub fn kind_of(path: &str) -> Option<&'static NodeKind> {
     let mut parts = path.split('/');
     let name = parts.next()?;
     let index = KINDS.binary_search_by(|kind| kind.name.cmp(name)).ok()?;
@@ -261,16 +269,16 @@
         .then_some(kind)
 }
 
-impl Kind {
+impl NodeKind {
     /// The key with a name.
     #[must_use]
-    pub fn key(&self, name: &str) -> Option<&'static Key> {
+    pub fn key(&self, name: &str) -> Option<&'static KeySchema> {
         let index = self.keys.binary_search_by(|key| key.name.cmp(name)).ok()?;
         Some(&self.keys[index])
     }
 }
 
-impl Type {
+impl ValueType {
     /// Whether a text is a valid value of this type.
     #[must_use]
     pub fn accepts(self, value: &str) -> bool {
@@ -293,7 +301,7 @@
     }
 }
 
-impl std::fmt::Display for Type {
+impl std::fmt::Display for ValueType {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             Self::Number(min, max) => write!(f, "a whole number from {min} to {max}"),
--- a/components/settings/tests/pages.rs
+++ b/components/settings/tests/pages.rs
@@ -4,14 +4,14 @@
 
 use settings::{
     daemon::Settings,
-    tree::schema::{KINDS, Key},
+    tree::schema::{KINDS, KeySchema},
 };
 
 fn root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-fn row(key: &Key) -> String {
+fn row(key: &KeySchema) -> String {
     let default = match (key.required, key.default) {
         (true, _) => "must be set",
         (false, Some(default)) => default,
--- a/components/settings/tests/tree.rs
+++ b/components/settings/tests/tree.rs
@@ -95,7 +95,7 @@
     let problems = tree
         .apply(&[set("group/b", "keys", &digest)])
         .expect_err("key already claimed");
-    assert!(matches!(problems[0], Problem::AlreadyClaimed { .. }));
+    assert!(matches!(problems[0], Problem::DuplicateKey { .. }));
 }
 
 proptest! {
--- a/components/spec/src/answers.rs
+++ b/components/spec/src/answers.rs
@@ -8,8 +8,8 @@
     explore::{Outcome, explore},
 };
 
-const TOKENS: u64 = 3;
-const ATTEMPTS: u64 = 2;
+const ANSWER_TOKENS: u64 = 3;
+const MAX_ATTEMPTS: u64 = 2;
 const BOUNDS: &str =
     "answers of 3 tokens, 2 attempts, frames duplicated, lost, delayed or of an unknown attempt";
 
@@ -67,7 +67,7 @@
     let mut steps = Vec::new();
     let attempt = state.assembler.attempt();
     let offset = state.next_offset;
-    if offset < TOKENS {
+    if offset < ANSWER_TOKENS {
         let mut sent = state.clone();
         sent.next_offset += 1;
         let mut lost = sent.clone();
@@ -84,14 +84,14 @@
         accept_frame(&mut duplicate, attempt, offset, offset, variant);
         steps.push((Label::Duplicate { offset }, duplicate));
     }
-    if attempt == ATTEMPTS {
-        for offset in 0..TOKENS {
+    if attempt == MAX_ATTEMPTS {
+        for offset in 0..ANSWER_TOKENS {
             let mut previous = state.clone();
             accept_frame(&mut previous, attempt - 1, offset, offset, variant);
             steps.push((Label::PreviousAttempt { offset }, previous));
         }
     }
-    if attempt < ATTEMPTS {
+    if attempt < MAX_ATTEMPTS {
         let mut resumed = state.clone();
         resumed.assembler.resume(attempt + 1);
         resumed.next_offset = resumed.assembler.offset();
@@ -102,7 +102,7 @@
         finish(&mut closed);
     } else {
         // the caller receives an error, and no further tokens come
-        closed.next_offset = TOKENS;
+        closed.next_offset = ANSWER_TOKENS;
     }
     steps.push((Label::StreamCloses, closed));
     steps
@@ -117,7 +117,7 @@
         Variant::AnyOffset => state.assembler.offset(),
         _ => offset,
     };
-    let last = frame_offset + 1 == TOKENS;
+    let last = frame_offset + 1 == ANSWER_TOKENS;
     if state.assembler.accept(attempt, frame_offset, 1, last) == Ok(Verdict::Deliver) {
         state.delivered.push(payload);
         if state.assembler.finished() {
@@ -132,7 +132,7 @@
 
 fn finish(state: &mut State) {
     state.ended = true;
-    if state.delivered.len() as u64 != TOKENS {
+    if state.delivered.len() as u64 != ANSWER_TOKENS {
         state.violation = Some("a caller receives the whole answer");
     }
 }
--- a/components/spec/src/claims.rs
+++ b/components/spec/src/claims.rs
@@ -169,13 +169,13 @@
 fn run_request(state: &mut State, nth: usize) {
     state.runs += 1;
     state.attempts[nth].ran = true;
-    let denied = state
+    let told_not_run = state
         .attempts
         .iter()
         .any(|attempt| attempt.phase == Phase::Replied(Reply::NotRun) && attempt.ran);
     state.violation = match () {
         () if state.runs > 1 => Some("a request that must not be retried runs at most once"),
-        () if denied => Some("a refusal that says \"not run\" is true"),
+        () if told_not_run => Some("a refusal that says \"not run\" is true"),
         () => None,
     };
 }
--- a/components/spec/src/closing.rs
+++ b/components/spec/src/closing.rs
@@ -40,7 +40,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Daemon {
-    start: Startup,
+    startup: Startup,
     registered: bool,
     gate: Gate,
     dispatched: u8,
@@ -98,7 +98,7 @@
 
 fn initial_state() -> State {
     let serving = Daemon {
-        start: Startup::Serving,
+        startup: Startup::Serving,
         registered: true,
         gate: Gate::default(),
         dispatched: 0,
@@ -106,7 +106,7 @@
         answered: 0,
     };
     let off = Daemon {
-        start: Startup::NotStarted,
+        startup: Startup::NotStarted,
         registered: false,
         ..serving
     };
@@ -216,12 +216,12 @@
     let mut next = state.clone();
     let registers_first = variant != Variant::ReadBeforeRegister;
     let daemon = &mut next.daemons[at];
-    let (registers, next_start) = match daemon.start {
+    let (registers, next_start) = match daemon.startup {
         Startup::NotStarted => (registers_first, Startup::FirstStepDone),
         Startup::FirstStepDone => (!registers_first, Startup::Serving),
         Startup::Serving => return,
     };
-    daemon.start = next_start;
+    daemon.startup = next_start;
     if registers {
         daemon.registered = true;
         steps.push((Label::Registers(at), next));
@@ -235,7 +235,7 @@
 
 fn serving_steps(state: &State, at: usize, variant: Variant, steps: &mut Steps) {
     let daemon = state.daemons[at];
-    if daemon.start == Startup::Serving && daemon.dispatched < MAX_DISPATCHES {
+    if daemon.startup == Startup::Serving && daemon.dispatched < MAX_DISPATCHES {
         let mut next = state.clone();
         if next.daemons[at].gate.acquire() {
             next.daemons[at].dispatched += 1;
@@ -268,7 +268,9 @@
     let daemon = state.daemons[at];
     let number = state.number;
     // close requests and answers may be delayed or lost: these steps are optional
-    if state.participants[at] && daemon.asked != Some(number) && daemon.start != Startup::NotStarted
+    if state.participants[at]
+        && daemon.asked != Some(number)
+        && daemon.startup != Startup::NotStarted
     {
         let mut next = state.clone();
         next.daemons[at].asked = Some(number);
--- a/components/spec/src/orders/mod.rs
+++ b/components/spec/src/orders/mod.rs
@@ -82,7 +82,7 @@
             || !(0..DAEMONS).any(|d| incarnation(d) == other && state.daemons[d].alive)
     };
     let number = state.row.as_ref().map_or(0, |row| row.number);
-    let clean = !daemon.lost_orders.contains(&number);
+    let no_copy_in_flight = !daemon.lost_orders.contains(&number);
     for role in [Role::Prefill, Role::Decode] {
         let target = wanted(role);
         let row = match order::next_step(
@@ -91,7 +91,7 @@
             incarnation(at),
             epoch,
             setup.fences,
-            clean,
+            no_copy_in_flight,
             gone,
         ) {
             // closing has its own model; here all daemons have closed their gates
@@ -310,7 +310,7 @@
         .row
         .as_ref()
         .is_some_and(|row| row.blocks_dispatch(false));
-    let superseded = setup.fences && closed;
+    let permitted_by_fencing = setup.fences && closed;
     let has_intent = state
         .row
         .as_ref()
@@ -319,7 +319,7 @@
         () if changes_role && message.number < state.highest_applied => {
             Some("an engine never receives conflicting orders")
         }
-        () if changes_role && !has_intent && !superseded => {
+        () if changes_role && !has_intent && !permitted_by_fencing => {
             Some("orders from a process that has lost its authority have no effect")
         }
         () => None,
--- a/components/standin/src/batch/cache.rs
+++ b/components/standin/src/batch/cache.rs
@@ -78,16 +78,16 @@
     /// Evicts an eighth of the capacity at once, to amortize the sort.
     fn evict(&mut self) {
         let keep = self.capacity - self.capacity / 8;
-        let mut ages: Vec<u64> = self.blocks.iter().map(|(_, age)| *age).collect();
-        ages.sort_unstable();
-        let oldest = ages[ages.len() - keep];
+        let mut last_uses: Vec<u64> = self.blocks.iter().map(|(_, last_use)| *last_use).collect();
+        last_uses.sort_unstable();
+        let cutoff = last_uses[last_uses.len() - keep];
         let evicted: Vec<u64> = self
             .blocks
             .iter()
-            .filter(|(_, age)| *age < oldest)
+            .filter(|(_, last_use)| *last_use < cutoff)
             .map(|(block, _)| *block)
             .collect();
-        self.blocks.retain(|(_, age)| *age >= oldest);
+        self.blocks.retain(|(_, last_use)| *last_use >= cutoff);
         for block in evicted {
             self.record_event(block, false);
         }
--- a/components/standin/src/batch/mod.rs
+++ b/components/standin/src/batch/mod.rs
@@ -82,14 +82,14 @@
 #[derive(Clone, Debug)]
 struct Running {
     job: Job,
-    prefill_left: u64,
+    prefill_left_tokens: u64,
     import_left_us: u64,
     offset: u64,
 }
 
 impl Running {
     fn is_decoding(&self) -> bool {
-        self.prefill_left == 0 && self.import_left_us == 0
+        self.prefill_left_tokens == 0 && self.import_left_us == 0
     }
 }
 
@@ -108,7 +108,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Step {
     /// Duration in microseconds.
-    pub us: u64,
+    pub duration_us: u64,
     /// The tokens decoded, available at the end of the step.
     pub tokens: Vec<Token>,
 }
@@ -170,7 +170,7 @@
         let running: u64 = self
             .running
             .iter()
-            .map(|running| running.prefill_left)
+            .map(|running| running.prefill_left_tokens)
             .sum();
         waiting + running
     }
@@ -202,7 +202,12 @@
             .iter()
             .map(|running| running.import_left_us)
             .max();
-        if decoding == 0 && self.running.iter().all(|running| running.prefill_left == 0) {
+        if decoding == 0
+            && self
+                .running
+                .iter()
+                .all(|running| running.prefill_left_tokens == 0)
+        {
             // all requests import their KV cache: the step lasts until the first import is complete
             let shortest = self
                 .running
@@ -212,19 +217,19 @@
                 .unwrap_or(0);
             self.advance_imports(shortest);
             return Some(Step {
-                us: shortest,
+                duration_us: shortest,
                 tokens: Vec::new(),
             });
         }
         let prefilled = self.prefill(decoding > 0);
-        let us = self.speed.step_us
+        let duration_us = self.speed.step_us
             + decoding * self.speed.decode_us
             + prefilled * self.speed.prefill_us_per_thousand / THOUSAND;
         if longest_import > Some(0) {
-            self.advance_imports(us);
+            self.advance_imports(duration_us);
         }
         Some(Step {
-            us,
+            duration_us,
             tokens: self.decode(),
         })
     }
@@ -238,7 +243,7 @@
     fn admit(&mut self) {
         while self.running.len() < self.speed.max_running && !self.waiting.is_empty() {
             let job = self.waiting.remove(0);
-            let (prefill_left, import_left_us) = if job.imported {
+            let (prefill_left_tokens, import_left_us) = if job.imported {
                 let import_us = job.prompt_tokens * self.speed.import_us_per_thousand / THOUSAND;
                 (0, import_us)
             } else {
@@ -246,16 +251,16 @@
             };
             self.running.push(Running {
                 offset: job.start_offset,
-                prefill_left,
+                prefill_left_tokens,
                 import_left_us,
                 job,
             });
         }
     }
 
-    fn advance_imports(&mut self, us: u64) {
+    fn advance_imports(&mut self, elapsed_us: u64) {
         for running in &mut self.running {
-            running.import_left_us = running.import_left_us.saturating_sub(us);
+            running.import_left_us = running.import_left_us.saturating_sub(elapsed_us);
         }
     }
 
@@ -264,17 +269,17 @@
         let limit = if others_decode {
             self.speed.chunk_tokens
         } else {
-            self.speed.chunk_tokens * PREFILL_ONLY_CHUNKS
+            self.speed.chunk_tokens * MAX_CHUNKS_WITHOUT_DECODE
         };
         let mut left = limit;
         self.running
             .sort_by_key(|running| std::cmp::Reverse(running.job.priority));
         for running in &mut self.running {
-            if running.prefill_left > 0 {
-                let tokens = running.prefill_left.min(left);
-                running.prefill_left -= tokens;
+            if running.prefill_left_tokens > 0 {
+                let tokens = running.prefill_left_tokens.min(left);
+                running.prefill_left_tokens -= tokens;
                 left -= tokens;
-                if running.prefill_left == 0 {
+                if running.prefill_left_tokens == 0 {
                     self.cache.insert(&running.job.blocks);
                 }
             }
@@ -303,4 +308,4 @@
 
 const THOUSAND: u64 = 1_000;
 /// How many chunks a step prefills when no request is decoding.
-const PREFILL_ONLY_CHUNKS: u64 = 4;
+const MAX_CHUNKS_WITHOUT_DECODE: u64 = 4;
--- a/components/standin/src/contract/mod.rs
+++ b/components/standin/src/contract/mod.rs
@@ -21,10 +21,10 @@
     fn set_fault(&self, fault: Fault);
 
     /// The value of a row, read without the injected fault.
-    fn stored(&self, key: &str) -> Option<String>;
+    fn stored_value(&self, key: &str) -> Option<String>;
 }
 
-fn one(key: &str) -> Read {
+fn read_row(key: &str) -> Read {
     Read {
         keys: vec![key.to_owned()],
         prefixes: Vec::new(),
@@ -55,14 +55,14 @@
         .write("a", "2".to_owned())
         .write("b", "2".to_owned());
     assert!(matches!(table.commit(both).await, Ok(Outcome::Conflict(_))));
-    let rows = table.read(one("a")).await.expect("read");
+    let rows = table.read(read_row("a")).await.expect("read");
     assert_eq!(rows[0].value, "1", "all writes or none");
     let remove = Transaction::default().check("a", version).remove("a");
     assert!(matches!(
         table.commit(remove).await,
         Ok(Outcome::Committed(_))
     ));
-    assert_eq!(table.read(one("a")).await, Ok(Vec::new()));
+    assert_eq!(table.read(read_row("a")).await, Ok(Vec::new()));
 }
 
 /// A read by prefix returns the rows with this prefix, sorted, and no others.
@@ -112,11 +112,11 @@
         assert_eq!(harness.table().commit(write).await, Err(error), "{fault:?}");
         // a slow write takes effect after the adapter has timed out
         for _ in 0..100 {
-            if !applied || harness.stored("k").is_some() {
+            if !applied || harness.stored_value("k").is_some() {
                 break;
             }
             tokio::time::sleep(harness.timeout() / 10).await;
         }
-        assert_eq!(harness.stored("k").is_some(), applied, "{fault:?}");
+        assert_eq!(harness.stored_value("k").is_some(), applied, "{fault:?}");
     }
 }
--- a/components/standin/src/engine/mod.rs
+++ b/components/standin/src/engine/mod.rs
@@ -131,7 +131,7 @@
         let step = shared.lock().step();
         match step {
             Some(step) => {
-                tokio::time::sleep(Duration::from_micros(step.us)).await;
+                tokio::time::sleep(Duration::from_micros(step.duration_us)).await;
                 shared.lock().deliver(&step.tokens);
             }
             None => shared.work_available.notified().await,
--- a/components/standin/src/engine/state.rs
+++ b/components/standin/src/engine/state.rs
@@ -44,9 +44,9 @@
     /// Changes of role or model started.
     pub changes: u64,
     /// Orders refused for a stale number.
-    pub stale: u64,
+    pub stale_orders: u64,
     /// Orders that arrived while a different one was being carried out.
-    pub conflicts: u64,
+    pub conflicting_orders: u64,
     /// Streams interrupted by a change of role or model.
     pub interrupted: u64,
     /// Tokens decoded.
@@ -174,7 +174,7 @@
 
     pub(super) fn begin_order(&mut self, order: &Order) -> OrderStart {
         if self.setup.fences && !order::passes_fencing(self.highest_order, order.number) {
-            self.counts.stale += 1;
+            self.counts.stale_orders += 1;
             return OrderStart::Stale;
         }
         self.highest_order = self.highest_order.max(order.number);
@@ -184,7 +184,7 @@
             return OrderStart::Changing(duration);
         }
         if self.changing {
-            self.counts.conflicts += 1;
+            self.counts.conflicting_orders += 1;
         }
         if self.holds == order.wanted && !self.changing {
             return OrderStart::Reached;
--- a/components/standin/src/link/mod.rs
+++ b/components/standin/src/link/mod.rs
@@ -34,7 +34,7 @@
     /// the link is restored.
     Silent,
     /// Forwards requests and holds back responses.
-    NoAnswers,
+    NoResponses,
 }
 
 /// The conditions that apply to the connections of a link.
@@ -97,21 +97,21 @@
     }
 
     /// Cuts the link, or restores it.
-    pub fn cut(&self, cut: bool) {
-        self.set(if cut { State::Cut } else { State::Open });
+    pub fn set_cut(&self, cut: bool) {
+        self.set_state(if cut { State::Cut } else { State::Open });
     }
 
     /// Sets the state.
-    pub fn set(&self, state: State) {
+    pub fn set_state(&self, state: State) {
         self.condition
             .send_modify(|condition| condition.state = state);
     }
 
     /// Limits each direction of each connection to this many bytes per second from now on, in every
     /// state.
-    pub fn limit_rate(&self, rate: u32) {
+    pub fn limit_rate(&self, bytes_per_second: u32) {
         self.condition
-            .send_modify(|condition| condition.rate = Some(rate));
+            .send_modify(|condition| condition.rate = Some(bytes_per_second));
     }
 
     /// Stalls all open connections for good, without a reset; new connections work.
@@ -211,7 +211,7 @@
         let is_held = |condition: &Condition| match condition.state {
             _ if condition.stall_count > initial_stalls => true,
             State::Silent => true,
-            State::NoAnswers => is_response,
+            State::NoResponses => is_response,
             State::Open | State::Cut | State::Slow(_) => false,
         };
         // an error means that the link was dropped, and its connections end with it
--- a/components/standin/src/service/mod.rs
+++ b/components/standin/src/service/mod.rs
@@ -75,7 +75,7 @@
 
     /// How many times a request with this body was executed.
     #[must_use]
-    pub fn runs(&self, body: &str) -> usize {
+    pub fn execution_count(&self, body: &str) -> usize {
         let state = lock(&self.state);
         state
             .executed
@@ -86,7 +86,7 @@
 
     /// How many requests were executed.
     #[must_use]
-    pub fn total_runs(&self) -> usize {
+    pub fn total_executions(&self) -> usize {
         lock(&self.state).executed.len()
     }
 }
--- a/examples/demo_parts/checks.rs
+++ b/examples/demo_parts/checks.rs
@@ -171,7 +171,7 @@
     }
     bodies.len() == 4
         && bodies.iter().all(|body| *body == bodies[0])
-        && fleet.service.runs("9.7 kN") == 1
+        && fleet.service.execution_count("9.7 kN") == 1
 }
 
 async fn change(fleet: &Fleet, path: &str, key: &str, value: &str) -> bool {
--- a/examples/mixshift_parts/fleet.rs
+++ b/examples/mixshift_parts/fleet.rs
@@ -52,6 +52,6 @@
     /// Begins the next step; says how long it takes.
     pub fn begin(&mut self) -> Option<u64> {
         self.step = self.batch.step();
-        self.step.as_ref().map(|step| step.us)
+        self.step.as_ref().map(|step| step.duration_us)
     }
 }
--- a/tests/process.rs
+++ b/tests/process.rs
@@ -13,7 +13,7 @@
     any_port,
     caller::{self, RequestSpec},
     configuration,
-    endpoint::{Endpoint, EngineRegistry, Faults, Setup},
+    endpoint::{Endpoint, EngineRegistry, Fault, Setup},
     ledger::Ledger,
     store::Store,
 };
@@ -142,7 +142,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_caller_disconnect_is_logged_with_request_and_endpoint() {
     let gateway = Gateway::start("caller-closes", 3).await;
-    gateway.engine.fail(Faults::Unresponsive);
+    gateway.engine.set_fault(Fault::Unresponsive);
     let request = RequestSpec::generation("r1", "/stream/", 10, 2);
     caller::disconnect_after(gateway.caller_address, &request, Duration::from_millis(300)).await;
     gateway.wait_for_request("r1").await;
@@ -159,7 +159,7 @@
 async fn a_request_aborted_by_a_graceful_shutdown_is_logged_with_request_and_endpoint() {
     let gateway = Gateway::start("process-ends", 3).await;
     // the engine sends the response headers and no events
-    gateway.engine.fail(Faults::Stalls);
+    gateway.engine.set_fault(Fault::Stalls);
     let request = RequestSpec {
         deadline: WAIT_TIMEOUT,
         ..RequestSpec::generation("r1", "/stream/", 10, 2)
--- a/tests/system/at_most_once.rs
+++ b/tests/system/at_most_once.rs
@@ -26,7 +26,7 @@
 /// Checks that a request ran at most once and that the reported outcome is correct: `not-run` only if it did not run,
 /// success only if it did.
 fn check_outcome(fleet: &Fleet, response: Option<&Response>, body: &str) {
-    let runs = fleet.service.runs(body);
+    let runs = fleet.service.execution_count(body);
     assert!(runs <= 1, "{body} ran {runs} times");
     if response.and_then(Response::run_header) == Some("not-run") {
         assert_eq!(runs, 0, "{body}: {response:?}");
@@ -111,7 +111,7 @@
     fleet.platform.set_fault(TableFault::Unavailable);
     let response = send_reading(&Caller::new(), &fleet, 0, None, "no key").await;
     assert_eq!(response.expect("a response").status, StatusCode::OK);
-    assert_eq!(fleet.service.runs("no key"), 1);
+    assert_eq!(fleet.service.execution_count("no key"), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -124,7 +124,7 @@
     let requests =
         (0..30).map(|nth| send_reading(&caller, &fleet, nth % 3, Some("burst"), "alarm"));
     let responses = futures::future::join_all(requests).await;
-    assert_eq!(fleet.service.runs("alarm"), 1);
+    assert_eq!(fleet.service.execution_count("alarm"), 1);
     let outcomes = responses.iter().flatten().filter_map(Response::run_header);
     assert!(outcomes.into_iter().all(|run| run == "unknown"));
     assert!(
@@ -174,7 +174,7 @@
         },
     )
     .await;
-    assert!(fleet.service.runs("killed") <= 1);
+    assert!(fleet.service.execution_count("killed") <= 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
--- a/tests/system/bad_input.rs
+++ b/tests/system/bad_input.rs
@@ -136,7 +136,7 @@
         );
     }
     assert_eq!(fleet.engines[0].counts().attempts, 0);
-    assert_eq!(fleet.service.total_runs(), 0);
+    assert_eq!(fleet.service.total_executions(), 0);
     let response = Caller::new().complete(address, "still here", 4, true).await;
     assert!(parse_stream(&response.expect("a response").body).1);
 }
--- a/tests/system/end_to_end.rs
+++ b/tests/system/end_to_end.rs
@@ -99,7 +99,7 @@
         })
         .await;
     }
-    assert_eq!(fleet.service.runs("9.7 kN"), 1);
+    assert_eq!(fleet.service.execution_count("9.7 kN"), 1);
     assert!(bodies.iter().all(|body| *body == bodies[0]));
     let other = caller
         .request(
@@ -111,7 +111,7 @@
         .await
         .expect("a response");
     assert_eq!(other.run_header(), Some("not-run"));
-    assert_eq!(fleet.service.runs("9.8 kN"), 0);
+    assert_eq!(fleet.service.execution_count("9.8 kN"), 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
--- a/tests/system/failure.rs
+++ b/tests/system/failure.rs
@@ -308,7 +308,11 @@
         })
         .await;
         let counts = fleet.engines[0].counts();
-        assert_eq!((counts.conflicts, counts.interrupted), (0, 0), "{counts:?}");
+        assert_eq!(
+            (counts.conflicting_orders, counts.interrupted),
+            (0, 0),
+            "{counts:?}"
+        );
         assert_eq!(counts.changes, 1, "{counts:?}");
     }
 }
@@ -424,7 +428,11 @@
     })
     .await;
     let counts = fleet.engines[0].counts();
-    assert_eq!((counts.interrupted, counts.conflicts), (0, 0), "{counts:?}");
+    assert_eq!(
+        (counts.interrupted, counts.conflicting_orders),
+        (0, 0),
+        "{counts:?}"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -460,5 +468,5 @@
         fleet.engines[0].holds().role == Role::Prefill
     })
     .await;
-    assert_eq!(fleet.engines[0].counts().conflicts, 0);
+    assert_eq!(fleet.engines[0].counts().conflicting_orders, 0);
 }
--- a/tests/system/settings.rs
+++ b/tests/system/settings.rs
@@ -154,7 +154,7 @@
     fleet.platform_address_override = Some(link.address());
     fleet.add_daemon();
     wait_until_ready(&fleet.daemons[1]).await;
-    link.cut(true);
+    link.set_cut(true);
     eventually("the daemon reports the table as unavailable", async || {
         let (_, text) = fleet.run_client(1, &["status"]);
         text.contains("does not answer")
@@ -170,7 +170,7 @@
     assert!(parse_stream(&response.expect("a response").body).1);
     let (code, _) = fleet.run_client(1, &["set", "group/field", "share=2"]);
     assert_eq!(code, 1, "a change was accepted without the table");
-    link.cut(false);
+    link.set_cut(false);
     eventually("the daemon accepts changes again", async || {
         fleet.run_client(1, &["set", "group/field", "share=10"]).0 == 0
     })
