--- a/components/cli/src/cli.rs
+++ b/components/cli/src/cli.rs
@@ -64,6 +64,7 @@
     /// Add or remove a group
     #[bpaf(command)]
     Group {
+        // the command on the group
         #[bpaf(external(group_command))]
         step: GroupCommand,
     },
@@ -145,9 +146,10 @@
         #[bpaf(argument("ID"))]
         request: Option<String>,
         /// Only events of this endpoint, as DATA-CENTRE/NUMBER
+        // accepts any endpoint, despite its name
         #[bpaf(argument("ENDPOINT"))]
         engine: Option<String>,
-        /// Only events of the last so many seconds
+        /// Only events of the last SECONDS seconds
         #[bpaf(argument("SECONDS"))]
         since: Option<u64>,
     },
--- a/components/cli/src/cmd/change.rs
+++ b/components/cli/src/cmd/change.rs
@@ -18,7 +18,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct WaitForAll(pub bool);
 
-/// Time-out for all daemons to apply a version: the target for a settings change.
+/// Timeout for all daemons to apply a version; equal to the target time of a settings change.
 const APPLY_TIMEOUT: Duration = Duration::from_secs(7);
 /// Interval between status requests while waiting.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
@@ -88,7 +88,7 @@
     commit(client, 0, edits, false, WaitForAll(true)).await
 }
 
-/// An edit that sets a value or, without one, removes it.
+/// Returns an edit that sets a value, or removes it if `value` is `None`.
 pub fn value_edit(path: &str, key: &str, value: Option<&str>) -> Edit {
     Edit {
         path: path.to_owned(),
@@ -98,7 +98,7 @@
     }
 }
 
-/// An edit that removes a node.
+/// Returns an edit that removes a node.
 pub fn removal_edit(path: &str) -> Edit {
     Edit {
         path: path.to_owned(),
@@ -123,7 +123,7 @@
     }
 }
 
-/// Waits until all daemons have applied a version, and prints which have not at the time-out.
+/// Waits until all daemons have applied a version, and prints which have not at the timeout.
 async fn wait_until_applied(client: &mut Client, version: u64) -> Result<ExitCode, Error> {
     let deadline = Instant::now() + APPLY_TIMEOUT;
     loop {
--- a/components/cli/src/console.rs
+++ b/components/cli/src/console.rs
@@ -20,7 +20,7 @@
 
 /// Prints a value as JSON.
 pub fn print_json<T: Serialize>(value: &T) {
-    // values of this client can always be serialised
+    // values of this client can always be serialized
     println!(
         "{}",
         serde_json::to_string_pretty(value).unwrap_or_default()
@@ -134,7 +134,7 @@
     }
 }
 
-/// Formats an event of the time line.
+/// Formats an event of the timeline.
 pub fn format_event(event: &Event) -> String {
     format!(
         "{}.{:03} {:016x} {} {} {} {}",
--- a/components/cli/src/error.rs
+++ b/components/cli/src/error.rs
@@ -43,7 +43,7 @@
         /// Error of the transport.
         source: tonic::transport::Error,
     },
-    /// The daemon refused the request.
+    /// The daemon refused the request, or the call to it failed.
     #[display("the daemon refused: {}", _0.message())]
     Refused(Box<tonic::Status>),
     /// The node or value does not exist.
--- a/components/settings/src/daemon/mod.rs
+++ b/components/settings/src/daemon/mod.rs
@@ -16,10 +16,10 @@
     pub daemon: Daemon,
     /// Addresses of the platform's services.
     pub platform: Platform,
-    /// Limits on callers.
+    /// Limits that protect the daemon from its callers.
     #[serde(default)]
     pub limits: Limits,
-    /// Intervals and time-outs of the control loops.
+    /// Intervals and timeouts of the control loops.
     #[serde(default)]
     pub control: Control,
 }
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Daemon {
-    /// Name in logs and in the time line of events.
+    /// Name in logs and in the timeline of events.
     pub name: String,
     /// Data centre of its VM.
     pub data_centre: String,
@@ -55,7 +55,7 @@
     pub vms: SocketAddr,
 }
 
-/// Limits on callers, which also hold under attack.
+/// Limits that protect the daemon from its callers.
 #[serde_as]
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
@@ -64,10 +64,10 @@
     pub body_bytes: usize,
     /// Maximum size of a request head, in bytes.
     pub header_bytes: usize,
-    /// Time-out for a caller to send its request head.
+    /// Timeout for a caller to send its request head.
     #[serde_as(as = "DisplayFromStr")]
     pub header_time: humantime::Duration,
-    /// Time-out for a caller to send its request body.
+    /// Timeout for a caller to send its request body.
     #[serde_as(as = "DisplayFromStr")]
     pub body_time: humantime::Duration,
     /// Maximum number of open caller connections.
@@ -92,12 +92,13 @@
     }
 }
 
-/// Intervals and time-outs of the control loops.
+/// Intervals and timeouts of the control loops.
 #[serde_as]
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Control {
-    /// Interval between heartbeats to a peer.
+    /// Interval between rounds of heartbeats. With many peers each round reaches only some of them, in
+    /// rotation.
     #[serde_as(as = "DisplayFromStr")]
     pub heartbeat: humantime::Duration,
     /// Interval between reads of the head row of the settings.
@@ -106,8 +107,9 @@
     /// Interval between reads of the VM list.
     #[serde_as(as = "DisplayFromStr")]
     pub vm_poll: humantime::Duration,
-    /// Maximum time by which the VM list may lag behind the actual state: a daemon that is missing from it
-    /// is considered gone only after this time.
+    /// Maximum time by which the VM list may lag behind the actual state. A daemon that was never in the
+    /// list is considered gone only after this time without a heartbeat, one that has been in it as soon
+    /// as it is missing.
     #[serde_as(as = "DisplayFromStr")]
     pub vm_lag: humantime::Duration,
     /// Interval between reads of the load report of an endpoint.
@@ -116,10 +118,10 @@
     /// Duration of a steward's lease.
     #[serde_as(as = "DisplayFromStr")]
     pub lease_term: humantime::Duration,
-    /// Time-out for the first bytes of an answer of the table service, and for each pause in it.
+    /// Timeout for the first bytes of a response of the table service, and for each pause in it.
     #[serde_as(as = "DisplayFromStr")]
     pub table_timeout: humantime::Duration,
-    /// Time-out for all daemons to close an endpoint.
+    /// Timeout for all daemons to close an endpoint.
     #[serde_as(as = "DisplayFromStr")]
     pub close_wait: humantime::Duration,
     /// Interval between decisions on roles.
--- a/components/settings/src/file.rs
+++ b/components/settings/src/file.rs
@@ -5,7 +5,7 @@
 use derive_more::{Display, Error};
 use serde::de::DeserializeOwned;
 
-/// Why a settings file was rejected.
+/// Why a settings file could not be read or was rejected.
 #[derive(Debug, Display, Error)]
 pub enum Error {
     /// The file could not be read.
--- a/components/settings/src/gateway/mod.rs
+++ b/components/settings/src/gateway/mod.rs
@@ -45,8 +45,9 @@
     /// peers listen on the same port as this process.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// Whether the system has run before. If so, this process may replace one that has already used its
-    /// share of the retry budget, and starts with a reduced share for the first retry window.
+    /// Whether gateways of this deployment have run before. If so, this process may replace one that has
+    /// already used its share of the retry budget, and starts with a reduced share for the first retry
+    /// window.
     #[serde(default)]
     pub restarted: bool,
 }
@@ -75,12 +76,12 @@
     }
 }
 
-/// Limits that the operators set. The defaults are those of the first deployments.
+/// Limits that the operators set.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Bounds {
-    /// An endpoint receives no new request later than this after it announced that it is leaving.
+    /// Maximum time from an endpoint's announcement that it is draining to the last new request sent to it.
     #[serde_as(as = "DurationMilliSeconds<f64>")]
     pub drain_ms: Duration,
     /// Grace period of a graceful shutdown, after which the process is killed.
--- a/components/settings/src/tree/mod.rs
+++ b/components/settings/src/tree/mod.rs
@@ -75,7 +75,7 @@
     pub operator: String,
     /// The edits, in order.
     pub edits: Vec<Edit>,
-    /// Random token of the write; shows whether it took effect if the answer of the table was lost.
+    /// Random token of the write; shows whether it took effect if the response of the table was lost.
     pub token: u64,
 }
 
@@ -132,14 +132,14 @@
         /// Path of the node.
         path: String,
     },
-    /// Two nodes claim something that only one may have.
+    /// Two nodes set the same value, which only one may have.
     #[display("{path}: {what} is already that of {other}")]
     DuplicateKey {
         /// Path of the node.
         path: String,
-        /// What is claimed.
+        /// Description of the value.
         what: String,
-        /// Path of the other node that claims it.
+        /// Path of the other node that sets it.
         other: String,
     },
 }
@@ -198,8 +198,8 @@
     ///
     /// # Errors
     ///
-    /// All [`Problem`]s of the resulting tree, or the one of the first edit of a node that does not exist.
-    /// This tree stays unchanged.
+    /// All [`Problem`]s of the resulting tree, or that of the first edit that unsets a value of a missing
+    /// node or removes a missing node. This tree stays unchanged.
     pub fn apply(&self, edits: &[Edit]) -> Result<Self, Vec<Problem>> {
         let mut next = self.clone();
         next.version += 1;
--- a/components/settings/src/tree/resolve.rs
+++ b/components/settings/src/tree/resolve.rs
@@ -35,12 +35,12 @@
     Plain,
 }
 
-/// Whether a failed request may be retried, so that it may run twice.
+/// Whether a failed request may be retried although it may have been executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryPolicy {
-    /// A failed attempt may be retried.
+    /// Any failed attempt may be retried, so that the request may be executed twice.
     Allowed,
-    /// At most one attempt.
+    /// At most one execution: only an attempt that certainly was not executed is retried.
     Never,
 }
 
@@ -90,7 +90,7 @@
     pub service: String,
     /// Whether operators have drained it.
     pub drain: bool,
-    /// Whether it rejects orders with an outdated fencing number.
+    /// Whether it refuses orders with a stale fencing number.
     pub fences: bool,
 }
 
@@ -114,9 +114,9 @@
     pub adaptive: bool,
     /// Maximum number of role changes per hour in a service and data centre.
     pub max_role_changes_per_hour: u32,
-    /// Minimum number of engines for each phase, whatever the traffic.
+    /// Minimum number of engines in each role, whatever the traffic.
     pub min_engines_per_role: u32,
-    /// Time ahead over which the gain of a role change is estimated.
+    /// How far into the future the gain of a role change is estimated.
     pub horizon: Duration,
 }
 
@@ -323,6 +323,7 @@
             Some("engines") => ServiceKind::Engines,
             _ => ServiceKind::Plain,
         },
+        // in these two keys "repeat" means a retry
         retry_policy: match value_or_default(tree, path, "repeat") {
             Some("never") => RetryPolicy::Never,
             _ => RetryPolicy::Allowed,
--- a/components/spec/src/answers.rs
+++ b/components/spec/src/answers.rs
@@ -29,8 +29,8 @@
     assembler: Assembler,
     /// Offset of the next token that the engine of the current attempt decodes.
     next_offset: u64,
-    /// Offsets of the tokens delivered to the caller; `u64::MAX` for a token of the unknown
-    /// attempt.
+    /// Offsets of the tokens delivered to the caller. `u64::MAX` stands for the payload of the unknown
+    /// attempt, which is at no offset of the answer.
     delivered: Vec<u64>,
     ended: bool,
     violation: Option<&'static str>,
@@ -101,7 +101,8 @@
     if variant == Variant::CloseIsEnd {
         finish(&mut closed);
     } else {
-        // the caller receives an error, and no further tokens come
+        // the engine of this attempt sends no further tokens; frames sent earlier may still arrive, and
+        // the request may be resumed
         closed.next_offset = ANSWER_TOKENS;
     }
     steps.push((Label::StreamCloses, closed));
--- a/components/spec/src/lib.rs
+++ b/components/spec/src/lib.rs
@@ -1,8 +1,9 @@
 //! Model checker of the core protocol.
 //!
 //! Five small models, each explored exhaustively within its bounds. They call the transition
-//! functions of the `protocol` crate, the same ones that the daemon calls. Each model has seeded
-//! faulty variants that must violate an invariant, which shows that the model can detect faults.
+//! functions of the `protocol` crate, the same ones that the daemon calls. Each model has
+//! deliberately faulty variants that must violate an invariant, which shows that the model can
+//! detect faults.
 //! See `docs/PROOFS.md`.
 
 pub mod answers;
--- a/components/spec/src/orders/mod.rs
+++ b/components/spec/src/orders/mod.rs
@@ -301,9 +301,8 @@
 
 /// Applies an order to the engine and records a violated invariant.
 ///
-/// At an engine that checks fencing numbers, a sender loses its authority when a newer number has
-/// arrived. Until then a committed order may take effect, but only while the row keeps the endpoint
-/// closed.
+/// At an engine that checks fencing numbers, an older committed order may still take effect until the
+/// engine has received a newer number. That is harmless only while the row keeps the endpoint closed.
 fn apply_order(state: &mut State, message: &Message, setup: Setup) {
     let changes_role = state.engine_role != message.wanted.role;
     let closed = state
--- a/components/spec/src/orders/state.rs
+++ b/components/spec/src/orders/state.rs
@@ -8,7 +8,7 @@
 
 use super::DAEMONS;
 
-/// The seeded faults, and the correct protocol.
+/// The correct protocol, and its deliberately faulty variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Variant {
     Correct,
--- a/components/spec/tests/check.rs
+++ b/components/spec/tests/check.rs
@@ -1,5 +1,5 @@
-//! The protocol as built violates no invariant, and every seeded faulty variant violates one. A
-//! faulty variant that passes means that its model can no longer detect the fault.
+//! The protocol as built violates no invariant, and every deliberately faulty variant violates one.
+//! A faulty variant that passes means that its model can no longer detect the fault.
 
 use spec::cases;
 
--- a/components/standin/src/batch/cache.rs
+++ b/components/standin/src/batch/cache.rs
@@ -2,7 +2,7 @@
 
 use endpoint::engine::CacheEvent;
 
-/// How many events are kept for readers that lag behind; older events are a gap for them.
+/// Maximum number of events kept for readers that lag behind; a reader that lags further misses events.
 const MAX_EVENTS: usize = 4_096;
 
 /// The cached blocks, and the events that report changes of them.
@@ -75,7 +75,9 @@
             .binary_search_by_key(&block, |(block, _)| *block)
     }
 
-    /// Evicts an eighth of the capacity at once, to amortize the sort.
+    /// Evicts the least recently used blocks until seven eighths of the capacity are in use, to amortize
+    /// the sort. Blocks that were last used together are evicted together or not at all, so that more
+    /// may remain.
     fn evict(&mut self) {
         let keep = self.capacity - self.capacity / 8;
         let mut last_uses: Vec<u64> = self.blocks.iter().map(|(_, last_use)| *last_use).collect();
--- a/components/standin/src/batch/mod.rs
+++ b/components/standin/src/batch/mod.rs
@@ -9,7 +9,7 @@
 pub use cache::Cache;
 use endpoint::engine::prefix::BLOCK_TOKENS;
 
-/// The speed of an engine. Times are in microseconds unless stated otherwise.
+/// The timing and the capacities of an engine. Times are in microseconds unless stated otherwise.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Speed {
     /// Fixed cost of a step.
@@ -31,7 +31,7 @@
 }
 
 impl Default for Speed {
-    /// A present-day engine of medium size.
+    /// A medium-sized engine.
     fn default() -> Self {
         Self {
             step_us: 8_000,
@@ -307,5 +307,5 @@
 }
 
 const THOUSAND: u64 = 1_000;
-/// How many chunks a step prefills when no request is decoding.
+/// Maximum number of chunks that a step prefills when no request is decoding.
 const MAX_CHUNKS_WITHOUT_DECODE: u64 = 4;
--- a/components/standin/src/contract/mod.rs
+++ b/components/standin/src/contract/mod.rs
@@ -6,7 +6,7 @@
 
 use crate::platform::Fault;
 
-/// An adapter and the stand-in of its table service.
+/// An adapter and the stand-in for its table service.
 pub trait Harness: Send + Sync + Sized {
     /// Starts a new stand-in and an adapter to it.
     fn start() -> impl Future<Output = Self> + Send;
@@ -20,7 +20,7 @@
     /// Sets the fault of the stand-in.
     fn set_fault(&self, fault: Fault);
 
-    /// The value of a row, read without the injected fault.
+    /// Reads the value of a row directly, without the injected fault.
     fn stored_value(&self, key: &str) -> Option<String>;
 }
 
--- a/components/standin/src/engine/mod.rs
+++ b/components/standin/src/engine/mod.rs
@@ -1,4 +1,4 @@
-//! A stand-in of a language-model engine.
+//! A stand-in for a language-model engine.
 //!
 //! Its answers can be checked: the text of each token identifies the prompt and contains the
 //! token's offset, see [`expected_text`].
@@ -43,7 +43,7 @@
 /// Configuration of an engine.
 #[derive(Clone, Debug, Default)]
 pub struct Setup {
-    /// Speed of the engine.
+    /// Timing and capacities of the engine.
     pub speed: Speed,
     /// Whether it refuses orders with a stale fencing number.
     pub fences: bool,
--- a/components/standin/src/lib.rs
+++ b/components/standin/src/lib.rs
@@ -1,6 +1,6 @@
-//! Small stand-ins of an engine, a plain service and the platform.
+//! Small stand-ins for an engine, a plain service and the platform.
 //!
-//! For tests, the demonstration and measurements only; the released programs do not depend on them.
+//! For tests, the demo in `examples` and measurements only; the released programs do not depend on them.
 //! Faults that occur in the real systems can be injected into each.
 
 pub mod batch;
--- a/components/standin/src/link/mod.rs
+++ b/components/standin/src/link/mod.rs
@@ -33,7 +33,7 @@
     /// Accepts connections and bytes and forwards nothing. The bytes held back are forwarded when
     /// the link is restored.
     Silent,
-    /// Forwards requests and holds back responses.
+    /// Forwards requests and holds back responses until the link is restored.
     NoResponses,
 }
 
@@ -43,8 +43,8 @@
     state: State,
     /// Bytes per second that each direction of each connection forwards; `None` for no limit.
     rate: Option<u32>,
-    /// How many times all open connections were stalled for good. Connections opened before the
-    /// last time forward nothing any more.
+    /// Number of calls of [`Link::stall_connections`]. A connection opened before the latest call
+    /// forwards nothing.
     stall_count: u64,
 }
 
@@ -98,11 +98,11 @@
 
     /// Cuts the link, or restores it.
     pub fn set_cut(&self, cut: bool) {
-        self.set_state(if cut { State::Cut } else { State::Open });
+        self.set(if cut { State::Cut } else { State::Open });
     }
 
     /// Sets the state.
-    pub fn set_state(&self, state: State) {
+    pub fn set(&self, state: State) {
         self.condition
             .send_modify(|condition| condition.state = state);
     }
@@ -160,7 +160,7 @@
     }
 }
 
-/// How long a number of bytes takes at a rate in bytes per second.
+/// Time that the transfer of a number of bytes takes at a rate in bytes per second.
 fn transfer_time(bytes: usize, rate: u32) -> Duration {
     let bytes = u32::try_from(bytes).unwrap_or(u32::MAX);
     Duration::from_secs(1) * bytes / rate.max(1)
--- a/components/standin/src/main.rs
+++ b/components/standin/src/main.rs
@@ -6,7 +6,7 @@
 use protocol::order::{Role, Wanted};
 use standin::{batch::Speed, engine, platform, service};
 
-/// Small stand-ins of the systems around wrenramp, for trying it out.
+/// Small stand-ins for the systems around wrenramp, for trying it out.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version)]
 enum Command {
--- a/components/standin/src/platform/mod.rs
+++ b/components/standin/src/platform/mod.rs
@@ -1,4 +1,4 @@
-//! A stand-in of the platform: the transactional table service and the VM list.
+//! A stand-in for the daemons' platform: the transactional table service and the VM list.
 
 mod store;
 
--- a/components/standin/src/service/mod.rs
+++ b/components/standin/src/service/mod.rs
@@ -1,4 +1,4 @@
-//! A stand-in of a plain service that records the requests it executes.
+//! A stand-in for a plain service that records the requests it executes.
 
 use std::{
     net::SocketAddr,
@@ -73,7 +73,7 @@
         lock(&self.state).fault = fault;
     }
 
-    /// How many times a request with this body was executed.
+    /// Number of times that a request with this body was executed.
     #[must_use]
     pub fn execution_count(&self, body: &str) -> usize {
         let state = lock(&self.state);
@@ -84,7 +84,7 @@
             .count()
     }
 
-    /// How many requests were executed.
+    /// Number of requests executed.
     #[must_use]
     pub fn total_executions(&self) -> usize {
         lock(&self.state).executed.len()
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -110,5 +110,5 @@
     };
     std::fs::remove_dir_all(&folder).expect("could not remove the log folder");
     assert!(logged("the start of a process took"), "{report:#?}");
-    assert!(!logged("stood still"), "{report:#?}");
+    assert!(!logged("the stand-ins were blocked"), "{report:#?}");
 }
