--- a/components/standin/src/link/mod.rs
+++ b/components/standin/src/link/mod.rs
@@ -33,8 +33,8 @@
     /// Accepts connections and bytes and forwards nothing. The bytes held back are forwarded when
     /// the link is restored.
     Silent,
-    /// Forwards requests and holds back responses.
-    NoAnswers,
+    /// Forwards requests and holds back responses until the link is restored.
+    NoResponses,
 }
 
 /// The conditions that apply to the connections of a link.
@@ -43,8 +43,8 @@
     state: State,
     /// Bytes per second that each direction of each connection forwards; `None` for no limit.
     rate: Option<u32>,
-    /// How many times all open connections were stalled for good. Connections opened before the
-    /// last time forward nothing any more.
+    /// Number of calls of [`Link::stall_connections`]. A connection opened before the latest call
+    /// forwards nothing.
     stall_count: u64,
 }
 
@@ -97,7 +97,7 @@
     }
 
     /// Cuts the link, or restores it.
-    pub fn cut(&self, cut: bool) {
+    pub fn set_cut(&self, cut: bool) {
         self.set(if cut { State::Cut } else { State::Open });
     }
 
@@ -109,9 +109,9 @@
 
     /// Limits each direction of each connection to this many bytes per second from now on, in every
     /// state.
-    pub fn limit_rate(&self, rate: u32) {
+    pub fn limit_rate(&self, bytes_per_second: u32) {
         self.condition
-            .send_modify(|condition| condition.rate = Some(rate));
+            .send_modify(|condition| condition.rate = Some(bytes_per_second));
     }
 
     /// Stalls all open connections for good, without a reset; new connections work.
@@ -160,7 +160,7 @@
     }
 }
 
-/// How long a number of bytes takes at a rate in bytes per second.
+/// Time that the transfer of a number of bytes takes at a rate in bytes per second.
 fn transfer_time(bytes: usize, rate: u32) -> Duration {
     let bytes = u32::try_from(bytes).unwrap_or(u32::MAX);
     Duration::from_secs(1) * bytes / rate.max(1)
@@ -211,7 +211,7 @@
         let is_held = |condition: &Condition| match condition.state {
             _ if condition.stall_count > initial_stalls => true,
             State::Silent => true,
-            State::NoAnswers => is_response,
+            State::NoResponses => is_response,
             State::Open | State::Cut | State::Slow(_) => false,
         };
         // an error means that the link was dropped, and its connections end with it
--- a/examples/mixshift_parts/fleet.rs
+++ b/examples/mixshift_parts/fleet.rs
@@ -51,6 +51,6 @@
     /// Starts the next step and returns its duration in microseconds; `None` if there is no work.
     pub fn start_step(&mut self) -> Option<u64> {
         self.current_step = self.batch.step();
-        self.current_step.as_ref().map(|step| step.us)
+        self.current_step.as_ref().map(|step| step.duration_us)
     }
 }
