--- a/components/cli/src/error.rs
+++ b/components/cli/src/error.rs
@@ -43,12 +43,12 @@
         /// Error of the transport.
         source: tonic::transport::Error,
     },
-    /// The daemon refused the request.
+    /// The daemon refused the request, or the call to it failed.
     #[display("the daemon refused: {}", _0.message())]
     Refused(Box<tonic::Status>),
     /// The node or value does not exist.
     #[display("{_0} is not set")]
-    NotSet(#[error(not(source))] String),
+    NotFound(#[error(not(source))] String),
     /// An endpoint is not written as `DATA-CENTRE/NUMBER`.
     #[display("{_0} is not an endpoint; write it as DATA-CENTRE/NUMBER")]
     InvalidEndpoint(#[error(not(source))] String),
