--- a/components/daemon/src/process/pool/mod.rs
+++ b/components/daemon/src/process/pool/mod.rs
@@ -342,7 +342,7 @@
             .map(|entry| entry.to_engine(0))
             .collect();
         drop(entries);
-        route::estimate_shortest_wait(&candidates, &self.weights)
+        route::estimate_shortest_prefill_wait(&candidates, &self.weights)
             .map_or(DEFAULT_RETRY_AFTER, |us| {
                 Duration::from_micros(to_u64(us)).max(Duration::from_secs(1))
             })
--- a/components/gateway/src/connection/close.rs
+++ b/components/gateway/src/connection/close.rs
@@ -78,8 +78,8 @@
         } else {
             &self.reason
         };
-        let cuts = &self.gateway.metrics.interrupted_connections;
-        cuts.with_label_values(&[reason.label()]).inc();
+        let interrupted = &self.gateway.metrics.interrupted_connections;
+        interrupted.with_label_values(&[reason.label()]).inc();
         log::info!(
             request = request.id, endpoint = request.endpoint.as_deref(), reason:%,
             took_us = policy::micros(request.arrived.elapsed());
--- a/components/gateway/src/connection/mod.rs
+++ b/components/gateway/src/connection/mod.rs
@@ -74,7 +74,7 @@
             first
         });
         let (gateway, exchange) = (Arc::clone(&gateway), Arc::clone(&exchange));
-        async move { Ok::<_, Infallible>(request::answer(gateway, exchange, request).await) }
+        async move { Ok::<_, Infallible>(request::handle(gateway, exchange, request).await) }
     });
     let caller = TokioIo::new(Socket::new(stream, Arc::clone(&exchange)));
     let connection = builder.serve_connection(caller, service);
--- a/components/gateway/src/endpoint/registry.rs
+++ b/components/gateway/src/endpoint/registry.rs
@@ -5,7 +5,7 @@
 use parking_lot::{Mutex, RwLock};
 
 use super::{BusySet, Id, IncarnationOrder, Profile, State, Target, subset};
-use crate::edge::Change;
+use crate::adapters::Change;
 
 /// Maximum number of changes in an update up to which each new endpoint gets a log line. The lists
 /// of the first deployments have 60 endpoints; at each start the thousands of a large fleet would
--- a/components/gateway/src/lib.rs
+++ b/components/gateway/src/lib.rs
@@ -4,8 +4,8 @@
 //!
 //! Every entry VM runs the same gateway. See `docs/PLATFORM.md`.
 
+pub mod adapters;
 mod connection;
-pub mod edge;
 pub mod endpoint;
 mod error;
 mod peer;
--- a/components/gateway/src/peer/changes.rs
+++ b/components/gateway/src/peer/changes.rs
@@ -5,7 +5,7 @@
 use wire::{EndpointChange, EndpointChanges, EndpointStage};
 
 use crate::{
-    edge::Change,
+    adapters::Change,
     endpoint::{Id, Profile, Stage, State},
 };
 
--- a/components/gateway/src/peer/suspects.rs
+++ b/components/gateway/src/peer/suspects.rs
@@ -1,6 +1,6 @@
 //! Exchange of suspect requests between peers: requests during which endpoints crashed.
 
-use policy::suspect::{Crash, Moment, Record};
+use policy::suspect::{Crash, Record, SignedMicros};
 use wire::{EndpointEnd, Suspect};
 
 use crate::{
@@ -8,10 +8,10 @@
     request::Fingerprint,
 };
 
-const MICROS_PER_MILLI: Moment = 1_000;
+const MICROS_PER_MILLI: SignedMicros = 1_000;
 
 /// Encodes the record of a request.
-pub(super) fn encode(content: Fingerprint, record: &Record, now: Moment) -> Suspect {
+pub(super) fn encode(content: Fingerprint, record: &Record, now: SignedMicros) -> Suspect {
     let ends = record.crashes.iter().map(|end| EndpointEnd {
         endpoint: end.endpoint,
         ago_ms: age_ms(end.at, now),
@@ -31,8 +31,8 @@
     }
 }
 
-fn decode(received: &Suspect, now: Moment) -> Record {
-    let ago = |age_ms: u32| now - Moment::from(age_ms) * MICROS_PER_MILLI;
+fn decode(received: &Suspect, now: SignedMicros) -> Record {
+    let ago = |age_ms: u32| now - SignedMicros::from(age_ms) * MICROS_PER_MILLI;
     let mut ends: Vec<Crash> = received
         .ends
         .iter()
@@ -49,7 +49,7 @@
 }
 
 /// Returns the age of `at` in milliseconds: at least 1, since 0 stands for "never".
-fn age_ms(at: Moment, now: Moment) -> u32 {
+fn age_ms(at: SignedMicros, now: SignedMicros) -> u32 {
     u32::try_from((now - at) / MICROS_PER_MILLI)
         .unwrap_or(u32::MAX)
         .max(1)
--- a/components/gateway/src/process/backoff.rs
+++ b/components/gateway/src/process/backoff.rs
@@ -5,7 +5,7 @@
 use clock::Instant;
 
 use super::Gateway;
-use crate::edge::Cursor;
+use crate::adapters::Cursor;
 
 /// How long the store may hold a request before it answers that nothing changed.
 ///
--- a/components/gateway/src/process/configuration.rs
+++ b/components/gateway/src/process/configuration.rs
@@ -11,7 +11,7 @@
     next_read,
 };
 use crate::{
-    edge::{Cursor, Failure, Update},
+    adapters::{Cursor, Failure, Update},
     version::Configuration,
 };
 
--- a/components/gateway/src/process/endpoints.rs
+++ b/components/gateway/src/process/endpoints.rs
@@ -11,7 +11,7 @@
     next_read,
 };
 use crate::{
-    edge::{Change, Cursor, Failure, Update},
+    adapters::{Change, Cursor, Failure, Update},
     endpoint::Target,
     peer::Advertisement,
 };
--- a/components/gateway/src/process/follow.rs
+++ b/components/gateway/src/process/follow.rs
@@ -12,7 +12,7 @@
 use clock::Instant;
 
 use super::Gateway;
-use crate::{edge::Cursor, peer::Reader};
+use crate::{adapters::Cursor, peer::Reader};
 
 /// The minimum number of gateways that read the lists, so that one may fail without the others' lists
 /// becoming older. One of them must be in the own data centre, so that changes are known there even when it
--- a/components/gateway/src/process/missing.rs
+++ b/components/gateway/src/process/missing.rs
@@ -9,7 +9,7 @@
 use clock::Instant;
 
 use super::Gateway;
-use crate::{edge::Change, endpoint::Id};
+use crate::{adapters::Change, endpoint::Id};
 
 /// How long after the store's recovery an expired entry may take to reappear if its endpoint is alive; after
 /// that the endpoint is gone. A little longer than the platform specifies, to allow for the time until the
--- a/components/gateway/src/process/mod.rs
+++ b/components/gateway/src/process/mod.rs
@@ -34,8 +34,8 @@
 use suspects::Suspects;
 
 use crate::{
+    adapters::{Dialect, Directory},
     connection,
-    edge::{Dialect, Directory},
     endpoint::Registry,
     error::Error,
     peer::{self, Peers},
--- a/components/gateway/src/process/suspects.rs
+++ b/components/gateway/src/process/suspects.rs
@@ -9,7 +9,7 @@
 use clock::Instant;
 use derive_more::Display;
 use parking_lot::Mutex;
-use policy::suspect::{self, Crash, Moment, Record};
+use policy::suspect::{self, Crash, Record, SignedMicros};
 use tokio::sync::Notify;
 
 use super::Gateway;
@@ -20,7 +20,7 @@
 const RESEND_INTERVAL: Duration = Duration::from_secs(1);
 /// How long a request under which a single endpoint crashed is sent again; those with more crashes are sent
 /// as long as they are known.
-const SINGLE_CRASH_RESEND_PERIOD: Moment = 5_000_000;
+const SINGLE_CRASH_RESEND_PERIOD: SignedMicros = 5_000_000;
 /// The maximum number of suspects sent again at once, the most recent first, so that a datagram fits in a
 /// packet.
 const MAX_RESENT: usize = 32;
@@ -238,8 +238,8 @@
     }
 
     /// The current time on the clock of suspects.
-    pub fn moment(&self) -> Moment {
-        Moment::try_from(self.micros()).unwrap_or(Moment::MAX)
+    pub fn moment(&self) -> SignedMicros {
+        SignedMicros::try_from(self.micros()).unwrap_or(SignedMicros::MAX)
     }
 }
 
--- a/components/gateway/src/process/withheld.rs
+++ b/components/gateway/src/process/withheld.rs
@@ -5,7 +5,7 @@
 
 use clock::Instant;
 use cloud::table::{Read, Transaction};
-use policy::suspect::{Crash, Moment, Record};
+use policy::suspect::{Crash, Record, SignedMicros};
 use serde::{Deserialize, Serialize};
 
 use super::{Gateway, Source};
@@ -22,7 +22,7 @@
 const MAX_ROWS: usize = 200;
 /// How often rows that are no longer needed are removed.
 const CLEANUP_INTERVAL: Duration = Duration::from_secs(60);
-const MICROS_PER_MILLI: Moment = 1_000;
+const MICROS_PER_MILLI: SignedMicros = 1_000;
 
 /// The row of a withheld request.
 #[derive(Debug, Serialize, Deserialize)]
@@ -145,7 +145,7 @@
 }
 
 impl Row {
-    fn new(record: &Record, now: Moment) -> Self {
+    fn new(record: &Record, now: SignedMicros) -> Self {
         let unix_now = unix_millis();
         let ends = record.crashes.iter().map(|end| StoredCrash {
             endpoint: end.endpoint,
@@ -156,7 +156,7 @@
         }
     }
 
-    fn record(&self, now: Moment) -> Record {
+    fn record(&self, now: SignedMicros) -> Record {
         let unix_now = unix_millis();
         let mut ends: Vec<Crash> = self
             .ends
--- a/components/gateway/src/request/attempt.rs
+++ b/components/gateway/src/request/attempt.rs
@@ -12,9 +12,9 @@
     http::response,
 };
 
-use super::{attempts::Phase, job::Job, timeout::Timeout};
+use super::{attempts::Purpose, job::Job, timeout::Timeout};
 use crate::{
-    edge::{Call, Directive},
+    adapters::{Call, Directive},
     endpoint::{ConnectError, Connection, RequestGuard, Target, Verdict},
 };
 
@@ -181,20 +181,20 @@
         .connect(max_idle, job.max_connections())
         .await
         .map_err(Cause::NotOpened)?;
-    let phase = if directive.prefill_only {
-        Phase::Read
+    let purpose = if directive.prefill_only {
+        Purpose::Read
     } else {
-        Phase::Run
+        Purpose::Run
     };
-    if !job.arrivals.record(job, phase) {
+    if !job.sends.record(job, purpose) {
         target.return_connection(connection);
         return Err(Cause::RetryBudgetExhausted);
     }
     let request = build_request(job, directive);
     let suspect = job.gateway.is_suspect(job.fingerprint);
     let guard = RequestGuard::new(target, job.fingerprint, suspect);
-    let runs = phase == Phase::Run;
-    job.open.forwarded(&target.id.0, runs);
+    let executes = purpose == Purpose::Run;
+    job.exchange_guard.forwarded(&target.id.0, executes);
     let sending = connection.sender().try_send_request(request);
     let answered = tokio::select! {
         answered = sending => answered,
@@ -208,7 +208,7 @@
                 // the connection had closed before any byte was written
                 Some(_) => {
                     guard.finish();
-                    note_not_run(job, runs);
+                    record_not_run(job, executes);
                     Cause::NotSent
                 }
                 None if error.error().is_parse() => Cause::ForeignResponse,
@@ -232,7 +232,7 @@
         () if !reply.matches_request => Err(Cause::ForeignResponse),
         () if reply.not_run => {
             guard.finish();
-            note_not_run(job, runs);
+            record_not_run(job, executes);
             drain_and_return(target, connection, body);
             Err(Cause::NotRun(head.status.as_u16()))
         }
@@ -247,9 +247,9 @@
 }
 
 /// Notes that an attempt did not run the request, if it was meant to.
-fn note_not_run(job: &Job, runs: bool) {
-    if runs {
-        job.open.not_executed();
+fn record_not_run(job: &Job, executes: bool) {
+    if executes {
+        job.exchange_guard.not_executed();
     }
 }
 
--- a/components/gateway/src/request/attempts.rs
+++ b/components/gateway/src/request/attempts.rs
@@ -14,7 +14,7 @@
 
 /// What an attempt is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Phase {
+pub enum Purpose {
     /// Prefill only, which doesn't count as a run.
     Read,
     /// Running the request.
@@ -29,13 +29,13 @@
     /// Why it failed.
     pub cause: Cause,
     /// What it was for.
-    pub phase: Phase,
+    pub purpose: Purpose,
 }
 
 impl FailedAttempt {
     /// Whether the request certainly did not run in this attempt.
     pub fn not_run(&self) -> bool {
-        self.phase == Phase::Read || self.cause.not_run()
+        self.purpose == Purpose::Read || self.cause.not_run()
     }
 }
 
@@ -99,14 +99,14 @@
         self.failures += 1;
         let not_run = failed.not_run();
         self.runs += u32::from(!not_run);
-        let repeats = not_run || job.route.kind.is_retryable();
-        let left = !job.time_left().is_zero();
-        let attempts = self.runs < job.route.max_attempts;
-        let budget = failed.cause != Cause::RetryBudgetExhausted;
+        let is_retryable = not_run || job.route.kind.is_retryable();
+        let has_time_left = !job.time_left().is_zero();
+        let has_attempts_left = self.runs < job.route.max_attempts;
+        let has_budget = failed.cause != Cause::RetryBudgetExhausted;
         let withheld = job.gateway.withheld_for(job.fingerprint);
         log::info!(
             request = job.metadata.id, endpoint = &*failed.target.id.0, cause:% = failed.cause,
-            phase:? = failed.phase, runs = self.runs, not_run, repeats, left;
+            phase:? = failed.purpose, runs = self.runs, not_run, repeats = is_retryable, left = has_time_left;
             "an attempt failed"
         );
         // an engine that could not fetch the KV cache can still prefill the prompt itself
@@ -114,9 +114,9 @@
             self.tried.push(failed.target);
         }
         match withheld {
-            None if repeats && left && attempts && budget => Ok(()),
+            None if is_retryable && has_time_left && has_attempts_left && has_budget => Ok(()),
             Some(lapses) if self.runs == 0 => Err(Reason::Withheld(lapses)),
-            None | Some(_) => Err(self.refusal(left)),
+            None | Some(_) => Err(self.refusal(has_time_left)),
         }
     }
 
@@ -131,16 +131,16 @@
 
     /// Returns the refusal when the process would shut down before another attempt ends. It says
     /// that nothing has run only if nothing can have run.
-    pub fn stopping_refusal(&self) -> Reason {
+    pub fn shutdown_refusal(&self) -> Reason {
         if self.runs == 0 {
-            Reason::Stopping
+            Reason::ShuttingDown
         } else {
             self.refusal(true)
         }
     }
 
-    fn refusal(&self, left: bool) -> Reason {
-        match (self.runs, left) {
+    fn refusal(&self, has_time_left: bool) -> Reason {
+        match (self.runs, has_time_left) {
             (0, true) => Reason::AllRefused(DEFAULT_RETRY_AFTER),
             (0, false) => Reason::Expired,
             (_, true) => Reason::AnswerLost,
@@ -157,7 +157,7 @@
 /// accepted, so a retry that it may turn out to be is taken from the budget first and returned
 /// then.
 #[derive(Debug, Default)]
-pub struct Arrivals(Mutex<Counters>);
+pub struct SendCounter(Mutex<Counters>);
 
 #[derive(Debug, Default)]
 struct Counters {
@@ -177,9 +177,9 @@
     retry: Option<RetryPermit>,
 }
 
-impl Arrivals {
+impl SendCounter {
     /// Counts a request that is about to be sent. Returns whether the budget allows it.
-    pub fn record(&self, job: &Job, phase: Phase) -> bool {
+    pub fn record(&self, job: &Job, purpose: Purpose) -> bool {
         let mut counters = self.0.lock();
         let retry = match counters.counted {
             0 => None,
@@ -188,7 +188,7 @@
                 retry => retry,
             },
         };
-        if phase == Phase::Read && !counters.free_prefill_used {
+        if purpose == Purpose::Read && !counters.free_prefill_used {
             counters.pending = Some(PendingPrefill { retry });
         } else {
             counters.counted += 1;
@@ -203,7 +203,7 @@
         let enough = taken.len() == count;
         self.0.lock().reserved.extend(taken);
         if !enough {
-            self.release(job);
+            self.refund_reserved(job);
         }
         enough
     }
@@ -215,26 +215,26 @@
     }
 
     /// Returns the retries that were reserved and not used.
-    pub fn release(&self, job: &Job) {
+    pub fn refund_reserved(&self, job: &Job) {
         for retry in self.0.lock().reserved.drain(..) {
-            return_retry(job, &retry);
+            refund_retry(job, &retry);
         }
     }
 
     /// Records that an engine accepted a prefill.
-    pub fn prefill_accepted(&self, job: &Job) {
+    pub fn record_prefill_accepted(&self, job: &Job) {
         let mut counters = self.0.lock();
         let Some(pending) = counters.pending.take() else {
             return;
         };
         counters.free_prefill_used = true;
         if let Some(retry) = pending.retry {
-            return_retry(job, &retry);
+            refund_retry(job, &retry);
         }
     }
 
     /// Records that a prefill failed or was never sent.
-    pub fn prefill_failed(&self) {
+    pub fn record_prefill_failed(&self) {
         let mut counters = self.0.lock();
         let pending = counters.pending.take();
         counters.counted += u32::from(pending.is_some());
@@ -245,7 +245,7 @@
     job.gateway.take_retry(&job.service.name, &job.metadata.id)
 }
 
-fn return_retry(job: &Job, retry: &RetryPermit) {
+fn refund_retry(job: &Job, retry: &RetryPermit) {
     let gateway = &job.gateway;
     gateway.return_retry(&job.service.name, &job.metadata.id, retry);
 }
--- a/components/gateway/src/request/body.rs
+++ b/components/gateway/src/request/body.rs
@@ -16,9 +16,9 @@
     if usize::try_from(announced).is_ok_and(|bytes| bytes > limits.max_body_bytes) {
         return Err(Reason::TooLarge);
     }
-    let whole = Limited::new(body, limits.max_body_bytes).collect();
-    match clock::timeout_at(arrived + limits.idle_timeout, whole).await {
-        Ok(Ok(whole)) => Ok(whole.to_bytes()),
+    let collected = Limited::new(body, limits.max_body_bytes).collect();
+    match clock::timeout_at(arrived + limits.idle_timeout, collected).await {
+        Ok(Ok(collected)) => Ok(collected.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => Err(Reason::TooLarge),
         Ok(Err(_)) | Err(_) => Err(Reason::SlowBody),
     }
--- a/components/gateway/src/request/events.rs
+++ b/components/gateway/src/request/events.rs
@@ -5,12 +5,12 @@
 
 /// Splits a stream into complete events.
 #[derive(Debug, Default)]
-pub struct EventSplitter {
+pub struct EventBuffer {
     partial: BytesMut,
     last_id: Option<u64>,
 }
 
-impl EventSplitter {
+impl EventBuffer {
     /// Sets the id of the event after which the stream begins.
     pub fn start_after(&mut self, id: u64) {
         self.last_id = Some(id);
@@ -21,11 +21,11 @@
     pub fn push(&mut self, bytes: &Bytes) -> Option<Bytes> {
         self.partial.extend_from_slice(bytes);
         let end = last_event_end(&self.partial)?;
-        let whole = self.partial.split_to(end).freeze();
-        if let Some(id) = find_last_id(&whole) {
+        let complete = self.partial.split_to(end).freeze();
+        if let Some(id) = find_last_id(&complete) {
             self.last_id = Some(id);
         }
-        Some(whole)
+        Some(complete)
     }
 
     /// Returns the remaining bytes of a stream that ended normally.
@@ -46,8 +46,8 @@
 
 /// Returns the end of the last complete event, which is marked by a blank line.
 fn last_event_end(bytes: &[u8]) -> Option<usize> {
-    let lf = find_last(bytes, b"\n\n").map(|at| at + 2);
-    let crlf = find_last(bytes, b"\r\n\r\n").map(|at| at + 4);
+    let lf = find_last(bytes, b"\n\n").map(|index| index + 2);
+    let crlf = find_last(bytes, b"\r\n\r\n").map(|index| index + 4);
     lf.max(crlf)
 }
 
--- a/components/gateway/src/request/generate/migrate.rs
+++ b/components/gateway/src/request/generate/migrate.rs
@@ -11,7 +11,7 @@
 
 use super::snapshot::{Snapshot, is_long_answer, placement_request};
 use crate::{
-    edge::{Directive, KvHandle},
+    adapters::{Directive, KvHandle},
     endpoint::{DecodeGuard, Target},
     request::{
         attempt::{self, Answer, Cause},
@@ -42,8 +42,9 @@
     /// it. None if the old engine itself refused it, or if too much time has passed.
     #[must_use]
     pub fn back_to_source(self) -> Option<Self> {
-        let may = self.target.id != self.source.id && self.asked_at.elapsed() < RETURN_WINDOW;
-        may.then(|| Self {
+        let can_return =
+            self.target.id != self.source.id && self.asked_at.elapsed() < RETURN_WINDOW;
+        can_return.then(|| Self {
             target: Arc::clone(&self.source),
             ..self
         })
@@ -56,8 +57,8 @@
     let asked_at = Instant::now();
     let snapshot = Snapshot::new(job, std::slice::from_ref(from));
     let weights = Weights::default();
-    let at = place::choose_decode_engine(&snapshot.engines, &placement_request(job), &weights)?;
-    let to = &snapshot.targets[at];
+    let index = place::choose_decode_engine(&snapshot.engines, &placement_request(job), &weights)?;
+    let to = &snapshot.targets[index];
     let address = |target: &Target| target.with(|state| state.profile.address);
     let dialect = &job.gateway.adapters.dialect;
     let call = dialect.migration_call(&job.metadata.id, address(to));
--- a/components/gateway/src/request/generate/mod.rs
+++ b/components/gateway/src/request/generate/mod.rs
@@ -33,32 +33,32 @@
     let mut may_split = true;
     loop {
         let (snapshot, choice) = place(&job, &attempts, may_split).await?;
-        if !timing::ends_before_stop(&job, &snapshot, &choice) {
-            return Err(attempts.stopping_refusal());
+        if !timing::ends_before_shutdown(&job, &snapshot, &choice) {
+            return Err(attempts.shutdown_refusal());
         }
         let timing = if attempts.none_failed() {
             timing::decide(&job, &snapshot, &choice)?
         } else {
             snapshot.log_placement(&job, &choice, "placed for a retry");
-            Timing::OnTime
+            Timing::Normal
         };
         let outcome = match (timing, choice.placement) {
             (Timing::Deferred(deferred), _) => {
-                let mode = prefill::Mode::Deferred(deferred.prefill_us);
-                run::split(&job, &snapshot, deferred.engine, &attempts, mode).await
+                let urgency = prefill::Urgency::Deferred(deferred.prefill_us);
+                run::split(&job, &snapshot, deferred.engine, &attempts, urgency).await
             }
-            (Timing::OnTime, Placement::Single { engine }) => {
+            (Timing::Normal, Placement::Single { engine }) => {
                 let timeout = timing::timeout(&job, &attempts, choice.first_event_us);
                 run::single_engine(&job, &snapshot, engine, timeout, None).await
             }
-            (Timing::OnTime, Placement::Split { prefill, .. }) => {
-                let mode = prefill::Mode::OnTime(choice.first_event_us);
-                run::split(&job, &snapshot, prefill, &attempts, mode).await
+            (Timing::Normal, Placement::Split { prefill, .. }) => {
+                let urgency = prefill::Urgency::Normal(choice.first_event_us);
+                run::split(&job, &snapshot, prefill, &attempts, urgency).await
             }
         };
         match outcome {
             Ok((answer, decode_guard)) => {
-                if attempts.none_failed() && timing == Timing::OnTime {
+                if attempts.none_failed() && timing == Timing::Normal {
                     let took = policy::micros(job.arrived.elapsed());
                     job.gateway
                         .learn_margin(&job.service.name, choice.first_event_us, took);
@@ -106,8 +106,8 @@
         return Err(attempts.exhausted_refusal());
     }
     // a request that still waits when the process exits would get no answer
-    if !job.ends_before_stop(queue::max_wait(job)) {
-        return Err(attempts.stopping_refusal());
+    if !job.ends_before_shutdown(queue::max_wait(job)) {
+        return Err(attempts.shutdown_refusal());
     }
     let ticket = queue.join(job);
     while ticket.wait_turn().await {
--- a/components/gateway/src/request/generate/prefill.rs
+++ b/components/gateway/src/request/generate/prefill.rs
@@ -12,12 +12,12 @@
     timing,
 };
 use crate::{
-    edge::{Directive, KvHandle, Priority},
+    adapters::{Directive, KvHandle, Priority},
     endpoint::{PrefillGuard, Target},
     process::Gateway,
     request::{
         attempt::{self, Cause},
-        attempts::{Attempts, FailedAttempt, Phase},
+        attempts::{Attempts, FailedAttempt, Purpose},
         job::Job,
         timeout::{EarlyTimeout, Timeout},
     },
@@ -35,11 +35,11 @@
 }
 
 /// Adds a prompt to an engine's load, and notes that the engine will have its parts cached.
-pub fn start(job: &Job, snapshot: &Snapshot, at: usize, deferred: bool) -> InFlight {
-    let target = &snapshot.targets[at];
-    let engine = &snapshot.engines[at];
-    let held = engine.cached_tokens + engine.fetch.tokens;
-    let work = policy::prompt::prefill_work(placement_request(job).prompt_tokens, held);
+pub fn start(job: &Job, snapshot: &Snapshot, index: usize, deferred: bool) -> InFlight {
+    let target = &snapshot.targets[index];
+    let engine = &snapshot.engines[index];
+    let available_tokens = engine.cached_tokens + engine.fetch.tokens;
+    let work = policy::prompt::prefill_work(placement_request(job).prompt_tokens, available_tokens);
     let paces = job.gateway.paces(&job.service.name);
     let now = Instant::now();
     let ahead = target.with(|state| {
@@ -53,7 +53,7 @@
         }
         ahead
     });
-    note_parts(job, target, false);
+    record_parts(job, target, false);
     InFlight {
         guard: PrefillGuard::new(target, work, deferred),
         ahead,
@@ -62,7 +62,7 @@
 
 /// Notes that an engine will have the parts of a prompt cached: soon if they are `fetched`,
 /// otherwise once it has prefilled them.
-pub fn note_parts(job: &Job, target: &Arc<Target>, fetched: bool) {
+pub fn record_parts(job: &Job, target: &Arc<Target>, fetched: bool) {
     if let Some(prompt) = &job.metadata.prompt {
         let common = job.gateway.common(&job.service.name);
         target.with(|state| state.record_prompt(Instant::now(), &common, &prompt.parts, fetched));
@@ -74,20 +74,20 @@
 
 /// How urgent a prefill is, with the expected time in microseconds.
 #[derive(Clone, Copy, Debug)]
-pub enum Mode {
+pub enum Urgency {
     /// The answer is to begin in time, after this long.
-    OnTime(f64),
+    Normal(f64),
     /// The answer will be late, so the prompt yields priority to others; its prefill is expected to
     /// take this long.
     Deferred(f64),
 }
 
-impl Mode {
+impl Urgency {
     /// Returns when the engine is suspected to be lost; none for a deferred prompt, which may have
     /// to wait.
     fn early_timeout<'a>(self, job: &'a Job, attempts: &'a Attempts) -> Option<EarlyTimeout<'a>> {
         match self {
-            Self::OnTime(first) => Some(timing::early_timeout(job, attempts, first)),
+            Self::Normal(first_us) => Some(timing::early_timeout(job, attempts, first_us)),
             Self::Deferred(_) => None,
         }
     }
@@ -95,22 +95,22 @@
 
 /// The wait for a prefill. For a deferred prompt it updates the learned wait factor, also if the
 /// caller leaves before the prefill ends.
-struct DeferredWait<'a> {
+struct PrefillWait<'a> {
     job: &'a Job,
     /// Expected time of a deferred prefill; none once its actual time has been learned.
-    expected: Option<f64>,
+    expected_us: Option<f64>,
     begun: Instant,
 }
 
-impl<'a> DeferredWait<'a> {
-    fn new(job: &'a Job, mode: Mode) -> Self {
-        let expected = match mode {
-            Mode::OnTime(_) => None,
-            Mode::Deferred(read) => Some(read),
+impl<'a> PrefillWait<'a> {
+    fn new(job: &'a Job, urgency: Urgency) -> Self {
+        let expected_us = match urgency {
+            Urgency::Normal(_) => None,
+            Urgency::Deferred(prefill_us) => Some(prefill_us),
         };
         Self {
             job,
-            expected,
+            expected_us,
             begun: Instant::now(),
         }
     }
@@ -121,17 +121,17 @@
     }
 
     fn learn(&mut self, learn: impl FnOnce(&mut WaitFactor, f64, policy::Micros)) {
-        if let Some(expected) = self.expected.take() {
+        if let Some(expected_us) = self.expected_us.take() {
             let took = policy::micros(self.begun.elapsed());
             let gateway = &self.job.gateway;
             gateway.learn_stretch(&self.job.service.name, |wait_factor| {
-                learn(wait_factor, expected, took);
+                learn(wait_factor, expected_us, took);
             });
         }
     }
 }
 
-impl Drop for DeferredWait<'_> {
+impl Drop for PrefillWait<'_> {
     fn drop(&mut self) {
         self.learn(WaitFactor::observe_cancelled);
     }
@@ -141,20 +141,20 @@
 pub async fn run(
     job: &Job,
     snapshot: &Snapshot,
-    at: usize,
+    index: usize,
     attempts: &Attempts,
-    mode: Mode,
-) -> Result<HeldHandle, FailedAttempt> {
-    let target = &snapshot.targets[at];
-    let deferred = matches!(mode, Mode::Deferred(_));
-    let failed = |cause| failed(target, cause, Phase::Read);
-    let in_flight = start(job, snapshot, at, deferred);
+    urgency: Urgency,
+) -> Result<HeldKvCache, FailedAttempt> {
+    let target = &snapshot.targets[index];
+    let deferred = matches!(urgency, Urgency::Deferred(_));
+    let failed = |cause| failed(target, cause, Purpose::Read);
+    let in_flight = start(job, snapshot, index, deferred);
     let begun = Instant::now();
     let directive = Directive {
         timeout: job.time_left(),
         expected_endpoint: Some(target.id.clone()),
         prefill_only: true,
-        fetch_from: snapshot.fetch_from(at),
+        fetch_from: snapshot.fetch_from(index),
         priority: Some(if deferred {
             Priority::Low
         } else {
@@ -162,12 +162,12 @@
         }),
         ..Directive::default()
     };
-    let timeout = Timeout::with_early(job.deadline, mode.early_timeout(job, attempts));
-    let mut wait = DeferredWait::new(job, mode);
+    let timeout = Timeout::with_early(job.deadline, urgency.early_timeout(job, attempts));
+    let mut wait = PrefillWait::new(job, urgency);
     let answer = match attempt::send(job, target, &directive, timeout).await {
         Ok(answer) => answer,
         Err(cause) => {
-            job.arrivals.prefill_failed();
+            job.sends.record_prefill_failed();
             return Err(failed(match cause {
                 Cause::TimedOut if deferred => Cause::Starved,
                 cause => cause,
@@ -183,24 +183,24 @@
         Ok(body) if status.is_success() => body,
         Ok(_) => {
             answer.guard.finish();
-            job.arrivals.prefill_failed();
+            job.sends.record_prefill_failed();
             return Err(failed(Cause::ErrorStatus(status.as_u16())));
         }
         Err(_) => {
-            job.arrivals.prefill_failed();
+            job.sends.record_prefill_failed();
             answer.guard.connection_broke();
             job.gateway.check_for_crash(target, &job.metadata.id).await;
             return Err(failed(Cause::ConnectionBroken));
         }
     };
     answer.guard.finish();
-    job.arrivals.prefill_accepted(job);
+    job.sends.record_prefill_accepted(job);
     wait.finish();
     let address = target.with(|state| state.profile.address);
     let handle = job.gateway.adapters.dialect.parse_handle(address, &body);
     let handle = handle.ok_or_else(|| failed(Cause::ForeignResponse))?;
     if !deferred {
-        learn_pace(job, target, in_flight.ahead + in_flight.guard.work(), begun);
+        learn_prefill_latency(job, target, in_flight.ahead + in_flight.guard.work(), begun);
     }
     target.return_connection(answer.connection);
     log::info!(
@@ -208,7 +208,7 @@
         work = in_flight.guard.work(), took_us = policy::micros(begun.elapsed());
         "a prompt was read"
     );
-    Ok(HeldHandle {
+    Ok(HeldKvCache {
         handle,
         target: Arc::clone(target),
         gateway: Arc::clone(&job.gateway),
@@ -218,14 +218,14 @@
 
 /// Updates the engine's learned pace with a completed prefill. `work` includes everything that was
 /// ahead of it when it was sent.
-pub fn learn_pace(job: &Job, target: &Target, work: u64, begun: Instant) {
+pub fn learn_prefill_latency(job: &Job, target: &Target, work: u64, begun: Instant) {
     let took = policy::micros(begun.elapsed());
     job.gateway
         .learn_pace(target, |pace| pace.observe_prefill(work, took));
 }
 
 /// A KV cache held by an engine, which is released if no other engine fetches it.
-pub struct HeldHandle {
+pub struct HeldKvCache {
     /// The handle to fetch it by.
     pub handle: KvHandle,
     target: Arc<Target>,
@@ -233,14 +233,14 @@
     fetched: bool,
 }
 
-impl HeldHandle {
+impl HeldKvCache {
     /// Records that an engine has fetched it.
     pub fn mark_fetched(mut self) {
         self.fetched = true;
     }
 }
 
-impl Drop for HeldHandle {
+impl Drop for HeldKvCache {
     fn drop(&mut self) {
         if self.fetched {
             return;
--- a/components/gateway/src/request/generate/queue.rs
+++ b/components/gateway/src/request/generate/queue.rs
@@ -66,8 +66,8 @@
         let mut state = self.state.lock();
         state.joined += 1;
         let position = (job.route.priority, job.deadline, state.joined);
-        let at = state.positions.partition_point(|other| *other < position);
-        state.positions.insert(at, position);
+        let index = state.positions.partition_point(|other| *other < position);
+        state.positions.insert(index, position);
         Ticket {
             queue: self,
             position,
@@ -103,8 +103,8 @@
 impl Drop for Ticket<'_> {
     fn drop(&mut self) {
         let mut state = self.queue.state.lock();
-        if let Ok(at) = state.positions.binary_search(&self.position) {
-            state.positions.remove(at);
+        if let Ok(index) = state.positions.binary_search(&self.position) {
+            state.positions.remove(index);
         }
         drop(state);
         self.queue.changed.notify_waiters();
--- a/components/gateway/src/request/generate/run.rs
+++ b/components/gateway/src/request/generate/run.rs
@@ -11,11 +11,11 @@
     timing,
 };
 use crate::{
-    edge::Directive,
+    adapters::Directive,
     endpoint::{DecodeGuard, Target, Verdict},
     request::{
         attempt::{self, Answer, Cause},
-        attempts::{Attempts, FailedAttempt, Phase},
+        attempts::{Attempts, FailedAttempt, Purpose},
         job::Job,
         timeout::Timeout,
     },
@@ -25,11 +25,11 @@
 pub type AttemptResult = Result<(Answer, DecodeGuard), FailedAttempt>;
 
 /// Creates the record of an attempt that failed on an endpoint.
-pub fn failed(target: &Arc<Target>, cause: Cause, phase: Phase) -> FailedAttempt {
+pub fn failed(target: &Arc<Target>, cause: Cause, purpose: Purpose) -> FailedAttempt {
     FailedAttempt {
         target: Arc::clone(target),
         cause,
-        phase,
+        purpose,
     }
 }
 
@@ -37,24 +37,24 @@
 pub async fn single_engine(
     job: &Job,
     snapshot: &Snapshot,
-    at: usize,
+    index: usize,
     timeout: Timeout<'_>,
     resume_after: Option<u64>,
 ) -> AttemptResult {
-    let target = &snapshot.targets[at];
-    let in_flight = prefill::start(job, snapshot, at, false);
+    let target = &snapshot.targets[index];
+    let in_flight = prefill::start(job, snapshot, index, false);
     let (ahead, begun) = (in_flight.ahead, Instant::now());
     let directive = Directive {
         timeout: job.time_left(),
         expected_endpoint: Some(target.id.clone()),
         resume_after,
-        fetch_from: snapshot.fetch_from(at),
+        fetch_from: snapshot.fetch_from(index),
         ..Directive::default()
     };
     let decode_guard = DecodeGuard::new(target, is_long_answer(job));
     let sent = attempt::send(job, target, &directive, timeout).await;
-    let answer = sent.map_err(|cause| failed(target, cause, Phase::Run))?;
-    prefill::learn_pace(job, target, ahead + in_flight.guard.work(), begun);
+    let answer = sent.map_err(|cause| failed(target, cause, Purpose::Run))?;
+    prefill::learn_prefill_latency(job, target, ahead + in_flight.guard.work(), begun);
     Ok((answer, decode_guard))
 }
 
@@ -63,12 +63,12 @@
 async fn wait_for_decode_engine(job: &Job, attempts: &Attempts) -> Option<(Snapshot, usize)> {
     let try_choose = || {
         let snapshot = Snapshot::new(job, attempts.tried());
-        let at = place::choose_decode_engine(
+        let index = place::choose_decode_engine(
             &snapshot.engines,
             &placement_request(job),
             &Weights::default(),
         )?;
-        Some((snapshot, at))
+        Some((snapshot, index))
     };
     if let Some(found) = try_choose() {
         return Some(found);
@@ -90,14 +90,14 @@
     snapshot: &Snapshot,
     prefill: usize,
     attempts: &Attempts,
-    mode: prefill::Mode,
+    urgency: prefill::Urgency,
 ) -> AttemptResult {
-    let handle = prefill::run(job, snapshot, prefill, attempts, mode).await?;
+    let handle = prefill::run(job, snapshot, prefill, attempts, urgency).await?;
     let prefill = &snapshot.targets[prefill];
-    let Some((snapshot, at)) = wait_for_decode_engine(job, attempts).await else {
-        return Err(failed(prefill, Cause::NoDecodeCapacity, Phase::Read));
+    let Some((snapshot, index)) = wait_for_decode_engine(job, attempts).await else {
+        return Err(failed(prefill, Cause::NoDecodeCapacity, Purpose::Read));
     };
-    let decode = &snapshot.targets[at];
+    let decode = &snapshot.targets[index];
     let decode_guard = DecodeGuard::new(decode, is_long_answer(job));
     let directive = Directive {
         timeout: job.time_left(),
@@ -105,9 +105,9 @@
         handle: Some(handle.handle.clone()),
         ..Directive::default()
     };
-    prefill::note_parts(job, decode, true);
+    prefill::record_parts(job, decode, true);
     let begun = Instant::now();
-    let timeout = timing::timeout(job, attempts, snapshot.engines[at].latency.overhead_us);
+    let timeout = timing::timeout(job, attempts, snapshot.engines[index].latency.overhead_us);
     match attempt::send(job, decode, &directive, timeout).await {
         Ok(answer) => {
             let took = policy::micros(begun.elapsed());
@@ -121,8 +121,8 @@
         // cache
         Err(Cause::NotRun(_)) => {
             prefill.record_verdict(Verdict::Failed, &job.metadata.id);
-            Err(failed(decode, Cause::KvFetchFailed, Phase::Run))
+            Err(failed(decode, Cause::KvFetchFailed, Purpose::Run))
         }
-        Err(cause) => Err(failed(decode, cause, Phase::Run)),
+        Err(cause) => Err(failed(decode, cause, Purpose::Run)),
     }
 }
--- a/components/gateway/src/request/generate/snapshot.rs
+++ b/components/gateway/src/request/generate/snapshot.rs
@@ -32,7 +32,7 @@
     /// The same endpoints as inputs to placement.
     pub engines: Vec<place::Engine>,
     /// The engine from which the others can fetch most of the prompt.
-    source: Option<usize>,
+    fetch_source: Option<usize>,
 }
 
 impl Snapshot {
@@ -47,14 +47,14 @@
             .as_ref()
             .map_or(&[][..], |prompt| &prompt.parts);
         let local = &job.gateway.settings.gateway.data_centre;
-        let cut_off = job.gateway.peers.unreachable_data_centres();
+        let unreachable = job.gateway.peers.unreachable_data_centres();
         let common = job.gateway.common(&job.service.name);
         let mut candidates: Vec<(Arc<Target>, endpoint::Snapshot)> = fleet
             .subset()
             .iter()
             .filter(|target| !tried.iter().any(|other| other.id == target.id))
             .filter_map(|target| Some((Arc::clone(target), target.snapshot(now, parts, &common)?)))
-            .filter(|(_, seen)| !cut_off.contains(&seen.profile.data_centre))
+            .filter(|(_, seen)| !unreachable.contains(&seen.profile.data_centre))
             .collect();
         if job.gateway.is_suspect(job.fingerprint) {
             isolate_suspects(&mut candidates);
@@ -66,14 +66,14 @@
         let (targets, engines) = candidates
             .into_iter()
             .map(|(target, seen)| {
-                let engine = engine(&seen, local, tie_break_order(job, &target));
+                let engine = engine(&seen, local, rank(job, &target));
                 (target, engine)
             })
             .unzip();
         let mut snapshot = Self {
             targets,
             engines,
-            source: None,
+            fetch_source: None,
         };
         snapshot.add_fetches(job, &fetchable);
         snapshot
@@ -87,7 +87,7 @@
         self.targets.retain(|_| kept.next() == Some(&true));
         let mut kept = keep.iter();
         self.engines.retain(|_| kept.next() == Some(&true));
-        self.source = None;
+        self.fetch_source = None;
         for engine in &mut self.engines {
             engine.fetch = place::Fetch::default();
         }
@@ -101,27 +101,27 @@
             return;
         };
         let sizes = fetchable.iter().copied().enumerate();
-        let Some((at, held)) = sizes.max_by_key(|(_, held)| *held) else {
+        let Some((index, available_tokens)) = sizes.max_by_key(|(_, tokens)| *tokens) else {
             return;
         };
-        let token_us = engines.transfer_per_token.as_secs_f64() * MICROS_PER_SECOND;
+        let transfer_token_us = engines.transfer_per_token.as_secs_f64() * MICROS_PER_SECOND;
         for engine in &mut self.engines {
-            let tokens = held.saturating_sub(engine.cached_tokens);
+            let tokens = available_tokens.saturating_sub(engine.cached_tokens);
             if tokens >= MIN_FETCH_TOKENS {
                 engine.fetch = place::Fetch {
                     tokens,
-                    time_us: policy::to_f64(tokens) * token_us * FETCH_TIME_FACTOR,
+                    time_us: policy::to_f64(tokens) * transfer_token_us * FETCH_TIME_FACTOR,
                 };
             }
         }
-        self.source = Some(at);
+        self.fetch_source = Some(index);
     }
 
     /// Returns the engine from which an engine should fetch parts of the prompt that it lacks.
-    pub fn fetch_from(&self, at: usize) -> Option<SocketAddr> {
-        let source = &self.targets[self.source?];
-        let fetches = self.engines[at].fetch.tokens > 0;
-        fetches.then(|| source.with(|state| state.profile.address))
+    pub fn fetch_from(&self, index: usize) -> Option<SocketAddr> {
+        let fetch_source = &self.targets[self.fetch_source?];
+        let fetches = self.engines[index].fetch.tokens > 0;
+        fetches.then(|| fetch_source.with(|state| state.profile.address))
     }
 
     /// Chooses the best placement of the request.
@@ -159,12 +159,12 @@
             .engines
             .iter()
             .filter(|engine| engine.stage == place::Stage::Prefill);
-        let held = prefill_engines
+        let cached_tokens = prefill_engines
             .map(|engine| engine.cached_tokens)
             .max()
             .unwrap_or(0);
-        if prompt.saturating_sub(held) > Weights::default().short_prompt_max_tokens {
-            policy::prompt::prefill_work(prompt, held)
+        if prompt.saturating_sub(cached_tokens) > Weights::default().short_prompt_max_tokens {
+            policy::prompt::prefill_work(prompt, cached_tokens)
         } else {
             0
         }
@@ -182,7 +182,7 @@
         log::info!(
             request = job.metadata.id, reads = names.0, writes = names.1,
             expected_us = policy::to_u64(choice.first_event_us),
-            margin_us = policy::to_u64(job.gateway.margin(&job.service.name)), left_us = request.first_event_timeout,
+            margin_us = policy::to_u64(job.gateway.margin(&job.service.name)), left_us = request.time_to_objective,
             prompt = request.prompt_tokens, held = prefill_engine.cached_tokens, fetched = prefill_engine.fetch.tokens, output = request.expected_output_tokens,
             content:% = job.fingerprint, parts = format_parts(job), reading = prefill_engine.prefill_work, writing = decode_engine.answers,
             long = decode_engine.long_answers, start_us = policy::to_u64(decode_engine.latency.overhead_us),
@@ -220,12 +220,12 @@
 
 /// Returns the rank of an endpoint in this process's own order, which differs from that of other
 /// processes.
-fn tie_break_order(job: &Job, target: &Target) -> u64 {
+fn rank(job: &Job, target: &Target) -> u64 {
     let seed = job.gateway.incarnation;
     xxhash_rust::xxh3::xxh3_64_with_seed(&target.short_id.to_le_bytes(), seed)
 }
 
-fn engine(seen: &endpoint::Snapshot, local: &str, order: u64) -> place::Engine {
+fn engine(seen: &endpoint::Snapshot, local: &str, rank: u64) -> place::Engine {
     let stage = seen.profile.stage.unwrap_or(Stage::Decode);
     place::Engine {
         stage: match stage {
@@ -247,7 +247,7 @@
             REMOTE_RTT_US
         },
         failure_ratio: seen.failure_ratio,
-        rank: order,
+        rank,
     }
 }
 
@@ -259,10 +259,10 @@
     Request {
         prompt_tokens: prompt.tokens,
         expected_output_tokens: prompt.expected_output_tokens(),
-        first_event_timeout: policy::micros(left),
+        time_to_objective: policy::micros(left),
         max_inter_token_latency_us: policy::to_f64(policy::micros(job.time_left()))
             / policy::to_f64(prompt.max_output_tokens.max(1)),
-        service_max_inter_token_latency_us: max_inter_token_latency(job),
+        service_max_inter_token_latency_us: max_inter_token_latency_us(job),
         tokens_per_event: tokens_per_event(job),
         max_stall_us: job
             .max_stall
@@ -278,13 +278,13 @@
 
 /// Returns the longest inter-token latency that long answers of the request's service tolerate, in
 /// microseconds.
-fn max_inter_token_latency(job: &Job) -> f64 {
-    let whole = job.gateway.max_inter_token_latency(&job.service.name);
-    let event = tokens_per_event(job);
+fn max_inter_token_latency_us(job: &Job) -> f64 {
+    let service_limit_us = job.gateway.max_inter_token_latency(&job.service.name);
+    let tokens_per_event = tokens_per_event(job);
     let limit = job.max_stall.map_or(f64::MAX, |stall| {
-        policy::to_f64(policy::micros(stall)) / policy::to_f64(event)
+        policy::to_f64(policy::micros(stall)) / policy::to_f64(tokens_per_event)
     });
-    whole.min(limit)
+    service_limit_us.min(limit)
 }
 
 /// Whether the answer is expected to be long.
@@ -296,16 +296,16 @@
 pub fn count_demand(job: &Job, snapshot: &Snapshot) {
     let gateway = &job.gateway;
     let service = &job.service.name;
-    let writing = if is_long_answer(job) {
+    let decode_tokens = if is_long_answer(job) {
         placement_request(job).expected_output_tokens
     } else {
         0
     };
-    let asked = DemandTotals {
+    let demand = DemandTotals {
         prefill_work: snapshot.prefill_work(job),
-        decode_tokens: writing,
+        decode_tokens,
     };
-    gateway.count_demand(service, asked);
+    gateway.count_demand(service, demand);
     if let Some(prompt) = job.metadata.prompt.as_ref().filter(|_| is_long_answer(job)) {
         let time = job.deadline - job.arrived;
         gateway.record_long_answer(service, prompt.max_output_tokens, time);
--- a/components/gateway/src/request/generate/timing.rs
+++ b/components/gateway/src/request/generate/timing.rs
@@ -11,7 +11,7 @@
     attempts::Attempts,
     job::Job,
     refusal::{DEFAULT_RETRY_AFTER, Reason},
-    timeout::{EarlyTimeout, Suspicion, Timeout},
+    timeout::{EarlyTimeout, PresumedLost, Timeout},
 };
 
 /// The fraction of the remaining time within which the prompt of a late answer must be prefilled.
@@ -36,7 +36,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Timing {
     /// It will.
-    OnTime,
+    Normal,
     /// It won't, but there is enough time for a late answer; its prompt is prefilled on this engine
     /// when no other prompt waits there.
     Deferred(place::Deferred),
@@ -44,16 +44,17 @@
 
 /// Decides whether a request is served in time, deferred or refused; a refusal is sent immediately.
 pub fn decide(job: &Job, snapshot: &Snapshot, choice: &Choice) -> Result<Timing, Reason> {
-    let left = policy::micros(job.objective.saturating_duration_since(Instant::now()));
+    let time_to_objective_us =
+        policy::micros(job.objective.saturating_duration_since(Instant::now()));
     let margin = job.gateway.margin(&job.service.name);
-    let expected = policy::to_u64(choice.first_event_us + margin);
-    if expected <= left {
+    let expected_us = policy::to_u64(choice.first_event_us + margin);
+    if expected_us <= time_to_objective_us {
         snapshot.log_placement(job, choice, "placed");
-        return Ok(Timing::OnTime);
+        return Ok(Timing::Normal);
     }
     if snapshot.has_negligible_prefill(job, choice) {
         snapshot.log_placement(job, choice, "placed late");
-        return Ok(Timing::OnTime);
+        return Ok(Timing::Normal);
     }
     let request = placement_request(job);
     if let Some(deferred) = place::choose_deferred(
@@ -65,9 +66,10 @@
         snapshot.log_placement(job, choice, "placed late");
         return Ok(Timing::Deferred(deferred));
     }
-    let over = Duration::from_micros(expected - left);
+    let excess = Duration::from_micros(expected_us - time_to_objective_us);
     Err(Reason::Overloaded(
-        over.max(DEFAULT_RETRY_AFTER)
+        excess
+            .max(DEFAULT_RETRY_AFTER)
             .min(job.time_left() / RETRY_AFTER_DIVISOR),
     ))
 }
@@ -75,27 +77,31 @@
 /// Returns the longest expected prefill time of a deferred prompt, in microseconds: the caller must
 /// not have given up by then, and there must be time left to decode.
 fn max_deferred_prefill_us(job: &Job) -> f64 {
-    let begin = policy::to_f64(policy::micros(job.first_event_timeout()));
-    let whole = policy::to_f64(policy::micros(job.time_left())) * DEFERRED_PREFILL_RATIO;
+    let max_begin_us = policy::to_f64(policy::micros(job.first_event_timeout()));
+    let max_total_us = policy::to_f64(policy::micros(job.time_left())) * DEFERRED_PREFILL_RATIO;
     let wait_factor = job.gateway.stretch(&job.service.name).factor();
-    (begin * FIRST_EVENT_RATIO / wait_factor).min(whole)
+    (max_begin_us * FIRST_EVENT_RATIO / wait_factor).min(max_total_us)
 }
 
 /// Returns how long to wait for an answer that is expected to begin after `expected` microseconds.
 /// If another attempt may follow, the wait ends early when the engine stops making progress.
-pub fn timeout<'a>(job: &'a Job, attempts: &'a Attempts, expected: f64) -> Timeout<'a> {
-    let may = attempts.may_retry_after_next(job);
+pub fn timeout<'a>(job: &'a Job, attempts: &'a Attempts, expected_us: f64) -> Timeout<'a> {
+    let may_retry = attempts.may_retry_after_next(job);
     Timeout::with_early(
         job.deadline,
-        may.then(|| early_timeout(job, attempts, expected)),
+        may_retry.then(|| early_timeout(job, attempts, expected_us)),
     )
 }
 
 /// Returns when to suspect that an engine is lost whose answer is expected to begin after
 /// `expected` microseconds.
-pub fn early_timeout<'a>(job: &'a Job, attempts: &'a Attempts, expected: f64) -> EarlyTimeout<'a> {
+pub fn early_timeout<'a>(
+    job: &'a Job,
+    attempts: &'a Attempts,
+    expected_us: f64,
+) -> EarlyTimeout<'a> {
     EarlyTimeout {
-        suspicion: Suspicion::Silence(max_silence(job, expected)),
+        presumed_lost: PresumedLost::Silence(max_silence(job, expected_us)),
         has_alternative: Box::new(|target| {
             let snapshot = Snapshot::new(job, &attempts.tried_with(target));
             snapshot.choose(job).is_some()
@@ -104,17 +110,17 @@
 }
 
 /// Returns the longest time for which a healthy engine makes no progress.
-fn max_silence(job: &Job, expected: f64) -> Duration {
-    let expected = expected + job.gateway.margin(&job.service.name);
-    let limit = Duration::from_micros(policy::to_u64(expected)) * SILENCE_FACTOR;
+fn max_silence(job: &Job, expected_us: f64) -> Duration {
+    let expected_us = expected_us + job.gateway.margin(&job.service.name);
+    let limit = Duration::from_micros(policy::to_u64(expected_us)) * SILENCE_FACTOR;
     limit.max(job.time_left() / MIN_WAIT_DIVISOR)
 }
 
 /// How many times the expected time an answer may take where it must not be cut off.
-const STOP_MARGIN_FACTOR: f64 = 1.3;
+const SHUTDOWN_MARGIN_FACTOR: f64 = 1.3;
 
 /// Whether an answer ends before this process shuts down, if a shutdown is in progress.
-pub fn ends_before_stop(job: &Job, snapshot: &Snapshot, choice: &Choice) -> bool {
+pub fn ends_before_shutdown(job: &Job, snapshot: &Snapshot, choice: &Choice) -> bool {
     let decode_engine = match choice.placement {
         Placement::Single { engine } => engine,
         Placement::Split { decode, .. } => decode,
@@ -122,7 +128,7 @@
     let step = snapshot.engines[decode_engine].latency.decode_token_us;
     let us = choice.first_event_us
         + policy::to_f64(placement_request(job).expected_output_tokens) * step;
-    job.ends_before_stop(Duration::from_micros(policy::to_u64(
-        us * STOP_MARGIN_FACTOR,
+    job.ends_before_shutdown(Duration::from_micros(policy::to_u64(
+        us * SHUTDOWN_MARGIN_FACTOR,
     )))
 }
--- a/components/gateway/src/request/job.rs
+++ b/components/gateway/src/request/job.rs
@@ -7,10 +7,10 @@
 use clock::Instant;
 use hyper::{HeaderMap, Method, Uri, http::request::Parts};
 
-use super::{attempts::Arrivals, fingerprint::Fingerprint};
+use super::{attempts::SendCounter, fingerprint::Fingerprint};
 use crate::{
+    adapters::Metadata,
     connection::CountGuard,
-    edge::Metadata,
     process::Gateway,
     version::{Route, Service},
 };
@@ -32,7 +32,7 @@
     /// When the headers had arrived.
     pub arrived: Instant,
     /// The request's entry on the caller's connection.
-    pub open: ExchangeGuard,
+    pub exchange_guard: ExchangeGuard,
 }
 
 /// A request with everything that is needed to serve it.
@@ -64,9 +64,9 @@
     /// The longest time between two events that streams of this service may have.
     pub max_stall: Option<Duration>,
     /// How often the request has been sent to endpoints, for the retry budget.
-    pub arrivals: Arrivals,
+    pub sends: SendCounter,
     /// The request's entry on the caller's connection.
-    pub open: ExchangeGuard,
+    pub exchange_guard: ExchangeGuard,
     _in_flight: CountGuard,
 }
 
@@ -83,7 +83,7 @@
             head,
             body,
             arrived,
-            open,
+            exchange_guard,
         } = received;
         let caller_timeout = metadata.timeout.unwrap_or(DEFAULT_TIMEOUT);
         let timeout = route.timeout.unwrap_or(caller_timeout);
@@ -92,7 +92,7 @@
         let headers = gateway.adapters.dialect.forwarded_headers(&head.headers);
         let max_stall = gateway
             .configuration()
-            .and_then(|version| version.tightest_max_stall(&service.name));
+            .and_then(|configuration| configuration.tightest_max_stall(&service.name));
         let in_flight = CountGuard::new(&gateway.in_flight);
         let fingerprint = Fingerprint::of(&head.method, super::host(&head), &head.uri, &body);
         Self {
@@ -109,8 +109,8 @@
             deadline,
             objective,
             max_stall,
-            arrivals: Arrivals::default(),
-            open,
+            sends: SendCounter::default(),
+            exchange_guard,
             _in_flight: in_flight,
         }
     }
@@ -131,30 +131,30 @@
     /// A request that arrives when the load balancer should no longer send any must not be cut off
     /// even if its endpoint goes silent, so it is only accepted if its whole time until the
     /// deadline fits.
-    pub fn ends_before_stop(&self, expected: Duration) -> bool {
+    pub fn ends_before_shutdown(&self, expected: Duration) -> bool {
         let now = Instant::now();
-        self.gateway.shutdown().is_none_or(|stop| {
+        self.gateway.shutdown().is_none_or(|shutdown| {
             // until `quiet` the load balancer still sends requests, and tolerates one that is cut
             // off
-            let ends = if now < stop.balancer_removed {
+            let ends = if now < shutdown.balancer_removed {
                 (now + expected).min(self.deadline)
             } else {
                 self.deadline
             };
-            ends <= stop.deadline
+            ends <= shutdown.deadline
         })
     }
 
     /// Returns how many connections this process may hold to one endpoint of the service.
     pub fn max_connections(&self) -> usize {
-        let sharers = usize::try_from(self.gateway.peers.count_alive()).unwrap_or(0) + 1;
-        (self.service.max_connections / sharers).max(MIN_CONNECTIONS)
+        let sharing_processes = usize::try_from(self.gateway.peers.count_alive()).unwrap_or(0) + 1;
+        (self.service.max_connections / sharing_processes).max(MIN_CONNECTIONS)
     }
 }
 
 impl Drop for Job {
     fn drop(&mut self) {
-        self.arrivals.release(self);
+        self.sends.refund_reserved(self);
     }
 }
 
--- a/components/gateway/src/request/mod.rs
+++ b/components/gateway/src/request/mod.rs
@@ -1,4 +1,4 @@
-//! The life of a request: [`answer`] finds the route and reads the body, [`plain`] or [`generate`]
+//! The life of a request: [`handle`] finds the route and reads the body, [`plain`] or [`generate`]
 //! chooses endpoints, [`attempt`] sends the request to one of them, and [`relay`] streams the
 //! response back to the caller.
 
@@ -22,7 +22,7 @@
 use hyper::{Request, Response, body::Incoming, header, http::request::Parts};
 
 use crate::{
-    edge::Metadata,
+    adapters::Metadata,
     process::{Gateway, Phase},
 };
 pub use attempt::call;
@@ -33,7 +33,7 @@
 use relay::Body;
 
 /// Answers a request that arrived on a connection. A refusal is sent immediately.
-pub async fn answer(
+pub async fn handle(
     gateway: Arc<Gateway>,
     exchange: Arc<Exchange>,
     request: Request<Incoming>,
@@ -42,24 +42,31 @@
     let (head, body) = request.into_parts();
     let metadata = gateway.adapters.dialect.parse_request(&head);
     let id = metadata.id.clone();
-    let open = exchange.begin(&id, head.version, arrived);
+    let exchange_guard = exchange.begin(&id, head.version, arrived);
     let path = head.uri.path().to_owned();
     // unwind-safe: after a panic drop guards release everything that the request held
-    let serving =
-        AssertUnwindSafe(serve(&gateway, open, head, body, metadata, arrived)).catch_unwind();
-    let failure_reason = |reason| {
+    let response_future = AssertUnwindSafe(serve(
+        &gateway,
+        exchange_guard,
+        head,
+        body,
+        metadata,
+        arrived,
+    ))
+    .catch_unwind();
+    let refusal_for = |reason| {
         if exchange.may_have_executed() {
             Reason::AnswerLost
         } else {
             reason
         }
     };
-    let served = tokio::select! {
+    let result = tokio::select! {
         biased;
-        served = serving => served.unwrap_or_else(|_| Err(failure_reason(Reason::Panicked))),
-        () = gateway.shutdown_deadline_reached() => Err(failure_reason(Reason::Stopping)),
+        result = response_future => result.unwrap_or_else(|_| Err(refusal_for(Reason::Panicked))),
+        () = gateway.shutdown_deadline_reached() => Err(refusal_for(Reason::ShuttingDown)),
     };
-    let mut response = match served {
+    let mut response = match result {
         Ok(response) => response,
         Err(reason) => {
             let metrics = &gateway.metrics;
@@ -82,34 +89,34 @@
 
 async fn serve(
     gateway: &Arc<Gateway>,
-    open: ExchangeGuard,
+    exchange_guard: ExchangeGuard,
     head: Parts,
     body: Incoming,
     metadata: Metadata,
     arrived: Instant,
 ) -> Result<Response<Body>, Reason> {
     if *gateway.phase.borrow() >= Phase::Closing {
-        return Err(Reason::Stopping);
+        return Err(Reason::ShuttingDown);
     }
-    let version = gateway.configuration().ok_or(Reason::NotReady)?;
+    let configuration = gateway.configuration().ok_or(Reason::NotReady)?;
     let host = host(&head);
-    let route = version
+    let route = configuration
         .route(host, head.uri.path())
         .ok_or(Reason::NoSuchRoute)?;
-    let draw = xxhash_rust::xxh3::xxh3_64(metadata.id.as_bytes());
+    let hash = xxhash_rust::xxh3::xxh3_64(metadata.id.as_bytes());
     let service = route
-        .target(draw)
-        .and_then(|name| version.service(name))
+        .pick_service(hash)
+        .and_then(|name| configuration.service(name))
         .ok_or(Reason::NoEndpoint(refusal::DEFAULT_RETRY_AFTER))?;
     let (route, service) = (Arc::clone(route), Arc::clone(service));
-    let body = body::read(body, version.limits, arrived).await?;
-    open.received();
+    let body = body::read(body, configuration.limits, arrived).await?;
+    exchange_guard.received();
     let received = Received {
         metadata,
         head,
         body,
         arrived,
-        open,
+        exchange_guard,
     };
     let job = Job::new(Arc::clone(gateway), route, service, received);
     gateway.count_request(&job.service.name);
--- a/components/gateway/src/request/plain.rs
+++ b/components/gateway/src/request/plain.rs
@@ -8,14 +8,14 @@
 
 use super::{
     attempt::{self, Answer, Cause},
-    attempts::{Attempts, FailedAttempt, Phase},
+    attempts::{Attempts, FailedAttempt, Purpose},
     job::Job,
     refusal::Reason,
     relay::{self, Body},
-    timeout::{EarlyTimeout, Suspicion, Timeout},
+    timeout::{EarlyTimeout, PresumedLost, Timeout},
 };
 use crate::{
-    edge::Directive,
+    adapters::Directive,
     endpoint::{DecodeGuard, ServiceDefaults, Target, Verdict},
 };
 
@@ -32,14 +32,14 @@
 /// A silent endpoint is suspected after this fraction (1/n) of the objective if the request may run
 /// again. A healthy endpoint answers sooner, and the rest of the time is enough for another
 /// endpoint.
-const OBJECTIVES_PER_SUSPICION: u32 = 2;
+const PRESUMED_LOST_DIVISOR: u32 = 2;
 /// The shortest time after which a silent endpoint is suspected.
-const MIN_TIMEOUT: Duration = Duration::from_millis(30);
+const MIN_PRESUMED_LOST_DELAY: Duration = Duration::from_millis(30);
 
 /// Serves a request to a plain service.
 pub async fn serve(job: Job) -> Result<Response<Body>, Reason> {
-    if !job.ends_before_stop(job.route.objective) {
-        return Err(Reason::Stopping);
+    if !job.ends_before_shutdown(job.route.objective) {
+        return Err(Reason::ShuttingDown);
     }
     let mut attempts = Attempts::default();
     // an endpoint's own error response, which is returned unless another endpoint does better
@@ -51,7 +51,7 @@
         let decode_guard = DecodeGuard::new(&target, false);
         let outcome = attempt(&job, &target, &attempts).await;
         match outcome {
-            Ok(answer) if should_retry_failure(&job, &answer, &attempts) => {
+            Ok(answer) if reserve_retry_after_error(&job, &answer, &attempts) => {
                 attempts.record_endpoint_failure(target);
                 failure.get_or_insert((answer, attempts.runs()));
             }
@@ -68,11 +68,11 @@
             }
             Err(cause) => {
                 drop(decode_guard);
-                let phase = Phase::Run;
+                let purpose = Purpose::Run;
                 let failed = FailedAttempt {
                     target,
                     cause,
-                    phase,
+                    purpose,
                 };
                 if let Err(reason) = attempts.record_failure(&job, failed) {
                     break reason;
@@ -91,7 +91,7 @@
     let now = Instant::now();
     let fleet = job.gateway.registry.fleet(&job.service.name);
     let local = &job.gateway.settings.gateway.data_centre;
-    let cut_off = job.gateway.peers.unreachable_data_centres();
+    let unreachable = job.gateway.peers.unreachable_data_centres();
     let suspect = job.gateway.is_suspect(job.fingerprint);
     let mut best: Option<(f64, &Arc<Target>)> = None;
     for target in fleet.subset() {
@@ -101,7 +101,7 @@
         let Some(seen) = target.snapshot(now, &[], &ServiceDefaults::default()) else {
             continue;
         };
-        if cut_off.contains(&seen.profile.data_centre) {
+        if unreachable.contains(&seen.profile.data_centre) {
             continue;
         }
         let load = policy::to_f64(seen.load.decoding) / policy::to_f64(seen.profile.slots.max(1));
@@ -128,9 +128,11 @@
     };
     let early = attempts.may_retry_after_next(job).then(|| {
         // early enough for another endpoint to answer within the objective
-        let suspected = job.arrived + job.route.objective / OBJECTIVES_PER_SUSPICION;
+        let suspected = job.arrived + job.route.objective / PRESUMED_LOST_DIVISOR;
         EarlyTimeout {
-            suspicion: Suspicion::At(suspected.max(Instant::now() + MIN_TIMEOUT)),
+            presumed_lost: PresumedLost::At(
+                suspected.max(Instant::now() + MIN_PRESUMED_LOST_DELAY),
+            ),
             has_alternative: Box::new(|target| has_alternative(job, attempts, target)),
         }
     });
@@ -146,7 +148,7 @@
 /// Whether to try another endpoint instead of returning this error response: the request may run
 /// again, there is time, another endpoint is available, and the retry budget has a retry, which is
 /// then reserved.
-fn should_retry_failure(job: &Job, answer: &Answer, attempts: &Attempts) -> bool {
+fn reserve_retry_after_error(job: &Job, answer: &Answer, attempts: &Attempts) -> bool {
     let status = answer.head.status;
     if !status.is_server_error() {
         return false;
@@ -154,13 +156,13 @@
     answer
         .target
         .record_verdict(Verdict::Failed, &job.metadata.id);
-    let may = attempts.may_retry_after_next(job)
+    let may_retry = attempts.may_retry_after_next(job)
         && Instant::now() < job.objective
         && has_alternative(job, attempts, &answer.target)
-        && job.arrivals.reserve_one(job);
+        && job.sends.reserve_one(job);
     log::info!(
-        request = job.metadata.id, endpoint = &*answer.target.id.0, status = status.as_u16(), may;
+        request = job.metadata.id, endpoint = &*answer.target.id.0, status = status.as_u16(), may = may_retry;
         "an endpoint failed a request"
     );
-    may
+    may_retry
 }
--- a/components/gateway/src/request/refusal.rs
+++ b/components/gateway/src/request/refusal.rs
@@ -42,7 +42,7 @@
     NotReady,
     /// This process would shut down before the answer ends.
     #[display("this process stops before the answer would end")]
-    Stopping,
+    ShuttingDown,
     /// No engine would begin to answer in time.
     #[display("no engine would begin to answer in time")]
     Overloaded(Duration),
@@ -89,7 +89,7 @@
             Self::TooLarge => "too-large",
             Self::SlowBody => "slow-body",
             Self::NotReady => "not-ready",
-            Self::Stopping => "stopping",
+            Self::ShuttingDown => "stopping",
             Self::Overloaded(_) => "late",
             Self::NoEndpoint(_) => "no-endpoint",
             Self::AllRefused(_) => "not-taken",
@@ -107,7 +107,7 @@
             Self::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
             Self::SlowBody => StatusCode::REQUEST_TIMEOUT,
             Self::NotReady
-            | Self::Stopping
+            | Self::ShuttingDown
             | Self::Overloaded(_)
             | Self::NoEndpoint(_)
             | Self::AllRefused(_)
@@ -128,7 +128,7 @@
             | Self::Withheld(after) => Some(after),
             Self::NotReady | Self::Panicked => Some(DEFAULT_RETRY_AFTER),
             // another process accepts it immediately
-            Self::Stopping => Some(Duration::ZERO),
+            Self::ShuttingDown => Some(Duration::ZERO),
             _ => None,
         }
     }
--- a/components/gateway/src/request/relay.rs
+++ b/components/gateway/src/request/relay.rs
@@ -15,7 +15,7 @@
 
 use super::{
     attempt::{self, Answer},
-    events::EventSplitter,
+    events::EventBuffer,
     generate::{
         self, is_long_answer,
         migrate::{self, StoppedAnswer},
@@ -63,11 +63,11 @@
 struct Relay {
     job: Job,
     status: StatusCode,
-    source: Option<Source>,
+    upstream: Option<Upstream>,
     /// The endpoint that sends the response, or sent the last part of it.
     endpoint: Id,
     /// Set for streams of events, which can be resumed on another endpoint.
-    splitter: Option<EventSplitter>,
+    event_buffer: Option<EventBuffer>,
     attempts: u32,
     /// Number of migrations so far.
     migrations: u32,
@@ -81,27 +81,27 @@
 }
 
 /// The endpoint's response that is currently relayed.
-struct Source {
+struct Upstream {
     body: Incoming,
     connection: Connection,
     target: Arc<Target>,
     last_event: Option<Instant>,
     /// Time that the prompts in flight on the engine still needed when the last event arrived, in
     /// microseconds.
-    prefill_left: Option<policy::Micros>,
+    remaining_prefill: Option<policy::Micros>,
     _decode_guard: DecodeGuard,
     /// The request in flight on the endpoint; none once its connection broke.
     guard: Option<RequestGuard>,
 }
 
-impl Source {
+impl Upstream {
     fn new(answer: Answer, decode_guard: DecodeGuard) -> Self {
         Self {
             body: answer.body,
             connection: answer.connection,
             target: answer.target,
             last_event: None,
-            prefill_left: None,
+            remaining_prefill: None,
             _decode_guard: decode_guard,
             guard: Some(answer.guard),
         }
@@ -119,16 +119,16 @@
     *response.status_mut() = answer.head.status;
     *response.headers_mut() = call::headers::end_to_end(&answer.head.headers);
     let streams = job.route.kind.is_stream() && answer.head.status.is_success();
-    let mut splitter = streams.then(EventSplitter::default);
-    if let (Some(splitter), Some(after)) = (&mut splitter, job.metadata.resume_after) {
-        splitter.start_after(after);
+    let mut event_buffer = streams.then(EventBuffer::default);
+    if let (Some(event_buffer), Some(after)) = (&mut event_buffer, job.metadata.resume_after) {
+        event_buffer.start_after(after);
     }
     let mut relay = Relay {
         status: answer.head.status,
         endpoint: answer.target.id.clone(),
-        source: Some(Source::new(answer, decode_guard)),
+        upstream: Some(Upstream::new(answer, decode_guard)),
         job,
-        splitter,
+        event_buffer,
         attempts,
         migrations: 0,
         migration: None,
@@ -138,9 +138,9 @@
         logged: false,
     };
     if relay
-        .source
+        .upstream
         .as_ref()
-        .is_some_and(|source| source.body.is_end_stream())
+        .is_some_and(|upstream| upstream.body.is_end_stream())
     {
         // the body of a response without one is never polled
         relay.finish();
@@ -156,7 +156,7 @@
     /// Returns the next bytes for the caller; none at the end of a complete response.
     async fn next_chunk(&mut self) -> Result<Option<Bytes>, RelayError> {
         loop {
-            let Some(source) = &mut self.source else {
+            let Some(upstream) = &mut self.upstream else {
                 return Ok(None);
             };
             let cutoff = self.job.deadline + DEADLINE_GRACE;
@@ -165,14 +165,14 @@
                 && is_long_answer(&self.job);
             let frame = tokio::select! {
                 biased;
-                frame = clock::timeout_at(cutoff, source.body.frame()) => frame,
-                () = attempt::wait_for_termination(&source.target) => {
+                frame = clock::timeout_at(cutoff, upstream.body.frame()) => frame,
+                () = attempt::wait_for_termination(&upstream.target) => {
                     if self.resume().await {
                         continue;
                     }
                     return Err(self.fail(RelayError::Endpoint));
                 }
-                () = source.target.migration_needed(), if may_migrate => {
+                () = upstream.target.migration_needed(), if may_migrate => {
                     self.migrate().await;
                     continue;
                 }
@@ -183,16 +183,16 @@
                         continue;
                     };
                     // the body isn't polled again once its announced length has arrived
-                    let last = source.body.is_end_stream();
-                    self.learn_pace();
-                    let whole = match &mut self.splitter {
+                    let is_last = upstream.body.is_end_stream();
+                    self.record_event();
+                    let complete_events = match &mut self.event_buffer {
                         None => Some(bytes),
-                        Some(splitter) => splitter.push(&bytes),
+                        Some(event_buffer) => event_buffer.push(&bytes),
                     };
-                    let rest = last.then(|| self.finish()).flatten();
-                    match (whole, rest) {
-                        (Some(whole), Some(rest)) => {
-                            return Ok(Some([whole, rest].concat().into()));
+                    let remainder = is_last.then(|| self.finish()).flatten();
+                    match (complete_events, remainder) {
+                        (Some(complete_events), Some(remainder)) => {
+                            return Ok(Some([complete_events, remainder].concat().into()));
                         }
                         (Some(chunk), None) | (None, Some(chunk)) => return Ok(Some(chunk)),
                         (None, None) => {}
@@ -214,39 +214,39 @@
     }
 
     /// Records that the endpoint aborted its response, and checks whether it has crashed.
-    async fn note_break(&mut self) {
-        if let Some(source) = &mut self.source {
-            if let Some(guard) = source.guard.take() {
+    async fn record_broken_connection(&mut self) {
+        if let Some(upstream) = &mut self.upstream {
+            if let Some(guard) = upstream.guard.take() {
                 guard.connection_broke();
             }
             let gateway = &self.job.gateway;
             gateway
-                .check_for_crash(&source.target, &self.job.metadata.id)
+                .check_for_crash(&upstream.target, &self.job.metadata.id)
                 .await;
         }
     }
 
     /// Updates the engine's learned pace with the time between two events.
-    fn learn_pace(&mut self) {
+    fn record_event(&mut self) {
         let now = Instant::now();
         self.events += 1;
         self.first_event.get_or_insert(now);
-        let Some(source) = &mut self.source else {
+        let Some(upstream) = &mut self.upstream else {
             return;
         };
-        let gap = source.last_event.replace(now).map(|last| now - last);
+        let gap = upstream.last_event.replace(now).map(|last| now - last);
         let gateway = &self.job.gateway;
         let common = gateway.common(&self.job.service.name);
-        let left = source
+        let left = upstream
             .target
             .with(|state| state.remaining_prefill_time(now, &common));
-        let before = std::mem::replace(&mut source.prefill_left, left);
-        source.target.record_progress();
+        let before = std::mem::replace(&mut upstream.remaining_prefill, left);
+        upstream.target.record_progress();
         self.longest_gap = self.longest_gap.max(gap.unwrap_or_default());
         let engines = self.job.service.engines.as_ref();
         if let (Some(gap), Some(engines)) = (gap, engines) {
             let gap = policy::micros(gap);
-            gateway.learn_pace(&source.target, |pace| {
+            gateway.learn_pace(&upstream.target, |pace| {
                 pace.observe_event(engines.tokens_per_event, gap, before, left);
             });
         }
@@ -254,21 +254,21 @@
 
     /// Ends a complete response.
     fn finish(&mut self) -> Option<Bytes> {
-        let rest = self.splitter.as_mut().and_then(EventSplitter::finish);
+        let remainder = self.event_buffer.as_mut().and_then(EventBuffer::finish);
         self.log_outcome("answered");
-        if let Some(source) = self.source.take() {
-            if let Some(guard) = source.guard {
+        if let Some(upstream) = self.upstream.take() {
+            if let Some(guard) = upstream.guard {
                 guard.finish();
             }
             if self.status.is_success() {
                 self.job.gateway.record_served(self.job.fingerprint);
             }
-            source
+            upstream
                 .target
                 .record_verdict(Verdict::Fine, &self.job.metadata.id);
-            source.target.return_connection(source.connection);
+            upstream.target.return_connection(upstream.connection);
         }
-        rest
+        remainder
     }
 
     fn fail(&mut self, error: RelayError) -> RelayError {
@@ -277,8 +277,10 @@
             RelayError::TimedOut => ("cut when its time was over", Verdict::Fine),
         };
         self.log_outcome(outcome);
-        if let Some(source) = self.source.take() {
-            source.target.record_verdict(verdict, &self.job.metadata.id);
+        if let Some(upstream) = self.upstream.take() {
+            upstream
+                .target
+                .record_verdict(verdict, &self.job.metadata.id);
         }
         error
     }
@@ -286,7 +288,7 @@
     /// Makes the engine stop the answer so that it can be resumed on another one.
     async fn migrate(&mut self) {
         self.migrations += 1;
-        let Some(source) = &self.source else {
+        let Some(upstream) = &self.upstream else {
             return;
         };
         let withheld = self
@@ -294,12 +296,12 @@
             .gateway
             .withheld_for(self.job.fingerprint)
             .is_some();
-        if withheld || !self.job.arrivals.reserve(&self.job, MIGRATION_RETRIES) {
+        if withheld || !self.job.sends.reserve(&self.job, MIGRATION_RETRIES) {
             return;
         }
-        self.migration = migrate::stop_and_copy(&self.job, &source.target).await;
+        self.migration = migrate::stop_and_copy(&self.job, &upstream.target).await;
         if self.migration.is_none() {
-            self.job.arrivals.release(&self.job);
+            self.job.sends.refund_reserved(&self.job);
         }
     }
 
@@ -307,23 +309,23 @@
     /// Returns whether that worked.
     async fn resume_migrated(&mut self, stopped: StoppedAnswer) -> bool {
         let resumed = self.try_resume_migrated(stopped).await;
-        self.job.arrivals.release(&self.job);
+        self.job.sends.refund_reserved(&self.job);
         resumed
     }
 
     async fn try_resume_migrated(&mut self, stopped: StoppedAnswer) -> bool {
-        let Some(splitter) = &mut self.splitter else {
+        let Some(event_buffer) = &mut self.event_buffer else {
             return false;
         };
-        splitter.discard_partial();
-        let after = splitter.last_id();
-        self.source = None;
+        event_buffer.discard_partial();
+        let after = event_buffer.last_id();
+        self.upstream = None;
         let mut next = Some(stopped);
         while let Some(stopped) = next {
             match migrate::resume(&self.job, &stopped, after).await {
                 Ok((answer, decode_guard)) => {
                     self.endpoint = answer.target.id.clone();
-                    self.source = Some(Source::new(answer, decode_guard));
+                    self.upstream = Some(Upstream::new(answer, decode_guard));
                     return true;
                 }
                 Err(cause) => {
@@ -340,16 +342,16 @@
     /// Resumes the stream on another endpoint after the last complete event. Returns whether that
     /// worked.
     async fn resume(&mut self) -> bool {
-        self.note_break().await;
+        self.record_broken_connection().await;
         if self.job.route.kind != Kind::ResumableStream {
             return false;
         }
-        let Some(splitter) = &mut self.splitter else {
+        let Some(event_buffer) = &mut self.event_buffer else {
             return false;
         };
-        splitter.discard_partial();
-        let after = splitter.last_id();
-        let Some(broken) = self.source.take() else {
+        event_buffer.discard_partial();
+        let after = event_buffer.last_id();
+        let Some(broken) = self.upstream.take() else {
             return false;
         };
         broken
@@ -364,7 +366,7 @@
         match generate::resume(&self.job, after, &from).await {
             Ok((answer, decode_guard)) => {
                 self.endpoint = answer.target.id.clone();
-                self.source = Some(Source::new(answer, decode_guard));
+                self.upstream = Some(Upstream::new(answer, decode_guard));
                 true
             }
             Err(cause) => {
@@ -379,12 +381,12 @@
         self.logged = true;
         let metrics = &self.job.gateway.metrics;
         let service = &*self.job.service.name;
-        let whole = self.job.arrived.elapsed().as_secs_f64();
+        let duration = self.job.arrived.elapsed().as_secs_f64();
         metrics.answers.with_label_values(&[service, outcome]).inc();
         metrics
             .request_duration
             .with_label_values(&[service])
-            .observe(whole);
+            .observe(duration);
         if let Some(first) = self.first_event {
             let first = (first - self.job.arrived).as_secs_f64();
             metrics
--- a/components/gateway/src/request/timeout.rs
+++ b/components/gateway/src/request/timeout.rs
@@ -16,7 +16,7 @@
 
 /// When an endpoint is suspected to be lost.
 #[derive(Clone, Copy, Debug)]
-pub enum Suspicion {
+pub enum PresumedLost {
     /// At a fixed time.
     At(Instant),
     /// When the endpoint has made no progress for this long, neither with this request nor with any
@@ -27,7 +27,7 @@
 /// Abandons an attempt before its deadline if the request can be sent elsewhere.
 pub struct EarlyTimeout<'a> {
     /// When the endpoint is suspected.
-    pub suspicion: Suspicion,
+    pub presumed_lost: PresumedLost,
     /// Whether another endpoint would accept the request.
     pub has_alternative: HasAlternative<'a>,
 }
@@ -58,11 +58,11 @@
         loop {
             let now = Instant::now();
             let early = self.early.as_ref();
-            let suspected = early.map(|early| early.suspicion.time(sent_at, target));
+            let suspected = early.map(|early| early.presumed_lost.time(sent_at, target));
             match early {
                 _ if now >= self.at => return,
                 Some(early) if suspected.is_some_and(|at| at <= now) => {
-                    if (early.has_alternative)(target) && job.arrivals.reserve_one(job) {
+                    if (early.has_alternative)(target) && job.sends.reserve_one(job) {
                         return;
                     }
                     clock::sleep_until((now + recheck_delay).min(self.at)).await;
@@ -77,7 +77,7 @@
     }
 }
 
-impl Suspicion {
+impl PresumedLost {
     /// Returns when an endpoint that received a request at `sent_at` is suspected.
     fn time(self, sent_at: Instant, target: &Target) -> Instant {
         match self {
--- a/components/gateway/src/steward/change.rs
+++ b/components/gateway/src/steward/change.rs
@@ -7,7 +7,7 @@
 
 use super::plan::StageChange;
 use crate::{
-    edge::{Order, OrderOutcome, Report},
+    adapters::{Order, OrderOutcome, Report},
     endpoint::Target,
     process::Gateway,
     request::call,
--- a/components/gateway/src/version/mod.rs
+++ b/components/gateway/src/version/mod.rs
@@ -37,7 +37,7 @@
 
 /// A service that a route leads to.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Target {
+pub struct WeightedService {
     /// Name of the service.
     pub service: Arc<str>,
     /// Its share of the route's requests, relative to the weights of the other targets.
@@ -69,7 +69,7 @@
     /// How many times one request may be run, the first attempt included.
     pub max_attempts: u32,
     /// The services that it leads to.
-    pub targets: Vec<Target>,
+    pub targets: Vec<WeightedService>,
 }
 
 /// What the operators configure about the engines of a service.
@@ -172,10 +172,10 @@
     /// Looks a service up by its name.
     #[must_use]
     pub fn service(&self, name: &str) -> Option<&Arc<Service>> {
-        let at = self
+        let index = self
             .services
             .binary_search_by(|service| (*service.name).cmp(name));
-        at.ok().map(|at| &self.services[at])
+        index.ok().map(|index| &self.services[index])
     }
 
     /// Returns the smallest `max_stall` of all routes that lead to a service; none if no route sets
@@ -201,12 +201,12 @@
 }
 
 impl Route {
-    /// Picks the service for a request according to the weights. `draw` must be evenly distributed
+    /// Picks the service for a request according to the weights. `hash` must be evenly distributed
     /// over requests.
     #[must_use]
-    pub fn target(&self, draw: u64) -> Option<&Arc<str>> {
+    pub fn pick_service(&self, hash: u64) -> Option<&Arc<str>> {
         let total: u64 = self.targets.iter().map(|target| target.weight).sum();
-        let mut left = draw.checked_rem(total)?;
+        let mut left = hash.checked_rem(total)?;
         self.targets.iter().find_map(|target| {
             if left < target.weight {
                 return Some(&target.service);
--- a/components/gateway/tests/gateway/fake.rs
+++ b/components/gateway/tests/gateway/fake.rs
@@ -14,7 +14,7 @@
 use futures::{FutureExt, future::BoxFuture};
 use gateway::{
     Adapters,
-    edge::{
+    adapters::{
         Call, Change, Cursor, Dialect, Directive, Directory, Failure, KvHandle, Metadata,
         Migration, Order, OrderOutcome, Reply, Report, Update,
     },
--- a/components/gateway/tests/gateway/lists.rs
+++ b/components/gateway/tests/gateway/lists.rs
@@ -2,7 +2,7 @@
 
 use std::{net::SocketAddr, sync::atomic::Ordering, time::Duration};
 
-use gateway::edge::Cursor;
+use gateway::adapters::Cursor;
 use prost::Message;
 use tokio::net::UdpSocket;
 use wire::{Digest, EndpointChanges};
--- a/components/gateway/tests/loads.rs
+++ b/components/gateway/tests/loads.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use gateway::{
-    edge::Change,
+    adapters::Change,
     endpoint::{DecodeGuard, Id, Load, PrefillGuard, Profile, Registry, State},
 };
 
--- a/components/gateway/tests/registry.rs
+++ b/components/gateway/tests/registry.rs
@@ -3,7 +3,7 @@
 use std::{net::SocketAddr, sync::Arc};
 
 use gateway::{
-    edge::Change,
+    adapters::Change,
     endpoint::{DecodeGuard, Id, Load, Profile, Registry, Stage, State, Target, short_id},
 };
 
--- a/components/policy/src/estimate.rs
+++ b/components/policy/src/estimate.rs
@@ -242,7 +242,7 @@
             (None, None) => {
                 update_mean(&mut self.samples.decode, &mut self.decode_token_us, sample);
             }
-            (Some(remaining), _) if remaining >= gap.min(self.contended_event(tokens)) => {
+            (Some(remaining), _) if remaining >= gap.min(self.contended_event_time(tokens)) => {
                 self.observe_contended(sample);
             }
             _ => {}
@@ -250,7 +250,7 @@
     }
 
     /// Returns the expected time of an event of so many tokens while prompts are prefilled.
-    fn contended_event(&self, tokens: u64) -> Micros {
+    fn contended_event_time(&self, tokens: u64) -> Micros {
         self.contended_token_us
             .map_or(Micros::MAX, |token_us| to_u64(token_us * to_f64(tokens)))
     }
--- a/components/policy/src/fair.rs
+++ b/components/policy/src/fair.rs
@@ -85,24 +85,24 @@
 
     /// Adds a request of a group.
     pub fn push(&mut self, group: usize, request: QueuedRequest) {
-        let at = group + 1;
-        let waiting = &mut self.nodes[at].waiting;
-        let place = waiting.partition_point(|other| other.priority >= request.priority);
-        waiting.insert(place, request);
+        let index = group + 1;
+        let waiting = &mut self.nodes[index].waiting;
+        let position = waiting.partition_point(|other| other.priority >= request.priority);
+        waiting.insert(position, request);
         self.length += 1;
-        self.add_work(at, request.work);
-        self.activate(at);
+        self.add_work(index, request.work);
+        self.activate(index);
     }
 
     /// Removes a request whose caller has disconnected or whose deadline has passed. Returns whether it
     /// was there.
     pub fn remove(&mut self, group: usize, id: u64) -> bool {
-        let at = group + 1;
-        let Some(place) = self.nodes[at].waiting.iter().position(|r| r.id == id) else {
+        let index = group + 1;
+        let Some(position) = self.nodes[index].waiting.iter().position(|r| r.id == id) else {
             return false;
         };
-        let request = self.nodes[at].waiting.remove(place);
-        self.remove_work(at, &request);
+        let request = self.nodes[index].waiting.remove(position);
+        self.remove_work(index, &request);
         true
     }
 
@@ -117,10 +117,10 @@
         heads
     }
 
-    fn collect_heads(&self, at: usize, limit: usize, heads: &mut Vec<(usize, QueuedRequest)>) {
-        let node = &self.nodes[at];
+    fn collect_heads(&self, index: usize, limit: usize, heads: &mut Vec<(usize, QueuedRequest)>) {
+        let node = &self.nodes[index];
         if let Some(request) = node.waiting.first() {
-            heads.push((at - 1, *request));
+            heads.push((index - 1, *request));
         }
         for (_, child) in &node.active {
             if heads.len() >= limit {
@@ -132,26 +132,26 @@
 
     /// Removes the first request of a group and charges the group for it.
     pub fn pop(&mut self, group: usize) -> Option<QueuedRequest> {
-        let at = group + 1;
-        if self.nodes[at].waiting.is_empty() {
+        let index = group + 1;
+        if self.nodes[index].waiting.is_empty() {
             return None;
         }
-        let request = self.nodes[at].waiting.remove(0);
+        let request = self.nodes[index].waiting.remove(0);
         self.charge(group, request.work);
-        self.remove_work(at, &request);
+        self.remove_work(index, &request);
         Some(request)
     }
 
     /// Charges a group for work that was done here or at a peer, or that on completion turned out to
     /// exceed the estimate.
     pub fn charge(&mut self, group: usize, work: Micros) {
-        let mut at = group + 1;
-        while at != ROOT {
-            let parent = self.nodes[at].parent;
-            let before = self.nodes[at].virtual_time;
-            self.nodes[at].virtual_time = before + to_f64(work) / self.nodes[at].share;
-            self.reorder(parent, at, before);
-            at = parent;
+        let mut index = group + 1;
+        while index != ROOT {
+            let parent = self.nodes[index].parent;
+            let before = self.nodes[index].virtual_time;
+            self.nodes[index].virtual_time = before + to_f64(work) / self.nodes[index].share;
+            self.reorder(parent, index, before);
+            index = parent;
         }
     }
 
@@ -161,12 +161,12 @@
     pub fn estimate_wait(&self, group: usize, engines: u64) -> Micros {
         let engines = to_f64(engines.max(1));
         let mut share = 1.0;
-        let mut at = group + 1;
-        let own = to_f64(self.nodes[at].queued_work);
-        while at != ROOT {
-            let parent = self.nodes[at].parent;
-            share *= self.active_share(parent, at);
-            at = parent;
+        let mut index = group + 1;
+        let own = to_f64(self.nodes[index].queued_work);
+        while index != ROOT {
+            let parent = self.nodes[index].parent;
+            share *= self.active_share(parent, index);
+            index = parent;
         }
         let own_wait = own / (engines * share);
         to_u64(own_wait.min(to_f64(self.queued_work()) / engines))
@@ -184,60 +184,62 @@
         own / (own + others)
     }
 
-    fn add_work(&mut self, mut at: usize, work: Micros) {
+    fn add_work(&mut self, mut index: usize, work: Micros) {
         loop {
-            self.nodes[at].queued_work += work;
-            if at == ROOT {
+            self.nodes[index].queued_work += work;
+            if index == ROOT {
                 return;
             }
-            at = self.nodes[at].parent;
+            index = self.nodes[index].parent;
         }
     }
 
-    fn remove_work(&mut self, mut at: usize, request: &QueuedRequest) {
+    fn remove_work(&mut self, mut index: usize, request: &QueuedRequest) {
         self.length -= 1;
-        let node = at;
+        let node = index;
         loop {
-            let queued_work = &mut self.nodes[at].queued_work;
+            let queued_work = &mut self.nodes[index].queued_work;
             *queued_work = queued_work.saturating_sub(request.work);
-            if at == ROOT {
+            if index == ROOT {
                 break;
             }
-            at = self.nodes[at].parent;
+            index = self.nodes[index].parent;
         }
         self.deactivate(node);
     }
 
     /// Adds a group and its ancestors to the active ones.
-    fn activate(&mut self, mut at: usize) {
-        while at != ROOT {
-            let parent = self.nodes[at].parent;
+    fn activate(&mut self, mut index: usize) {
+        while index != ROOT {
+            let parent = self.nodes[index].parent;
             if self.nodes[parent]
                 .active
                 .iter()
-                .any(|(_, child)| *child == at)
+                .any(|(_, child)| *child == index)
             {
                 return;
             }
             // An idle group starts level with its active siblings, so that it has saved up nothing.
             let floor = self.nodes[parent].virtual_time_floor;
-            let virtual_time = self.nodes[at].virtual_time.max(floor);
-            self.nodes[at].virtual_time = virtual_time;
-            insert(&mut self.nodes[parent].active, virtual_time, at);
-            at = parent;
+            let virtual_time = self.nodes[index].virtual_time.max(floor);
+            self.nodes[index].virtual_time = virtual_time;
+            insert(&mut self.nodes[parent].active, virtual_time, index);
+            index = parent;
         }
     }
 
     /// Removes a group and its ancestors from the active ones, as far as they have no waiting requests.
-    fn deactivate(&mut self, mut at: usize) {
-        while at != ROOT {
-            let node = &self.nodes[at];
+    fn deactivate(&mut self, mut index: usize) {
+        while index != ROOT {
+            let node = &self.nodes[index];
             if !node.waiting.is_empty() || !node.active.is_empty() {
                 return;
             }
             let parent = node.parent;
-            self.nodes[parent].active.retain(|(_, child)| *child != at);
-            at = parent;
+            self.nodes[parent]
+                .active
+                .retain(|(_, child)| *child != index);
+            index = parent;
         }
     }
 
@@ -245,12 +247,12 @@
     fn reorder(&mut self, parent: usize, child: usize, before: f64) {
         let virtual_time = self.nodes[child].virtual_time;
         let siblings = &mut self.nodes[parent];
-        if let Some(place) = siblings
+        if let Some(position) = siblings
             .active
             .iter()
             .position(|(_, other)| *other == child)
         {
-            siblings.active.remove(place);
+            siblings.active.remove(position);
             insert(&mut siblings.active, virtual_time, child);
             siblings.virtual_time_floor = siblings.virtual_time_floor.max(before);
         }
@@ -266,6 +268,6 @@
 }
 
 fn insert(active: &mut Vec<(f64, usize)>, virtual_time: f64, child: usize) {
-    let place = active.partition_point(|(other, _)| *other <= virtual_time);
-    active.insert(place, (virtual_time, child));
+    let position = active.partition_point(|(other, _)| *other <= virtual_time);
+    active.insert(position, (virtual_time, child));
 }
--- a/components/policy/src/place.rs
+++ b/components/policy/src/place.rs
@@ -64,7 +64,7 @@
     /// Expected length of the answer.
     pub expected_output_tokens: u64,
     /// Time left until the first event is due.
-    pub first_event_timeout: Micros,
+    pub time_to_objective: Micros,
     /// Highest inter-token latency at which this answer meets its deadline, in microseconds.
     pub max_inter_token_latency_us: f64,
     /// Highest inter-token latency that long answers of the service tolerate, in microseconds: their
@@ -205,12 +205,12 @@
                 first_event_us,
             },
             found.weighted_us,
-            found.uncached_tokens,
+            found.tokens_to_prefill,
         )
     });
     match (single, split) {
-        (Some((single, _, uncached_tokens)), _)
-            if uncached_tokens <= weights.short_prompt_max_tokens =>
+        (Some((single, _, tokens_to_prefill)), _)
+            if tokens_to_prefill <= weights.short_prompt_max_tokens =>
         {
             Some(single)
         }
@@ -281,14 +281,14 @@
     /// The duration plus penalties; placements are compared by it.
     weighted_us: f64,
     /// Prompt tokens that the engine would have to prefill.
-    uncached_tokens: u64,
+    tokens_to_prefill: u64,
 }
 
 struct Found {
     engine: usize,
     duration_us: f64,
     weighted_us: f64,
-    uncached_tokens: u64,
+    tokens_to_prefill: u64,
 }
 
 /// Whether an engine has a slot for the answer and, if the answer is long, would complete it in time.
@@ -307,7 +307,7 @@
 /// Whether an engine would prefill so few tokens of the prompt that it is prefilled where it is decoded.
 #[must_use]
 pub fn is_short_prefill(engine: &Engine, request: &Request, weights: &Weights) -> bool {
-    uncached_tokens(engine, request) <= weights.short_prompt_max_tokens
+    tokens_to_prefill(engine, request) <= weights.short_prompt_max_tokens
 }
 
 /// Returns the work that is done before a new prompt: all prompts ahead of it and one deferred prompt,
@@ -325,13 +325,13 @@
     )
 }
 
-fn uncached_tokens(engine: &Engine, request: &Request) -> u64 {
+fn tokens_to_prefill(engine: &Engine, request: &Request) -> u64 {
     request
         .prompt_tokens
         .saturating_sub(engine.cached_tokens + engine.fetch.tokens)
 }
 
-fn uncached_work(engine: &Engine, request: &Request) -> u64 {
+fn work_to_prefill(engine: &Engine, request: &Request) -> u64 {
     prompt::prefill_work(
         request.prompt_tokens,
         engine.cached_tokens + engine.fetch.tokens,
@@ -342,11 +342,11 @@
 /// steps: none may stall for too long, and long ones must meet their deadline.
 fn tolerates_prefill(engine: &Engine, request: &Request, weights: &Weights) -> bool {
     let backlog_us =
-        event_us(engine, request) + prefill_time_us(engine, uncached_work(engine, request));
+        event_us(engine, request) + prefill_time_us(engine, work_to_prefill(engine, request));
     let tolerates_stall = backlog_us <= request.max_stall_us * weights.backlog_limit_ratio
         || tolerates_sustained_prefill(engine, request, weights);
     let slowed_us = engine.latency.decode_token_us * weights.prefill_slowdown_factor;
-    let is_long_prefill = uncached_tokens(engine, request) > weights.short_prompt_max_tokens;
+    let is_long_prefill = tokens_to_prefill(engine, request) > weights.short_prompt_max_tokens;
     let meets_deadline = engine.long_answers == 0
         || !is_long_prefill
         || slowed_us <= request.service_max_inter_token_latency_us * weights.latency_limit_ratio;
@@ -389,16 +389,16 @@
 
 /// Returns the cost of prefill alone.
 fn prefill_cost(engine: &Engine, request: &Request, weights: &Weights) -> Cost {
-    let uncached_tokens = uncached_tokens(engine, request);
+    let tokens_to_prefill = tokens_to_prefill(engine, request);
     let duration_us = to_f64(engine.extra_round_trip)
         + engine.latency.overhead_us
         + engine.fetch.time_us
-        + to_f64(engine_work_ahead(engine) + uncached_work(engine, request))
+        + to_f64(engine_work_ahead(engine) + work_to_prefill(engine, request))
             * engine.latency.prefill_token_us;
     Cost {
         duration_us,
         weighted_us: duration_us + engine_penalty_us(engine, weights),
-        uncached_tokens,
+        tokens_to_prefill,
     }
 }
 
@@ -412,14 +412,14 @@
         weighted_us: duration_us
             + long_answer_penalty_us(engine, request, weights)
             + engine_penalty_us(engine, weights),
-        uncached_tokens: 0,
+        tokens_to_prefill: 0,
     }
 }
 
 /// Returns the cost of prefill and decode on one engine.
 fn single_engine_cost(engine: &Engine, request: &Request, weights: &Weights) -> Cost {
-    let uncached_tokens = uncached_tokens(engine, request);
-    let own_us = to_f64(uncached_work(engine, request)) * engine.latency.prefill_token_us;
+    let tokens_to_prefill = tokens_to_prefill(engine, request);
+    let own_us = to_f64(work_to_prefill(engine, request)) * engine.latency.prefill_token_us;
     let ahead_us = to_f64(engine_work_ahead(engine)) * engine.latency.prefill_token_us;
     let start_us = engine.latency.overhead_us + engine.fetch.time_us;
     let duration_us = to_f64(engine.extra_round_trip) + start_us + ahead_us + own_us;
@@ -435,7 +435,7 @@
             + interference_us
             + long_answer_penalty_us(engine, request, weights)
             + engine_penalty_us(engine, weights),
-        uncached_tokens,
+        tokens_to_prefill,
     }
 }
 
@@ -488,6 +488,6 @@
             engine: *index,
             duration_us: cost.duration_us,
             weighted_us: cost.weighted_us,
-            uncached_tokens: cost.uncached_tokens,
+            tokens_to_prefill: cost.tokens_to_prefill,
         })
 }
--- a/components/policy/src/prefix_cache.rs
+++ b/components/policy/src/prefix_cache.rs
@@ -36,15 +36,15 @@
 impl PrefixCache {
     /// Creates an empty cache for an engine whose memory holds so many tokens.
     #[must_use]
-    pub fn new(memory_tokens: u64) -> Self {
+    pub fn new(kv_capacity_tokens: u64) -> Self {
         let mut cache = Self::default();
-        cache.resize(memory_tokens);
+        cache.resize(kv_capacity_tokens);
         cache
     }
 
     /// Sets the number of tokens that the engine's memory holds; tracked parts are kept.
-    pub fn resize(&mut self, memory_tokens: u64) {
-        self.capacity_tokens = memory_tokens * USABLE_PERCENT / PERCENT;
+    pub fn resize(&mut self, kv_capacity_tokens: u64) {
+        self.capacity_tokens = kv_capacity_tokens * USABLE_PERCENT / PERCENT;
     }
 
     /// Returns how many leading tokens of a prompt are likely cached now, or will be by the time the
--- a/components/policy/src/retry.rs
+++ b/components/policy/src/retry.rs
@@ -164,8 +164,8 @@
     }
 
     /// Returns a retry that was taken at this time but not sent.
-    pub fn refund(&mut self, taken_at: Micros) {
-        if let Ok(index) = self.retries.binary_search(&taken_at) {
+    pub fn refund(&mut self, spent_at: Micros) {
+        if let Ok(index) = self.retries.binary_search(&spent_at) {
             self.retries.remove(index);
         }
     }
--- a/components/policy/src/route.rs
+++ b/components/policy/src/route.rs
@@ -129,21 +129,21 @@
 
 /// Chooses the engines for a request; `None` if every suitable engine has reached its limits.
 ///
-/// `draw` is a random number that breaks ties.
+/// `random` is a random number that breaks ties.
 #[must_use]
 pub fn choose(
     engines: &[Engine],
     request: &Request,
     weights: &Weights,
-    draw: u64,
+    random: u64,
 ) -> Option<Choice> {
-    let single = choose_single(engines, draw, weights, |engine| {
+    let single = choose_single(engines, random, weights, |engine| {
         (engine.role == Role::Mixed
             && accepts_prefill(engine, request, weights)
             && accepts_decode(engine, request, weights))
         .then(|| estimate_mixed(engine, request, weights))
     });
-    let split = choose_split(engines, request, weights, draw);
+    let split = choose_split(engines, request, weights, random);
     match (single, split) {
         (Some(single), Some(split)) if split.1 < single.1 => Some(split.0),
         (Some(single), _) => Some(single.0),
@@ -154,7 +154,7 @@
 /// Estimates the shortest time until any engine accepts another request, in microseconds; callers are
 /// told to retry after it.
 #[must_use]
-pub fn estimate_shortest_wait(engines: &[Engine], weights: &Weights) -> Option<f64> {
+pub fn estimate_shortest_prefill_wait(engines: &[Engine], weights: &Weights) -> Option<f64> {
     engines
         .iter()
         .filter(|engine| engine.role != Role::Decode)
@@ -239,9 +239,9 @@
     engines: &[Engine],
     request: &Request,
     weights: &Weights,
-    draw: u64,
+    random: u64,
 ) -> Option<(Choice, f64)> {
-    let (prefill, first_token_us) = cheapest(engines, draw, weights, |engine| {
+    let (prefill, first_token_us) = cheapest(engines, random, weights, |engine| {
         (engine.role == Role::Prefill && accepts_prefill(engine, request, weights)).then(|| {
             queueing_delay_us(engine, request)
                 + own_prefill_us(engine, request)
@@ -250,7 +250,7 @@
     })?;
     let transfer_us =
         to_f64(request.prompt_tokens) * to_f64(weights.kv_transfer_per_thousand_tokens) / THOUSAND;
-    let (decode, decode_us) = cheapest(engines, draw >> 32, weights, |engine| {
+    let (decode, decode_us) = cheapest(engines, random >> 32, weights, |engine| {
         (engine.role != Role::Prefill && accepts_decode(engine, request, weights)).then(|| {
             let token_us = engine.latency.inter_token_us(engine.decode_requests + 1);
             // The prompts that a mixed engine prefills delay the answers that it decodes.
@@ -280,11 +280,11 @@
 
 fn choose_single(
     engines: &[Engine],
-    draw: u64,
+    random: u64,
     weights: &Weights,
     estimate: impl Fn(&Engine) -> Option<(f64, f64, f64)>,
 ) -> Option<(Choice, f64)> {
-    let (engine, cost) = cheapest(engines, draw, weights, |engine| {
+    let (engine, cost) = cheapest(engines, random, weights, |engine| {
         estimate(engine).map(|(_, _, cost)| cost)
     })?;
     let (first_token_us, last_token_us, _) = estimate(&engines[engine])?;
@@ -302,7 +302,7 @@
 /// Returns a random one of the engines within [`Weights::tie_ratio`] of the lowest cost, and its cost.
 fn cheapest(
     engines: &[Engine],
-    draw: u64,
+    random: u64,
     weights: &Weights,
     cost: impl Fn(&Engine) -> Option<f64>,
 ) -> Option<(usize, f64)> {
@@ -310,7 +310,7 @@
     let limit = lowest * (1.0 + weights.tie_ratio);
     let is_close = |engine: &&Engine| cost(engine).is_some_and(|cost| cost <= limit);
     let ties = u64::try_from(engines.iter().filter(is_close).count()).unwrap_or(1);
-    let nth = usize::try_from((draw & u64::from(u32::MAX)) % ties.max(1)).unwrap_or(0);
+    let nth = usize::try_from((random & u64::from(u32::MAX)) % ties.max(1)).unwrap_or(0);
     engines
         .iter()
         .enumerate()
--- a/components/policy/src/stage.rs
+++ b/components/policy/src/stage.rs
@@ -107,10 +107,10 @@
     pub change_margin_ratio: f64,
     /// Fraction of the load that the engines of a stage should carry, below which they suffice. Prompts
     /// hardly wait for each other then, and a change would have a cost and no benefit.
-    pub pressure_ratio: f64,
+    pub min_load_ratio: f64,
     /// Number of prefill engines by which the plan for the shorter average must differ from the present
     /// number to be followed before the longer average shows it. Swings of a few seconds stay below it.
-    pub surge_engines: f64,
+    pub min_recent_deviation_engines: f64,
     /// Demand below which a fleet is idle and nothing is planned, in engines and in slots.
     pub idle_demand: f64,
 }
@@ -123,8 +123,8 @@
             min_decode_engines: 2,
             change_margin_engines: 1.0,
             change_margin_ratio: 0.04,
-            pressure_ratio: 0.7,
-            surge_engines: 2.5,
+            min_load_ratio: 0.7,
+            min_recent_deviation_engines: 2.5,
             idle_demand: 0.2,
         }
     }
@@ -139,7 +139,7 @@
 pub fn plan_prefill_engines(demand: &Demand, fleet: &Fleet, weights: &Weights) -> f64 {
     let plan = |prefill: f64| divide_engines(prefill, demand.decode_slots, fleet, weights);
     let recent = plan(demand.recent_prefill_engines);
-    if (recent - to_f64(fleet.prefill_engines)).abs() >= weights.surge_engines {
+    if (recent - to_f64(fleet.prefill_engines)).abs() >= weights.min_recent_deviation_engines {
         recent
     } else {
         plan(demand.prefill_engines)
@@ -189,10 +189,10 @@
         .max(to_f64(fleet.engines) * weights.change_margin_ratio);
     match () {
         () if is_idle(demand, weights) => None,
-        () if lacking > margin && is_prefill_under_pressure(demand, fleet, weights) => {
+        () if lacking > margin && is_prefill_loaded(demand, fleet, weights) => {
             Some(Change::MorePrefill)
         }
-        () if -lacking > margin && is_decode_under_pressure(demand, fleet, weights) => {
+        () if -lacking > margin && is_decode_loaded(demand, fleet, weights) => {
             Some(Change::MoreDecode)
         }
         () => None,
@@ -239,17 +239,17 @@
 }
 
 /// Whether the prefill engines have about as much load as they should carry, or more.
-fn is_prefill_under_pressure(demand: &Demand, fleet: &Fleet, weights: &Weights) -> bool {
+fn is_prefill_loaded(demand: &Demand, fleet: &Fleet, weights: &Weights) -> bool {
     let target = to_f64(fleet.prefill_engines) * weights.prefill_utilisation;
-    demand.prefill_engines.max(demand.recent_prefill_engines) > target * weights.pressure_ratio
+    demand.prefill_engines.max(demand.recent_prefill_engines) > target * weights.min_load_ratio
 }
 
 /// The same for the decode engines; too few of them to survive a failure count as under pressure.
-fn is_decode_under_pressure(demand: &Demand, fleet: &Fleet, weights: &Weights) -> bool {
+fn is_decode_loaded(demand: &Demand, fleet: &Fleet, weights: &Weights) -> bool {
     let decode_engines = fleet.engines.saturating_sub(fleet.prefill_engines);
     let target = to_f64(decode_engines * fleet.slots_per_engine) * weights.slot_utilisation;
     decode_engines < weights.min_decode_engines
-        || demand.decode_slots > target * weights.pressure_ratio
+        || demand.decode_slots > target * weights.min_load_ratio
 }
 
 /// Fraction of a fleet that may change its stage at the same time. A change makes an engine unavailable
--- a/components/policy/src/suspect.rs
+++ b/components/policy/src/suspect.rs
@@ -6,20 +6,20 @@
 //! See `docs/DESIGN.md#requests-that-end-endpoints`.
 
 /// Microseconds on the caller's monotonic clock; negative for times before the clock started.
-pub type Moment = i64;
+pub type SignedMicros = i64;
 
 /// Number of crashes after which a request is withheld. Fewer would withhold requests that happened to
 /// be in flight during two unrelated crashes; more would cost the other requests on those endpoints.
 pub const CRASHES_TO_WITHHOLD: usize = 3;
 /// How long a request is withheld after the last crash; the endpoints may have been fixed by then. If
 /// another endpoint crashes under it, it is withheld again at once.
-pub const WITHHOLD_DURATION: Moment = 300 * SECOND;
+pub const WITHHOLD_DURATION: SignedMicros = 300 * SECOND;
 /// How long a suspect is remembered after the last update.
-pub const RECORD_TTL: Moment = 2 * WITHHOLD_DURATION;
+pub const RECORD_TTL: SignedMicros = 2 * WITHHOLD_DURATION;
 /// Maximum number of remembered requests, of some 100 bytes each.
 pub const MAX_RECORDS: usize = 1_024;
 
-const SECOND: Moment = 1_000_000;
+const SECOND: SignedMicros = 1_000_000;
 
 /// A crash of an endpoint while a request was in flight there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -27,7 +27,7 @@
     /// The endpoint's incarnation.
     pub endpoint: u32,
     /// When it crashed.
-    pub at: Moment,
+    pub at: SignedMicros,
 }
 
 /// What is known of one request.
@@ -36,13 +36,13 @@
     /// Crashes since the request was last served, the oldest first; at most [`CRASHES_TO_WITHHOLD`].
     pub crashes: Vec<Crash>,
     /// When the request was last served.
-    pub last_served: Option<Moment>,
+    pub last_served: Option<SignedMicros>,
 }
 
 impl Record {
     /// Returns the time of the latest crash or answer.
     #[must_use]
-    pub fn last_update(&self) -> Option<Moment> {
+    pub fn last_update(&self) -> Option<SignedMicros> {
         self.crashes
             .last()
             .map(|crash| crash.at)
@@ -51,7 +51,7 @@
 
     /// Returns for how much longer the request is withheld; `None` if it isn't.
     #[must_use]
-    pub fn remaining_withhold(&self, now: Moment) -> Option<Moment> {
+    pub fn remaining_withhold(&self, now: SignedMicros) -> Option<SignedMicros> {
         let last = self
             .crashes
             .last()
@@ -105,7 +105,7 @@
     }
 
     /// Merges a record from this process or another source. Returns whether that changed anything.
-    pub fn add(&mut self, fingerprint: u64, received: &Record, now: Moment) -> bool {
+    pub fn add(&mut self, fingerprint: u64, received: &Record, now: SignedMicros) -> bool {
         self.evict_expired(now);
         let is_expired = received
             .last_update()
@@ -127,7 +127,7 @@
     }
 
     /// Drops records without an update within [`RECORD_TTL`].
-    pub fn evict_expired(&mut self, now: Moment) {
+    pub fn evict_expired(&mut self, now: SignedMicros) {
         let is_fresh = |record: &Record| {
             record
                 .last_update()
--- a/components/policy/tests/place.rs
+++ b/components/policy/tests/place.rs
@@ -54,7 +54,7 @@
     Request {
         prompt_tokens,
         expected_output_tokens: 120,
-        first_event_timeout: 600_000,
+        time_to_objective: 600_000,
         max_inter_token_latency_us: 50.0 * MS,
         service_max_inter_token_latency_us: 22.0 * MS,
         tokens_per_event: 9,
--- a/components/policy/tests/suspect.rs
+++ b/components/policy/tests/suspect.rs
@@ -1,28 +1,28 @@
 //! Which requests are withheld from endpoints as suspects.
 
 use policy::suspect::{
-    CRASHES_TO_WITHHOLD, Crash, MAX_RECORDS, Moment, RECORD_TTL, Record, Suspects,
+    CRASHES_TO_WITHHOLD, Crash, MAX_RECORDS, RECORD_TTL, Record, SignedMicros, Suspects,
     WITHHOLD_DURATION,
 };
 use proptest::prelude::*;
 
-const SECOND: Moment = 1_000_000;
+const SECOND: SignedMicros = 1_000_000;
 
-fn crashed(endpoint: u32, at: Moment) -> Record {
+fn crashed(endpoint: u32, at: SignedMicros) -> Record {
     Record {
         crashes: vec![Crash { endpoint, at }],
         last_served: None,
     }
 }
 
-fn served(at: Moment) -> Record {
+fn served(at: SignedMicros) -> Record {
     Record {
         crashes: Vec::new(),
         last_served: Some(at),
     }
 }
 
-fn is_withheld(suspects: &Suspects, fingerprint: u64, now: Moment) -> bool {
+fn is_withheld(suspects: &Suspects, fingerprint: u64, now: SignedMicros) -> bool {
     let record = suspects.get(fingerprint);
     record.is_some_and(|record| record.remaining_withhold(now).is_some())
 }
