--- a/benches/daemon.rs
+++ b/benches/daemon.rs
@@ -1,5 +1,5 @@
-//! What a daemon adds: time to a request's first byte, and processor time a streamed chunk, against
-//! calling the stand-in directly in the same run.
+//! Overhead of a daemon compared with calling the stand-in engine directly in the same run: the latency of one-token
+//! requests, and the CPU time per streamed chunk.
 
 use std::{
     net::SocketAddr,
@@ -29,9 +29,9 @@
 const STREAMS: usize = 32;
 const TOKENS: u64 = 2_000;
 
-type Http = Client<HttpConnector, Full<Bytes>>;
+type HttpClient = Client<HttpConnector, Full<Bytes>>;
 
-fn any() -> SocketAddr {
+fn any_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
@@ -53,11 +53,11 @@
             set("endpoint/sala-a/1", "service", "soil"),
             set("endpoint/sala-a/1", "address", &engine.to_string()),
         ])
-        .expect("fixed settings are fine");
+        .expect("valid settings");
     let mut transaction =
         Transaction::default().write("settings/head", r#"{"version":1,"token":1}"#.to_owned());
     for node in &tree.nodes {
-        let text = serde_json::to_string(node).expect("a JSON form");
+        let text = serde_json::to_string(node).expect("serializable to JSON");
         transaction = transaction.write(&format!("settings/node/{}", node.path), text);
     }
     let _ = platform.commit(&transaction);
@@ -70,7 +70,7 @@
          [platform]\ntable = \"{platform}\"\nvms = \"{platform}\"\n",
         resolve::secret_digest("token")
     );
-    Settings::parse(&text, "bench").expect("fixed settings are fine")
+    Settings::parse(&text, "bench").expect("valid settings")
 }
 
 fn request(address: SocketAddr, direct: bool, tokens: u64) -> Request<Full<Bytes>> {
@@ -91,22 +91,27 @@
     Request::post(format!("http://{address}{path}"))
         .header("authorization", "Bearer key")
         .body(Full::from(body))
-        .expect("a fixed request is well formed")
+        .expect("a well-formed request")
 }
 
-async fn whole(http: &Http, address: SocketAddr, direct: bool, tokens: u64) -> Duration {
-    let began = Instant::now();
+async fn time_request(
+    http: &HttpClient,
+    address: SocketAddr,
+    direct: bool,
+    tokens: u64,
+) -> Duration {
+    let started = Instant::now();
     let response = http.request(request(address, direct, tokens)).await;
-    let mut body = response.expect("answered").into_body();
+    let mut body = response.expect("a response").into_body();
     while let Some(frame) = body.frame().await {
-        frame.expect("whole");
+        frame.expect("an unbroken body");
     }
-    began.elapsed()
+    started.elapsed()
 }
 
-/// Processor time of this process, in microseconds.
-fn processor_us() -> u64 {
-    let stat = std::fs::read_to_string("/proc/self/stat").expect("a process has its figures");
+/// Returns the CPU time of this process in microseconds.
+fn cpu_time_us() -> u64 {
+    let stat = std::fs::read_to_string("/proc/self/stat").expect("could not read /proc/self/stat");
     let fields: Vec<&str> = stat
         .rsplit(") ")
         .next()
@@ -114,13 +119,13 @@
         .split(' ')
         .collect();
     // user and system time, in ticks of 10 ms
-    let ticks = |at: usize| fields[at].parse::<u64>().expect("a count");
+    let ticks = |index: usize| fields[index].parse::<u64>().expect("a number");
     (ticks(11) + ticks(12)) * 10_000
 }
 
 #[tokio::main]
 async fn main() {
-    let platform = Platform::start(any()).await.expect("platform");
+    let platform = Platform::start(any_port()).await.expect("platform");
     let speed = Speed {
         step_us: 1,
         decode_us: 0,
@@ -131,45 +136,50 @@
         speed,
         ..Setup::default()
     };
-    let engine = Engine::start(any(), setup).await.expect("engine");
+    let engine = Engine::start(any_port(), setup).await.expect("engine");
     write_settings(&platform, engine.address());
     let daemon = daemon::start(settings(platform.address()))
         .await
         .expect("daemon");
     tokio::time::sleep(Duration::from_secs(2)).await;
     let http = Client::builder(TokioExecutor::new()).build_http();
-    let (direct, through) = (engine.address(), daemon.addresses().callers);
-    // in turn, so that a drift of the machine's speed hits both
-    let mut times = [Histogram::<u64>::new(3), Histogram::new(3)].map(|h| h.expect("fine"));
+    let (direct, via_daemon) = (engine.address(), daemon.addresses().callers);
+    // alternating, so that a drift of the machine's speed affects both equally
+    let mut latencies =
+        [Histogram::<u64>::new(3), Histogram::new(3)].map(|h| h.expect("valid precision"));
     for _ in 0..ROUNDS {
-        for (at, (address, is_direct)) in [(direct, true), (through, false)].into_iter().enumerate()
+        for (index, (address, is_direct)) in [(direct, true), (via_daemon, false)]
+            .into_iter()
+            .enumerate()
         {
-            let took = whole(&http, address, is_direct, 1).await;
-            let us = u64::try_from(took.as_micros()).expect("short");
-            times[at].record(us).expect("it grows by itself");
+            let latency = time_request(&http, address, is_direct, 1).await;
+            let us = u64::try_from(latency.as_micros()).expect("short");
+            latencies[index]
+                .record(us)
+                .expect("the histogram resizes itself");
         }
     }
-    for (name, times) in ["direct", "through a daemon"].iter().zip(&times) {
+    for (name, latencies) in ["direct", "through a daemon"].iter().zip(&latencies) {
         println!(
             "{name}: one request of one token, p50 {} us, p99 {} us",
-            times.value_at_quantile(0.5),
-            times.value_at_quantile(0.99)
+            latencies.value_at_quantile(0.5),
+            latencies.value_at_quantile(0.99)
         );
     }
     println!(
         "added at the median: {} us",
-        times[1]
+        latencies[1]
             .value_at_quantile(0.5)
-            .saturating_sub(times[0].value_at_quantile(0.5))
+            .saturating_sub(latencies[0].value_at_quantile(0.5))
     );
-    let mut costs = Vec::new();
-    for (address, is_direct) in [(direct, true), (through, false)] {
-        let before = processor_us();
-        let began = Instant::now();
-        let streams = (0..STREAMS).map(|_| whole(&http, address, is_direct, TOKENS));
+    let mut cpu_costs = Vec::new();
+    for (address, is_direct) in [(direct, true), (via_daemon, false)] {
+        let before = cpu_time_us();
+        let started = Instant::now();
+        let streams = (0..STREAMS).map(|_| time_request(&http, address, is_direct, TOKENS));
         futures::future::join_all(streams).await;
         let chunks = TOKENS * u64::try_from(STREAMS).expect("few");
-        let cost = policy::to_f64(processor_us() - before) / policy::to_f64(chunks);
+        let cost = policy::to_f64(cpu_time_us() - before) / policy::to_f64(chunks);
         println!(
             "{}: {chunks} chunks in {} ms, {cost:.2} us of processor a chunk (engine, daemon and caller together)",
             if is_direct {
@@ -177,21 +187,24 @@
             } else {
                 "through a daemon"
             },
-            began.elapsed().as_millis(),
+            started.elapsed().as_millis(),
         );
-        costs.push(cost);
+        cpu_costs.push(cost);
     }
-    println!("added: {:.2} us of processor a chunk", costs[1] - costs[0]);
-    let before = processor_us();
-    let began = Instant::now();
+    println!(
+        "added: {:.2} us of processor a chunk",
+        cpu_costs[1] - cpu_costs[0]
+    );
+    let before = cpu_time_us();
+    let started = Instant::now();
     for _ in 0..20 {
-        let requests = (0..100).map(|_| whole(&http, through, false, 1));
+        let requests = (0..100).map(|_| time_request(&http, via_daemon, false, 1));
         futures::future::join_all(requests).await;
     }
-    let cost = policy::to_f64(processor_us() - before) / 2_000.0;
+    let cost = policy::to_f64(cpu_time_us() - before) / 2_000.0;
     println!(
         "2000 requests of one token in {} ms, {cost:.0} us of processor each (all parts), {:.0} requests a second a core",
-        began.elapsed().as_millis(),
+        started.elapsed().as_millis(),
         1e6 / cost
     );
 }
--- a/components/gateway/src/request/generate/timing.rs
+++ b/components/gateway/src/request/generate/timing.rs
@@ -46,7 +46,7 @@
 pub fn decide(job: &Job, snapshot: &Snapshot, choice: &Choice) -> Result<Timing, Reason> {
     let time_to_objective_us =
         policy::micros(job.objective.saturating_duration_since(Instant::now()));
-    let margin = job.gateway.margin(&job.service.name);
+    let margin = job.gateway.margin_us(&job.service.name);
     let expected_us = policy::to_u64(choice.first_event_us + margin);
     if expected_us <= time_to_objective_us {
         snapshot.log_placement(job, choice, "placed");
@@ -79,7 +79,7 @@
 fn max_deferred_prefill_us(job: &Job) -> f64 {
     let max_begin_us = policy::to_f64(policy::micros(job.first_event_timeout()));
     let max_total_us = policy::to_f64(policy::micros(job.time_left())) * DEFERRED_PREFILL_RATIO;
-    let wait_factor = job.gateway.stretch(&job.service.name).factor();
+    let wait_factor = job.gateway.wait_factor(&job.service.name).factor();
     (max_begin_us * FIRST_EVENT_RATIO / wait_factor).min(max_total_us)
 }
 
@@ -111,7 +111,7 @@
 
 /// Returns the longest time for which a healthy engine makes no progress.
 fn max_silence(job: &Job, expected_us: f64) -> Duration {
-    let expected_us = expected_us + job.gateway.margin(&job.service.name);
+    let expected_us = expected_us + job.gateway.margin_us(&job.service.name);
     let limit = Duration::from_micros(policy::to_u64(expected_us)) * SILENCE_FACTOR;
     limit.max(job.time_left() / MIN_WAIT_DIVISOR)
 }
--- a/components/gateway/src/request/relay.rs
+++ b/components/gateway/src/request/relay.rs
@@ -236,7 +236,7 @@
         };
         let gap = upstream.last_event.replace(now).map(|last| now - last);
         let gateway = &self.job.gateway;
-        let common = gateway.common(&self.job.service.name);
+        let common = gateway.service_defaults(&self.job.service.name);
         let left = upstream
             .target
             .with(|state| state.remaining_prefill_time(now, &common));
@@ -246,7 +246,7 @@
         let engines = self.job.service.engines.as_ref();
         if let (Some(gap), Some(engines)) = (gap, engines) {
             let gap = policy::micros(gap);
-            gateway.learn_pace(&upstream.target, |pace| {
+            gateway.learn_latency(&upstream.target, |pace| {
                 pace.observe_event(engines.tokens_per_event, gap, before, left);
             });
         }
@@ -266,7 +266,7 @@
             upstream
                 .target
                 .record_verdict(Verdict::Fine, &self.job.metadata.id);
-            upstream.target.return_connection(upstream.connection);
+            upstream.target.put_back_connection(upstream.connection);
         }
         remainder
     }
