--- a/components/gateway/src/adapters/mod.rs
+++ b/components/gateway/src/adapters/mod.rs
@@ -112,14 +112,14 @@
     ) -> BoxFuture<'_, Result<Update<Arc<Configuration>>, Failure>>;
 }
 
-/// Metadata of a caller's request that HTTP itself doesn't define.
+/// Metadata of a caller's request that is specific to the platform.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Metadata {
     /// The caller's id for this request; empty if it sent none.
     pub id: String,
     /// How long the caller will wait, counted from when it sent the request.
     pub timeout: Option<Duration>,
-    /// The prompt and its parts; none for requests to plain services.
+    /// The prompt and its parts; `None` for requests to plain services.
     pub prompt: Option<prompt::Prompt>,
     /// The last event that the caller received of a stream that it wants resumed.
     pub resume_after: Option<u64>,
@@ -147,7 +147,7 @@
     pub copied: bool,
 }
 
-/// What an attempt tells its endpoint in addition to the caller's own headers.
+/// Instructions of an attempt to its endpoint, in addition to the caller's own headers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Directive {
     /// How long the endpoint may work on the request.
@@ -160,7 +160,7 @@
     pub handle: Option<KvHandle>,
     /// Another engine that holds parts of the prompt which this one may lack.
     pub fetch_from: Option<SocketAddr>,
-    /// The priority on the endpoint; with none the endpoint decides.
+    /// The priority on the endpoint; with `None` the endpoint decides.
     pub priority: Option<Priority>,
     /// Resume the stream after this event.
     pub resume_after: Option<u64>,
@@ -190,7 +190,8 @@
     pub keep_alive: Option<Duration>,
 }
 
-/// How callers and endpoints express in HTTP headers and bodies what HTTP itself doesn't define.
+/// How the platform's callers and endpoints express in HTTP headers and bodies what is specific to
+/// the platform.
 pub trait Dialect: Send + Sync {
     /// Parses the headers of a caller's request.
     fn parse_request(&self, head: &request::Parts) -> Metadata;
@@ -216,7 +217,7 @@
     fn migration_call(&self, id: &str, to: SocketAddr) -> Call;
 
     /// Parses the response to a migration call. Returns the handle under which the answer can be
-    /// resumed, on the same engine or on the other one; none if the answer has not stopped.
+    /// resumed, on the same engine or on the other one; `None` if the answer has not stopped.
     fn parse_migration(
         &self,
         from: SocketAddr,
@@ -244,7 +245,7 @@
     fn parse_kv_list(&self, body: &[u8]) -> Option<Vec<prompt::Part>>;
 }
 
-/// An engine's report of its own status. It may be some hundred milliseconds old.
+/// An engine's report of its own status. It may be a few hundred milliseconds old.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Report {
     /// The engine's stage.
@@ -279,7 +280,7 @@
     pub stage: Stage,
     /// The name of the gateway that gives the order.
     pub holder: String,
-    /// The holder's fencing token.
+    /// The holder's fencing token: the epoch of its lease.
     pub fencing_token: u64,
     /// How many orders the engine has accepted so far, as far as the holder knows. The engine
     /// refuses the order if its own count differs.
--- a/components/gateway/src/connection/close.rs
+++ b/components/gateway/src/connection/close.rs
@@ -53,7 +53,7 @@
 pub struct CloseLogger<'a> {
     gateway: &'a Gateway,
     exchange: &'a Exchange,
-    /// Why the connection ended; that the process exits is assumed until another reason is known.
+    /// Why the connection ended: [`CloseReason::Process`] until another reason is known.
     pub reason: CloseReason,
 }
 
--- a/components/gateway/src/connection/idle.rs
+++ b/components/gateway/src/connection/idle.rs
@@ -5,7 +5,7 @@
 
 use crate::process::Gateway;
 
-/// Waits until a connection has been idle for longer than its caller may expect it to be kept, or
+/// Waits until a connection has been idle for longer than the timeout that its caller relies on, or
 /// the headers of a request have taken too long to arrive.
 ///
 /// The limits are taken from the configuration in force when the timeout would expire, so that a
--- a/components/gateway/src/lib.rs
+++ b/components/gateway/src/lib.rs
@@ -1,6 +1,7 @@
 //! The gateway: forwards requests to a fleet of engines and plain services that an operators'
 //! platform lists. Modules are divided by the lifetime of what they hold: request, connection,
-//! version, endpoint, process.
+//! version of the configuration, endpoint, process. `adapters` holds the traits through which the
+//! platform is used.
 //!
 //! Every entry VM runs the same gateway. See `docs/PLATFORM.md`.
 
--- a/components/gateway/src/request/attempt.rs
+++ b/components/gateway/src/request/attempt.rs
@@ -65,7 +65,7 @@
     /// The retry budget is exhausted.
     #[display("the budget of repeats is used up")]
     RetryBudgetExhausted,
-    /// Too many endpoints have crashed while they ran this request.
+    /// Too many endpoints have crashed while running this request.
     #[display("endpoints have ended under the request")]
     Withheld,
     /// An engine could not fetch the KV cache of the prompt from the engine that prefilled it.
@@ -80,10 +80,10 @@
     /// The connection broke before the headers of the response arrived.
     #[display("the connection broke")]
     ConnectionBroken,
-    /// The response belongs to another request, or is not valid HTTP.
+    /// The response belongs to another request or is not valid, be it as HTTP or as a KV handle.
     #[display("the answer belongs to another request")]
     ForeignResponse,
-    /// The attempt timed out.
+    /// The attempt timed out, or no engine was available to resume a stream.
     #[display("the time was over")]
     TimedOut,
     /// The endpoint failed the request with this status.
@@ -156,7 +156,7 @@
 /// several times the latency between two data centres.
 pub const LATE_DATA_GRACE: Duration = Duration::from_millis(50);
 
-/// Waits until an incarnation of an endpoint has ended and nothing more can arrive from it.
+/// Waits until an incarnation of an endpoint has terminated and nothing more can arrive from it.
 pub async fn wait_for_termination(target: &Target) {
     target.terminated().await;
     clock::sleep(LATE_DATA_GRACE).await;
@@ -246,7 +246,7 @@
     }
 }
 
-/// Notes that an attempt did not run the request, if it was meant to.
+/// Records that an attempt did not run the request, unless it was only meant to prefill the prompt.
 fn record_not_run(job: &Job, executes: bool) {
     if executes {
         job.exchange_guard.not_executed();
@@ -289,14 +289,14 @@
 
 /// Timeout of the gateway's own calls to endpoints.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// Largest response to such a call, in bytes. An engine's list of cached parts takes some 40 bytes
-/// for each part, and lists as many parts as [`policy::prefix_cache`] remembers.
+/// Largest response to such a call, in bytes. It has room for as many cached parts as
+/// [`policy::prefix_cache`] remembers, at about 40 bytes each.
 const MAX_CALL_RESPONSE_BYTES: usize = 256 << 10;
 /// Connections to one endpoint that the gateway's own calls may use.
 const MAX_CALL_CONNECTIONS: usize = 64;
 
-/// Makes a call of the gateway's own to an endpoint and returns the complete response; none if
-/// there was none within [`CALL_TIMEOUT`].
+/// Makes a call of the gateway's own to an endpoint and returns the complete response; `None` if it
+/// did not arrive within [`CALL_TIMEOUT`].
 pub async fn call(target: &Arc<Target>, call: Call) -> Option<(StatusCode, Bytes)> {
     call_with_timeout(CALL_TIMEOUT, target, call).await
 }
--- a/components/gateway/src/request/attempts.rs
+++ b/components/gateway/src/request/attempts.rs
@@ -1,5 +1,5 @@
 //! The attempts of one request so far: endpoints tried, runs, and what counts against the retry
-//! budget. Decides whether another attempt may follow, and otherwise which refusal is true.
+//! budget. Decides whether another attempt may follow, and otherwise determines the refusal.
 
 use std::sync::Arc;
 
@@ -42,7 +42,7 @@
 /// The attempts of one request.
 #[derive(Debug, Default)]
 pub struct Attempts {
-    /// Endpoints on which it failed.
+    /// Endpoints on which it failed, without those that could not fetch a KV cache.
     tried: Vec<Arc<Target>>,
     /// Attempts in which it ran or may have run.
     runs: u32,
@@ -51,12 +51,13 @@
 }
 
 impl Attempts {
-    /// Returns the endpoints on which the request failed.
+    /// Returns the endpoints that must not be tried again: those on which the request failed,
+    /// without those that could not fetch a KV cache.
     pub fn tried(&self) -> &[Arc<Target>] {
         &self.tried
     }
 
-    /// Returns the endpoints on which the request failed and one more.
+    /// Returns the endpoints that must not be tried again, and one more.
     pub fn tried_with(&self, target: &Arc<Target>) -> Vec<Arc<Target>> {
         let more = std::iter::once(target);
         self.tried.iter().chain(more).map(Arc::clone).collect()
@@ -152,28 +153,28 @@
 /// Counts how often one request is sent to endpoints, as the operators' retry budget counts it.
 ///
 /// The first prefill that an engine accepts is free. One that an engine rejects or fails counts
-/// like a run, and so does each further prefill. Of all that counts, the first is the request
-/// itself, and the others are retries. Whether a prefill is free is known only once it has been
-/// accepted, so a retry that it may turn out to be is taken from the budget first and returned
-/// then.
+/// like a run, and so does each further prefill. The first send that counts is the request itself,
+/// and each further one is a retry. Whether a prefill is free is known only once it has been
+/// accepted, so if it may become a retry, one is spent before it is sent and refunded once it is
+/// accepted.
 #[derive(Debug, Default)]
 pub struct SendCounter(Mutex<Counters>);
 
 #[derive(Debug, Default)]
 struct Counters {
-    /// Requests sent that count.
+    /// Sends that count, the request itself included.
     counted: u32,
     /// Whether an engine has accepted the free prefill.
     free_prefill_used: bool,
     /// A prefill in flight that is free if the engine accepts it.
     pending: Option<PendingPrefill>,
-    /// Retries taken from the budget in advance.
+    /// Retries spent in advance for the next attempts.
     reserved: Vec<RetryPermit>,
 }
 
 #[derive(Debug)]
 struct PendingPrefill {
-    /// The retry taken from the budget in case the prefill isn't accepted.
+    /// The retry spent in case the prefill isn't accepted.
     retry: Option<RetryPermit>,
 }
 
@@ -196,8 +197,8 @@
         true
     }
 
-    /// Takes `count` retries from the budget in advance. Returns whether it got all of them;
-    /// otherwise it takes none.
+    /// Reserves `count` retries of the budget for the next attempts. Returns whether there were as
+    /// many; otherwise it reserves none.
     pub fn reserve(&self, job: &Job, count: usize) -> bool {
         let taken: Vec<RetryPermit> = (0..count).map_while(|_| spend_retry(job)).collect();
         let enough = taken.len() == count;
@@ -208,13 +209,13 @@
         enough
     }
 
-    /// Takes one retry from the budget for the next attempt, if there is one.
+    /// Reserves one retry for the next attempt if the budget has one.
     pub fn reserve_one(&self, job: &Job) -> bool {
         // checked first because every retry that is requested writes a log line
         job.gateway.has_retry_budget(&job.service.name) && self.reserve(job, 1)
     }
 
-    /// Returns the retries that were reserved and not used.
+    /// Refunds the retries that were reserved and not used.
     pub fn refund_reserved(&self, job: &Job) {
         for retry in self.0.lock().reserved.drain(..) {
             refund_retry(job, &retry);
--- a/components/gateway/src/request/events.rs
+++ b/components/gateway/src/request/events.rs
@@ -3,7 +3,7 @@
 
 use bytes::{Bytes, BytesMut};
 
-/// Splits a stream into complete events.
+/// Buffers the incomplete event at the end of a stream, so that only complete events are passed on.
 #[derive(Debug, Default)]
 pub struct EventBuffer {
     partial: BytesMut,
--- a/components/gateway/src/request/generate/migrate.rs
+++ b/components/gateway/src/request/generate/migrate.rs
@@ -20,9 +20,10 @@
     },
 };
 
-/// How long after an answer was asked to migrate it may return to its old engine. An engine that
-/// leaves accepts nothing new two seconds after it has announced that (`drain_ms` of the first
-/// deployments), and the announcement takes some time to reach this process.
+/// How long after its engine was asked to migrate an answer the answer may return there. It must be
+/// below the operators' `drain_ms`, after which a leaving engine accepts nothing new: two seconds
+/// after its announcement in the first deployments. The announcement also takes time to reach this
+/// process.
 const RETURN_WINDOW: Duration = Duration::from_secs(1);
 
 /// A stopped answer, and where it is resumed.
@@ -33,13 +34,13 @@
     handle: KvHandle,
     /// The engine on which it stopped, which holds the KV cache until it is fetched.
     source: Arc<Target>,
-    /// When the answer was asked to migrate.
+    /// When the engine was asked to migrate the answer.
     asked_at: Instant,
 }
 
 impl StoppedAnswer {
-    /// Returns the same answer with its old engine as the target, for when the new engine refuses
-    /// it. None if the old engine itself refused it, or if too much time has passed.
+    /// Returns the same answer with its previous engine as the target, for when the new engine
+    /// refuses it. `None` if the previous engine itself refused it, or if too much time has passed.
     #[must_use]
     pub fn back_to_source(self) -> Option<Self> {
         let can_return =
@@ -51,7 +52,7 @@
     }
 }
 
-/// Makes an engine stop an answer and copy its KV cache to another engine. Returns none if the
+/// Makes an engine stop an answer and copy its KV cache to another engine. Returns `None` if the
 /// answer continues where it is.
 pub async fn stop_and_copy(job: &Job, from: &Arc<Target>) -> Option<StoppedAnswer> {
     let asked_at = Instant::now();
@@ -72,7 +73,7 @@
         request = job.metadata.id, from = &*from.id.0, to = &*to.id.0,
         status = answer.map(|(status, _)| status.as_u16()), stopped = migration.is_some(),
         copied = migration.as_ref().is_some_and(|migration| migration.copied);
-        "an answer was asked to migrate"
+        "asked an engine to migrate an answer"
     );
     let outcome = match &migration {
         None => "stayed",
--- a/components/gateway/src/request/generate/mod.rs
+++ b/components/gateway/src/request/generate/mod.rs
@@ -71,7 +71,7 @@
                 ));
             }
             Err(failed) => {
-                // another prefill and another fetch would send the request twice more
+                // another prefill and another fetch would count as two more sends
                 may_split = failed.cause != Cause::KvFetchFailed;
                 attempts.record_failure(&job, failed)?;
             }
--- a/components/gateway/src/request/generate/prefill.rs
+++ b/components/gateway/src/request/generate/prefill.rs
@@ -34,21 +34,21 @@
     pub ahead: u64,
 }
 
-/// Adds a prompt to an engine's load, and notes that the engine will have its parts cached.
+/// Adds a prompt to an engine's load, and records that the engine will have its parts cached.
 pub fn start(job: &Job, snapshot: &Snapshot, index: usize, deferred: bool) -> InFlight {
     let target = &snapshot.targets[index];
     let engine = &snapshot.engines[index];
     let available_tokens = engine.cached_tokens + engine.fetch.tokens;
     let work = policy::prompt::prefill_work(placement_request(job).prompt_tokens, available_tokens);
-    let paces = job.gateway.latencies(&job.service.name);
+    let latencies = job.gateway.latencies(&job.service.name);
     let now = Instant::now();
     let ahead = target.with(|state| {
-        let common = paces.for_stage(state.profile.stage);
+        let default_latency = latencies.for_stage(state.profile.stage);
         let load = state.total_load();
-        let left = state.remaining_prefill(now, common);
-        let ahead = policy::place::work_ahead(left, load.deferred_work, load.deferred_prompts);
+        let remaining = state.remaining_prefill(now, default_latency);
+        let ahead = policy::place::work_ahead(remaining, load.deferred_work, load.deferred_prompts);
         if !deferred {
-            state.record_prefill(now, common, work);
+            state.record_prefill(now, default_latency, work);
         }
         ahead
     });
@@ -59,12 +59,12 @@
     }
 }
 
-/// Notes that an engine will have the parts of a prompt cached: soon if they are `fetched`,
+/// Records that an engine will have the parts of a prompt cached: soon if they are `fetched`,
 /// otherwise once it has prefilled them.
 pub fn record_parts(job: &Job, target: &Arc<Target>, fetched: bool) {
     if let Some(prompt) = &job.metadata.prompt {
-        let common = job.gateway.service_defaults(&job.service.name);
-        target.with(|state| state.record_prompt(Instant::now(), &common, &prompt.parts, fetched));
+        let defaults = job.gateway.service_defaults(&job.service.name);
+        target.with(|state| state.record_prompt(Instant::now(), &defaults, &prompt.parts, fetched));
         job.gateway
             .peers
             .record_placement(target.short_id, &prompt.parts);
@@ -74,16 +74,16 @@
 /// How urgent a prefill is, with the expected time in microseconds.
 #[derive(Clone, Copy, Debug)]
 pub enum Urgency {
-    /// The answer is to begin in time, after this long.
+    /// The prefill has normal priority; the answer is expected to begin after this time.
     Normal(f64),
     /// The answer will be late, so the prompt yields priority to others; its prefill is expected to
-    /// take this long.
+    /// take this time.
     Deferred(f64),
 }
 
 impl Urgency {
-    /// Returns when the engine is suspected to be lost; none for a deferred prompt, which may have
-    /// to wait.
+    /// Returns when the engine is presumed lost; `None` for a deferred prompt, which may have to
+    /// wait.
     fn early_timeout<'a>(self, job: &'a Job, attempts: &'a Attempts) -> Option<EarlyTimeout<'a>> {
         match self {
             Self::Normal(first_us) => Some(timing::early_timeout(job, attempts, first_us)),
@@ -92,11 +92,12 @@
     }
 }
 
-/// The wait for a prefill. For a deferred prompt it updates the learned wait factor, also if the
+/// The wait for a prefill. For a deferred prompt it updates the learnt wait factor, also if the
 /// caller leaves before the prefill ends.
 struct PrefillWait<'a> {
     job: &'a Job,
-    /// Expected time of a deferred prefill; none once its actual time has been learned.
+    /// Expected time of a deferred prefill in microseconds; `None` for a normal one, and once the
+    /// actual time has been learnt.
     expected_us: Option<f64>,
     begun: Instant,
 }
@@ -215,12 +216,12 @@
     })
 }
 
-/// Updates the engine's learned pace with a completed prefill. `work` includes everything that was
-/// ahead of it when it was sent.
+/// Updates the engine's learnt latencies with a completed prefill. `work` includes everything that
+/// was ahead of it when it was sent.
 pub fn learn_prefill_latency(job: &Job, target: &Target, work: u64, begun: Instant) {
     let took = policy::micros(begun.elapsed());
     job.gateway
-        .learn_latency(target, |pace| pace.observe_prefill(work, took));
+        .learn_latency(target, |latency| latency.observe_prefill(work, took));
 }
 
 /// A KV cache held by an engine, which is released if no other engine fetches it.
--- a/components/gateway/src/request/generate/queue.rs
+++ b/components/gateway/src/request/generate/queue.rs
@@ -1,8 +1,8 @@
 //! Queue of requests that wait for an engine with a free slot to decode their answers.
 //!
-//! Decode engines are full only briefly, as answers end all the time. So a request waits that would
-//! otherwise be refused, or whose prompt would have been prefilled for nothing. Only the first
-//! request in the queue looks for a slot, ordered by priority and then by deadline, so that a long
+//! Decode engines are full only briefly, as answers end all the time. So a request waits here
+//! instead of being refused, or instead of wasting the prefill of its prompt. Only the first
+//! request in the queue checks for a slot, ordered by priority and then by deadline, so that a long
 //! queue costs no more than a short one. See `docs/DESIGN.md#waiting-for-room`.
 
 use std::time::Duration;
@@ -13,7 +13,7 @@
 
 use crate::request::job::Job;
 
-/// Delay before each look for a slot. Reports of answers of other gateways are some ten
+/// Delay before each check for a free slot. Reports of answers of other gateways are about ten
 /// milliseconds old (`docs/DESIGN.md#between-our-processes`).
 const RECHECK_DELAY: Duration = Duration::from_millis(10);
 /// A request waits for this fraction (1/n) of its remaining time at most. One that has waited
@@ -77,8 +77,8 @@
 }
 
 impl Ticket<'_> {
-    /// Waits until it is this request's turn to look for a slot. Returns false if it has waited for
-    /// too long.
+    /// Waits until it is this request's turn to check for a free slot. Returns false if it has
+    /// waited for too long.
     pub async fn wait_turn(&self) -> bool {
         let recheck_at = Instant::now() + RECHECK_DELAY;
         clock::sleep_until(recheck_at.min(self.until)).await;
--- a/components/gateway/src/request/generate/run.rs
+++ b/components/gateway/src/request/generate/run.rs
@@ -112,7 +112,7 @@
         Ok(answer) => {
             let took = policy::micros(begun.elapsed());
             job.gateway
-                .learn_latency(decode, |pace| pace.observe_first_token(took));
+                .learn_latency(decode, |latency| latency.observe_first_token(took));
             prefill.record_verdict(Verdict::Fine, &job.metadata.id);
             handle.mark_fetched();
             Ok((answer, decode_guard))
--- a/components/gateway/src/request/generate/snapshot.rs
+++ b/components/gateway/src/request/generate/snapshot.rs
@@ -14,13 +14,13 @@
     request::job::Job,
 };
 
-/// Round-trip time assumed for an engine in another data centre, as it is not measured yet, in
-/// microseconds.
+/// Round-trip time assumed for an engine in a remote data centre, in microseconds: round-trip times
+/// are not measured.
 const REMOTE_RTT_US: policy::Micros = 4_000;
 /// Fewer tokens than this are prefilled rather than fetched.
 const MIN_FETCH_TOKENS: u64 = 512;
 /// Factor by which a fetch may exceed the pure transfer time, as other transfers are in flight and
-/// it may come from another data centre.
+/// it may come from a remote data centre.
 const FETCH_TIME_FACTOR: f64 = 3.0;
 const MICROS_PER_SECOND: f64 = 1e6;
 const NANOS_PER_MICRO: f64 = 1e3;
@@ -48,12 +48,14 @@
             .map_or(&[][..], |prompt| &prompt.parts);
         let local = &job.gateway.settings.gateway.data_centre;
         let unreachable = job.gateway.peers.unreachable_data_centres();
-        let common = job.gateway.service_defaults(&job.service.name);
+        let defaults = job.gateway.service_defaults(&job.service.name);
         let mut candidates: Vec<(Arc<Target>, endpoint::Snapshot)> = fleet
             .subset()
             .iter()
             .filter(|target| !tried.iter().any(|other| other.id == target.id))
-            .filter_map(|target| Some((Arc::clone(target), target.snapshot(now, parts, &common)?)))
+            .filter_map(|target| {
+                Some((Arc::clone(target), target.snapshot(now, parts, &defaults)?))
+            })
             .filter(|(_, seen)| !unreachable.contains(&seen.profile.data_centre))
             .collect();
         if job.gateway.is_suspect(job.fingerprint) {
@@ -93,9 +95,9 @@
         }
     }
 
-    /// Determines which parts of the prompt engines can fetch from the engine that has the most to
-    /// offer. Parts that are still being prefilled there don't count, as they would be prefilled
-    /// again.
+    /// Determines which parts of the prompt engines can fetch from the engine that has cached the
+    /// largest part of it. Parts that are still being prefilled there don't count, as they would be
+    /// prefilled again.
     fn add_fetches(&mut self, job: &Job, fetchable: &[u64]) {
         let Some(engines) = &job.service.engines else {
             return;
@@ -139,8 +141,9 @@
         u64::try_from(waiting).is_ok_and(|waiting| waiting < slots)
     }
 
-    /// Whether the plan prefills so few tokens on the engine that decodes the answer that it delays
-    /// nobody. Then a late request is placed there too.
+    /// Whether the prompt is prefilled on the engine that decodes the answer, and so little of it
+    /// that other requests are hardly delayed. Then the request is placed there even if it will be
+    /// late.
     pub fn has_negligible_prefill(&self, job: &Job, choice: &Choice) -> bool {
         match choice.placement {
             Placement::Single { engine } => place::is_short_prefill(
@@ -152,7 +155,8 @@
         }
     }
 
-    /// Returns the work for a prefill engine; zero if the prompt is short.
+    /// Returns the work that the prompt is for a prefill engine; zero if little of it must be
+    /// prefilled.
     fn prefill_work(&self, job: &Job) -> u64 {
         let prompt = placement_request(job).prompt_tokens;
         let prefill_engines = self
@@ -194,9 +198,9 @@
     }
 }
 
-/// Keeps only the engines with the fewest suspects of each stage. Of two requests that crash
-/// endpoints, or seem to, each must be observed on its own: a harmless one that was in flight
-/// beside the other would otherwise share its next crash as well.
+/// Keeps only the engines with the fewest suspects of each stage. Suspects are kept apart, because
+/// a harmless one that is in flight beside one that crashes endpoints would also be blamed for the
+/// next crash.
 fn isolate_suspects(candidates: &mut Vec<(Arc<Target>, endpoint::Snapshot)>) {
     for stage in [Some(Stage::Prefill), Some(Stage::Decode)] {
         let of_stage = candidates
@@ -218,7 +222,7 @@
     named.join(" ")
 }
 
-/// Returns the rank of an endpoint in this process's own order, which differs from that of other
+/// Returns the rank of an endpoint in this process's order of preference, which differs between
 /// processes.
 fn rank(job: &Job, target: &Target) -> u64 {
     let seed = job.gateway.incarnation;
@@ -251,7 +255,7 @@
     }
 }
 
-/// Returns what a request asks of placement.
+/// Returns the input of a request to placement.
 pub fn placement_request(job: &Job) -> Request {
     let none = Prompt::default();
     let prompt = job.metadata.prompt.as_ref().unwrap_or(&none);
@@ -276,7 +280,7 @@
     engines.map_or(1, |engines| engines.tokens_per_event.max(1))
 }
 
-/// Returns the longest inter-token latency that long answers of the request's service tolerate, in
+/// Returns the highest inter-token latency that long answers of the request's service tolerate, in
 /// microseconds.
 fn max_inter_token_latency_us(job: &Job) -> f64 {
     let service_limit_us = job.gateway.max_inter_token_latency_us(&job.service.name);
--- a/components/gateway/src/request/generate/timing.rs
+++ b/components/gateway/src/request/generate/timing.rs
@@ -14,31 +14,32 @@
     timeout::{EarlyTimeout, PresumedLost, Timeout},
 };
 
-/// The fraction of the remaining time within which the prompt of a late answer must be prefilled.
-/// The rest is for decode and for errors of the estimate.
+/// Fraction of the remaining time within which the prompt of a late answer must be prefilled. The
+/// rest is for decode and for errors of the estimate.
 const DEFERRED_PREFILL_RATIO: f64 = 0.5;
-/// The fraction of the time until its caller gives up within which a deferred prompt must be
-/// prefilled. The rest is for a decode engine to fetch the KV cache.
+/// Fraction of the time until its caller gives up within which a deferred prompt must be prefilled.
+/// The rest is for a decode engine to fetch the KV cache.
 const FIRST_EVENT_RATIO: f64 = 0.9;
 /// A refused caller is not asked to retry later than after this fraction (1/n) of its remaining
 /// time.
 const RETRY_AFTER_DIVISOR: u32 = 2;
-/// How many times the expected time an engine may make no progress before it is suspected to be
-/// lost. An engine shows no progress while it prefills a single prompt, and estimates are wrong by
-/// less than this factor.
+/// How many times the expected time an engine may make no progress before it is presumed lost. An
+/// engine shows no progress while it prefills a single prompt, and estimates are wrong by less than
+/// this factor.
 const SILENCE_FACTOR: u32 = 3;
-/// An engine is always waited for during this fraction (1/n) of the remaining time. A retried
-/// request is prefilled twice and counts against the retry budget, so an engine is not abandoned
-/// while there is ample time for another one.
+/// An attempt is not abandoned before this fraction (1/n) of the remaining time has passed. A
+/// retried request is prefilled twice and counts against the retry budget, and until then there is
+/// ample time left for another engine.
 const MIN_WAIT_DIVISOR: u32 = 4;
 
-/// Whether an answer will begin in time.
+/// With which priority the prompt of a request is prefilled.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Timing {
-    /// It will.
+    /// Normal priority: the answer is expected to begin in time, its prompt is short enough to
+    /// delay hardly any other, or the request is a retry.
     Normal,
-    /// It won't, but there is enough time for a late answer; its prompt is prefilled on this engine
-    /// when no other prompt waits there.
+    /// The answer won't begin in time, but there is enough time for a late one; its prompt is
+    /// prefilled on this engine when no other prompt waits there.
     Deferred(place::Deferred),
 }
 
@@ -83,8 +84,9 @@
     (max_begin_us * FIRST_EVENT_RATIO / wait_factor).min(max_total_us)
 }
 
-/// Returns how long to wait for an answer that is expected to begin after `expected` microseconds.
-/// If another attempt may follow, the wait ends early when the engine stops making progress.
+/// Returns how long to wait for an answer that is expected to begin after `expected_us`
+/// microseconds. If another attempt may follow, the wait ends early when the engine stops making
+/// progress.
 pub fn timeout<'a>(job: &'a Job, attempts: &'a Attempts, expected_us: f64) -> Timeout<'a> {
     let may_retry = attempts.may_retry_after_next(job);
     Timeout::with_early(
@@ -93,8 +95,8 @@
     )
 }
 
-/// Returns when to suspect that an engine is lost whose answer is expected to begin after
-/// `expected` microseconds.
+/// Returns when an engine is presumed lost whose answer is expected to begin after `expected_us`
+/// microseconds.
 pub fn early_timeout<'a>(
     job: &'a Job,
     attempts: &'a Attempts,
@@ -116,7 +118,7 @@
     limit.max(job.time_left() / MIN_WAIT_DIVISOR)
 }
 
-/// How many times the expected time an answer may take where it must not be cut off.
+/// Safety factor on the expected time of an answer during a shutdown, which must not interrupt it.
 const SHUTDOWN_MARGIN_FACTOR: f64 = 1.3;
 
 /// Whether an answer ends before this process shuts down, if a shutdown is in progress.
--- a/components/gateway/src/request/job.rs
+++ b/components/gateway/src/request/job.rs
@@ -17,8 +17,8 @@
 
 /// How long a caller waits if neither the caller nor the route sets a timeout.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(60);
-/// The part of a latency objective that the network takes between caller and gateway, both ways and
-/// with a new connection.
+/// The part of a latency objective that is reserved for the network between caller and gateway: a
+/// new connection and both directions.
 const CALLER_TRANSIT: Duration = Duration::from_millis(12);
 
 /// A request as it was received from the caller.
@@ -128,14 +128,14 @@
     }
 
     /// Whether the request ends before this process shuts down, if it takes as long as `expected`.
-    /// A request that arrives when the load balancer should no longer send any must not be cut off
-    /// even if its endpoint goes silent, so it is only accepted if its whole time until the
-    /// deadline fits.
+    /// A request that arrives when the load balancer should no longer send any must not be
+    /// interrupted even if its endpoint goes silent, so it is only accepted if its whole time until
+    /// the deadline fits.
     pub fn ends_before_shutdown(&self, expected: Duration) -> bool {
         let now = Instant::now();
         self.gateway.shutdown().is_none_or(|shutdown| {
-            // until `quiet` the load balancer still sends requests, and tolerates one that is cut
-            // off
+            // until `balancer_removed` the load balancer still sends requests, and tolerates one
+            // that is interrupted
             let ends = if now < shutdown.balancer_removed {
                 (now + expected).min(self.deadline)
             } else {
@@ -158,5 +158,6 @@
     }
 }
 
-/// Connections that a process may hold to an endpoint in any case.
+/// Minimum number of connections that a process may hold to an endpoint, however many processes
+/// share it.
 const MIN_CONNECTIONS: usize = 4;
--- a/components/gateway/src/request/mod.rs
+++ b/components/gateway/src/request/mod.rs
@@ -1,6 +1,6 @@
-//! The life of a request: [`handle`] finds the route and reads the body, [`plain`] or [`generate`]
-//! chooses endpoints, [`attempt`] sends the request to one of them, and [`relay`] streams the
-//! response back to the caller.
+//! How a request is handled: [`handle`] finds the route and reads the body, [`plain`] or
+//! [`generate`] chooses endpoints, [`attempt`] sends the request to one of them, and [`relay`]
+//! streams the response back to the caller.
 
 mod attempt;
 mod attempts;
@@ -32,7 +32,7 @@
 use refusal::Reason;
 use relay::Body;
 
-/// Answers a request that arrived on a connection. A refusal is sent immediately.
+/// Handles a request that arrived on a connection. A refusal is sent immediately.
 pub async fn handle(
     gateway: Arc<Gateway>,
     exchange: Arc<Exchange>,
--- a/components/gateway/src/request/plain.rs
+++ b/components/gateway/src/request/plain.rs
@@ -1,5 +1,5 @@
-//! Requests to plain services. Any endpoint can serve them; the least loaded one is used, and local
-//! ones are preferred.
+//! Requests to plain services. Any endpoint can serve them; the least loaded one is used, and those
+//! in the local data centre are preferred.
 
 use std::{sync::Arc, time::Duration};
 
@@ -19,21 +19,20 @@
     endpoint::{DecodeGuard, ServiceDefaults, Target, Verdict},
 };
 
-/// Cost of an endpoint in another data centre, in slots' worth of load.
+/// Cost of an endpoint in a remote data centre, in units of load: requests in flight per slot.
 const REMOTE_PENALTY: f64 = 0.34;
-/// Cost of an endpoint on which every attempt fails, in slots' worth of load.
+/// Cost of an endpoint on which every attempt fails, in units of load.
 const FAILURE_PENALTY: f64 = 4.0;
 
-/// Cost, for a suspect request, of each other suspect on an endpoint, in slots' worth of load. An
-/// idle endpoint in another data centre is better than one that may crash because of the other
-/// suspect.
+/// Cost, for a suspect request, of each other suspect on an endpoint, in units of load. An idle
+/// endpoint in a remote data centre is better than one that may crash because of the other suspect.
 const SUSPECT_PENALTY: f64 = 2.0;
 
-/// A silent endpoint is suspected after this fraction (1/n) of the objective if the request may run
-/// again. A healthy endpoint answers sooner, and the rest of the time is enough for another
+/// A silent endpoint is presumed lost after this fraction (1/n) of the objective if the request may
+/// run again. A healthy endpoint answers sooner, and the rest of the time is enough for another
 /// endpoint.
 const PRESUMED_LOST_DIVISOR: u32 = 2;
-/// The shortest time after which a silent endpoint is suspected.
+/// The shortest time after which a silent endpoint is presumed lost.
 const MIN_PRESUMED_LOST_DELAY: Duration = Duration::from_millis(30);
 
 /// Serves a request to a plain service.
@@ -85,7 +84,7 @@
     Ok(relay::forward(job, answer, decode_guard, attempts))
 }
 
-/// Chooses the endpoint with the least load relative to its slots, with a penalty for other data
+/// Chooses the endpoint with the least load relative to its slots, with a penalty for remote data
 /// centres.
 fn choose(job: &Job, tried: &[Arc<Target>]) -> Option<Arc<Target>> {
     let now = Instant::now();
@@ -128,11 +127,9 @@
     };
     let early = attempts.may_retry_after_next(job).then(|| {
         // early enough for another endpoint to answer within the objective
-        let suspected = job.arrived + job.route.objective / PRESUMED_LOST_DIVISOR;
+        let lost_at = job.arrived + job.route.objective / PRESUMED_LOST_DIVISOR;
         EarlyTimeout {
-            presumed_lost: PresumedLost::At(
-                suspected.max(Instant::now() + MIN_PRESUMED_LOST_DELAY),
-            ),
+            presumed_lost: PresumedLost::At(lost_at.max(Instant::now() + MIN_PRESUMED_LOST_DELAY)),
             has_alternative: Box::new(|target| has_alternative(job, attempts, target)),
         }
     });
--- a/components/gateway/src/request/refusal.rs
+++ b/components/gateway/src/request/refusal.rs
@@ -1,4 +1,4 @@
-//! Refusals. They are typed, sent immediately, and true about whether the request ran.
+//! Refusals. Each has a type, is sent immediately, and states correctly whether the request ran.
 //!
 //! A status that says that the request did not run is used only where that is certain. See
 //! `docs/OPERATIONS.md#what-each-refusal-means`.
@@ -34,7 +34,7 @@
     /// The body is larger than the configuration allows.
     #[display("the body is too large")]
     TooLarge,
-    /// The body arrived too slowly or was cut off.
+    /// The body arrived too slowly or incompletely.
     #[display("the body did not come in time")]
     SlowBody,
     /// This process has not read the configuration yet.
@@ -52,7 +52,7 @@
     /// Endpoints were tried, and none accepted the request.
     #[display("no endpoint took the request")]
     AllRefused(Duration),
-    /// Too many endpoints have crashed while they ran requests with the same fingerprint.
+    /// Too many endpoints have crashed while running requests with the same fingerprint.
     #[display("endpoints have ended under requests for the same")]
     Withheld(Duration),
     /// The handler panicked before any endpoint received the request.
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Returns when a retry may help; none if it can't.
+    /// Returns when a retry may help; `None` if it can't.
     pub fn retry_after(self) -> Option<Duration> {
         match self {
             Self::Overloaded(after)
--- a/components/gateway/src/request/relay.rs
+++ b/components/gateway/src/request/relay.rs
@@ -44,12 +44,12 @@
 /// An endpoint stops by itself at the deadline; its last bytes may arrive this much later.
 const DEADLINE_GRACE: Duration = Duration::from_millis(200);
 
-/// How many times an answer may migrate because its engine leaves. Each migration sends the request
-/// to an endpoint once more.
+/// How many times an answer may migrate because its engine leaves or will change its stage. Each
+/// migration sends the request to an endpoint once more.
 const MAX_MIGRATIONS: u32 = 2;
-/// Retries that a migration may use: one to resume on the new engine, and one to resume on the old
-/// engine if the new one refuses. They are reserved in advance, as a stopped answer must not find
-/// the retry budget exhausted.
+/// Retries that a migration may use: one to resume on the new engine, and one to resume on the
+/// previous engine if the new one refuses. They are reserved in advance, as a stopped answer must
+/// not find the retry budget exhausted.
 const MIGRATION_RETRIES: usize = 2;
 
 /// Creates a body from bytes that are all available.
@@ -90,7 +90,7 @@
     /// microseconds.
     remaining_prefill: Option<policy::Micros>,
     _decode_guard: DecodeGuard,
-    /// The request in flight on the endpoint; none once its connection broke.
+    /// The request in flight on the endpoint; `None` once its connection broke.
     guard: Option<RequestGuard>,
 }
 
@@ -108,7 +108,8 @@
     }
 }
 
-/// Starts to relay a response. `attempts` counts the attempts so far, this one included.
+/// Starts to relay a response. `attempts` counts the attempts in which the request ran or may have
+/// run, this one included.
 pub fn forward(
     job: Job,
     answer: Answer,
@@ -153,7 +154,7 @@
 }
 
 impl Relay {
-    /// Returns the next bytes for the caller; none at the end of a complete response.
+    /// Returns the next bytes for the caller; `None` at the end of a complete response.
     async fn next_chunk(&mut self) -> Result<Option<Bytes>, RelayError> {
         loop {
             let Some(upstream) = &mut self.upstream else {
@@ -226,7 +227,8 @@
         }
     }
 
-    /// Updates the engine's learned pace with the time between two events.
+    /// Records an event, and updates the engine's learnt latencies with the time since the previous
+    /// one. Each data frame counts as one event.
     fn record_event(&mut self) {
         let now = Instant::now();
         self.events += 1;
@@ -236,18 +238,18 @@
         };
         let gap = upstream.last_event.replace(now).map(|last| now - last);
         let gateway = &self.job.gateway;
-        let common = gateway.service_defaults(&self.job.service.name);
-        let left = upstream
+        let defaults = gateway.service_defaults(&self.job.service.name);
+        let remaining = upstream
             .target
-            .with(|state| state.remaining_prefill_time(now, &common));
-        let before = std::mem::replace(&mut upstream.remaining_prefill, left);
+            .with(|state| state.remaining_prefill_time(now, &defaults));
+        let previous_remaining = std::mem::replace(&mut upstream.remaining_prefill, remaining);
         upstream.target.record_progress();
         self.longest_gap = self.longest_gap.max(gap.unwrap_or_default());
         let engines = self.job.service.engines.as_ref();
         if let (Some(gap), Some(engines)) = (gap, engines) {
             let gap = policy::micros(gap);
-            gateway.learn_latency(&upstream.target, |pace| {
-                pace.observe_event(engines.tokens_per_event, gap, before, left);
+            gateway.learn_latency(&upstream.target, |latency| {
+                latency.observe_event(engines.tokens_per_event, gap, previous_remaining, remaining);
             });
         }
     }
@@ -305,7 +307,7 @@
         }
     }
 
-    /// Resumes a stopped answer on the engine that it migrated to, or else on its old engine.
+    /// Resumes a stopped answer on the engine that it migrated to, or else on its previous engine.
     /// Returns whether that worked.
     async fn resume_migrated(&mut self, stopped: StoppedAnswer) -> bool {
         let resumed = self.try_resume_migrated(stopped).await;
--- a/components/gateway/src/request/timeout.rs
+++ b/components/gateway/src/request/timeout.rs
@@ -14,19 +14,19 @@
 /// Returns whether another endpoint than the given one would accept the request.
 pub type HasAlternative<'a> = Box<dyn Fn(&Arc<Target>) -> bool + Send + Sync + 'a>;
 
-/// When an endpoint is suspected to be lost.
+/// When an endpoint is presumed lost.
 #[derive(Clone, Copy, Debug)]
 pub enum PresumedLost {
     /// At a fixed time.
     At(Instant),
     /// When the endpoint has made no progress for this long, neither with this request nor with any
-    /// other. A wrong forecast alone is no sign that an endpoint is lost.
+    /// other. An estimate that is exceeded does not by itself mean that the endpoint is lost.
     Silence(Duration),
 }
 
 /// Abandons an attempt before its deadline if the request can be sent elsewhere.
 pub struct EarlyTimeout<'a> {
-    /// When the endpoint is suspected.
+    /// When the endpoint is presumed lost.
     pub presumed_lost: PresumedLost,
     /// Whether another endpoint would accept the request.
     pub has_alternative: HasAlternative<'a>,
@@ -44,7 +44,7 @@
         Self { at, early: None }
     }
 
-    /// Waits until the given time, or less long if `early` applies.
+    /// Waits until the given time, or for a shorter time if `early` applies.
     pub fn with_early(at: Instant, early: Option<EarlyTimeout<'a>>) -> Self {
         Self { at, early }
     }
@@ -58,10 +58,10 @@
         loop {
             let now = Instant::now();
             let early = self.early.as_ref();
-            let suspected = early.map(|early| early.presumed_lost.time(sent_at, target));
+            let lost_at = early.map(|early| early.presumed_lost.time(sent_at, target));
             match early {
                 _ if now >= self.at => return,
-                Some(early) if suspected.is_some_and(|at| at <= now) => {
+                Some(early) if lost_at.is_some_and(|at| at <= now) => {
                     if (early.has_alternative)(target) && job.sends.reserve_one(job) {
                         return;
                     }
@@ -69,7 +69,7 @@
                     recheck_delay *= 2;
                 }
                 Some(_) | None => {
-                    let next = suspected.unwrap_or(self.at);
+                    let next = lost_at.unwrap_or(self.at);
                     clock::sleep_until(next.min(self.at)).await;
                 }
             }
@@ -78,7 +78,7 @@
 }
 
 impl PresumedLost {
-    /// Returns when an endpoint that received a request at `sent_at` is suspected.
+    /// Returns when an endpoint that received a request at `sent_at` is presumed lost.
     fn time(self, sent_at: Instant, target: &Target) -> Instant {
         match self {
             Self::At(time) => time,
--- a/components/gateway/src/version/idle.rs
+++ b/components/gateway/src/version/idle.rs
@@ -5,8 +5,8 @@
 use clock::Instant;
 use parking_lot::Mutex;
 
-/// Number of changes that are kept. At one change a second they cover more than the longest idle
-/// timeout.
+/// Maximum number of changes that are kept. At one change a second they cover more than the longest
+/// idle timeout.
 const MAX_CHANGES: usize = 256;
 
 /// The idle timeouts of the configurations so far, each with the time at which it came into force.
@@ -26,7 +26,7 @@
         limits.push((now, limit));
     }
 
-    /// Returns the longest timeout that was in force at any time since `since`; none before the
+    /// Returns the longest timeout that was in force at any time since `since`; `None` before the
     /// first configuration.
     #[must_use]
     pub fn longest_since(&self, since: Instant) -> Option<Duration> {
--- a/components/gateway/src/version/mod.rs
+++ b/components/gateway/src/version/mod.rs
@@ -35,12 +35,12 @@
     }
 }
 
-/// A service that a route leads to.
+/// A service that a route leads to, with its weight.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WeightedService {
     /// Name of the service.
     pub service: Arc<str>,
-    /// Its share of the route's requests, relative to the weights of the other targets.
+    /// Its share of the route's requests, relative to the weights of the route's other services.
     pub weight: u64,
 }
 
@@ -55,14 +55,14 @@
     pub prefix: String,
     /// How its requests may be retried.
     pub kind: Kind,
-    /// The longest time that a request may take; none if the operators set no limit.
+    /// The longest time that a request may take; `None` if the operators set no limit.
     pub timeout: Option<Duration>,
     /// The latency objective: within it an answer has its full value.
     pub objective: Duration,
     /// The longest time between two events of a stream that still counts as on time.
     pub max_stall: Option<Duration>,
     /// The longest time without an event after which callers of a stream give up, also before its
-    /// first event. None if they wait until their deadline.
+    /// first event. `None` if they wait until their deadline.
     pub max_silence: Option<Duration>,
     /// Priority class; 0 is the highest.
     pub priority: u32,
@@ -96,7 +96,7 @@
     pub name: Arc<str>,
     /// Connections that each of its endpoints accepts, from all clients together.
     pub max_connections: usize,
-    /// The configuration of its engines; none for a plain service.
+    /// The configuration of its engines; `None` for a plain service.
     pub engines: Option<Engines>,
 }
 
@@ -109,7 +109,8 @@
     pub max_body_bytes: usize,
     /// The longest time that a caller may take to send the headers.
     pub header_timeout: Duration,
-    /// The longest time that a connection may stay idle.
+    /// The longest time that a connection may stay idle, and that the body of a request may take to
+    /// arrive after its headers.
     pub idle_timeout: Duration,
 }
 
@@ -138,7 +139,7 @@
 }
 
 impl Configuration {
-    /// Creates a version from its parts and sorts them for look-up.
+    /// Creates a configuration from its parts and sorts them for look-up.
     #[must_use]
     pub fn new(version: u64, routes: Vec<Route>, services: Vec<Service>, limits: Limits) -> Self {
         let mut routes: Vec<Arc<Route>> = routes.into_iter().map(Arc::new).collect();
@@ -178,8 +179,8 @@
         index.ok().map(|index| &self.services[index])
     }
 
-    /// Returns the smallest `max_stall` of all routes that lead to a service; none if no route sets
-    /// one.
+    /// Returns the smallest `max_stall` of all routes that lead to a service; `None` if no route
+    /// sets one.
     #[must_use]
     pub fn tightest_max_stall(&self, service: &str) -> Option<Duration> {
         let serves = |route: &&Arc<Route>| route.targets.iter().any(|t| *t.service == *service);
--- a/components/policy/src/backlog.rs
+++ b/components/policy/src/backlog.rs
@@ -2,12 +2,14 @@
 //!
 //! The sender of a prompt knows when its prefill starts and ends, and nothing in between. Counting the
 //! whole prompt until its end would rate an engine that has almost finished a long prompt as loaded as
-//! one that has just begun it. It would also make an engine with a long queue look fast, because little
-//! of the counted work is in fact left.
+//! one that has just begun it. It would also make the learnt prefill time per token too short for an
+//! engine with a long queue: the time of a prompt would be divided by work that was in part done before
+//! the prompt arrived.
 
 use crate::{Micros, to_f64};
 
-/// The remaining prefill work of an engine at one point in time.
+/// The remaining prefill work of an engine at one point in time, in units of
+/// [`crate::prompt::prefill_work`].
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Backlog {
     work: f64,
--- a/components/policy/src/estimate.rs
+++ b/components/policy/src/estimate.rs
@@ -24,15 +24,15 @@
     }
 }
 
-/// Weight of a new sample in the averages of [`BatchLatency`]. At a fifth, a wrong initial estimate is
-/// gone after some twenty requests, while a single outlier hardly changes a placement.
+/// Weight of a new sample in the averages of [`BatchLatency`]. A wrong initial estimate is corrected
+/// within about twenty samples, while a single outlier hardly changes a placement.
 const BATCH_SAMPLE_WEIGHT: f64 = 0.2;
-/// A sample is limited to this many times the present estimate, and its inverse, so that one stall is
-/// not learnt.
+/// Samples are limited to between 1/n and n times the current estimate, so that one stall has little
+/// effect.
 const MAX_SAMPLE_RATIO: f64 = 4.0;
 
 impl BatchLatency {
-    /// Learns from the time to the first token of a request of which so many prompt tokens were
+    /// Learns from the time to the first token of a request that needed `prefilled_tokens` prompt tokens
     /// prefilled.
     pub fn observe_first_token(&mut self, prefilled_tokens: u64, took: Micros) {
         if prefilled_tokens >= MIN_SAMPLE_TOKENS {
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Learns from an inter-token latency with so many requests in the batch and no prefill.
+    /// Learns from an inter-token latency with `requests` requests in the batch and no prefill.
     pub fn observe_step(&mut self, requests: u64, took: Micros) {
         let expected = self.inter_token_us(requests);
         let ratio = (to_f64(took) / expected).clamp(1.0 / MAX_SAMPLE_RATIO, MAX_SAMPLE_RATIO);
@@ -54,14 +54,14 @@
         }
     }
 
-    /// Returns the inter-token latency with so many requests in the batch.
+    /// Returns the inter-token latency with `requests` requests in the batch.
     #[must_use]
     pub fn inter_token_us(&self, requests: u64) -> f64 {
         self.decode_step_us + self.added_request_us * to_f64(requests.saturating_sub(1))
     }
 }
 
-/// Fewest prefilled tokens from which the time per token is learnt.
+/// Minimum number of prefilled tokens for a sample of the prefill time per token.
 const MIN_SAMPLE_TOKENS: u64 = 64;
 /// Largest batch whose step time is attributed to [`BatchLatency::decode_step_us`].
 const SMALL_BATCH_REQUESTS: u64 = 4;
@@ -75,7 +75,7 @@
     *estimate += weight * (sample - *estimate);
 }
 
-/// Latencies of an engine in its present stage, learnt because the engine does not report them.
+/// Latencies of an engine in its current stage, learnt because the engine does not report them.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Latency {
     /// Time to the first token, or to the handle of a prefilled prompt, besides the prefill itself.
@@ -103,9 +103,10 @@
 }
 
 impl Latency {
-    /// Returns the initial estimate for a prefill engine, used until the first prompt has been
-    /// prefilled on any. It is faster than any known engine: an engine that looks fast is tried and its
-    /// estimate corrected, while one that looks too slow for every request would never be tried.
+    /// Returns the initial estimate for a prefill engine, used until the first prompt has been prefilled
+    /// on any prefill engine. It is faster than any known engine: an engine that is estimated too fast
+    /// gets a prompt, which corrects the estimate, while one that is estimated too slow for every
+    /// request would never get any.
     #[must_use]
     pub fn initial_prefill() -> Self {
         Self {
@@ -117,8 +118,8 @@
         }
     }
 
-    /// Returns the initial estimate for a decode engine, which prefills between its decode steps and at
-    /// half the speed.
+    /// Returns the initial estimate for a decode engine, which prefills between its decode steps and
+    /// takes 2.5 times as long per token as a prefill engine.
     #[must_use]
     pub fn initial_decode() -> Self {
         Self {
@@ -132,20 +133,20 @@
 /// prefilled faster was already cached. An estimate near zero would make every queue look short, and
 /// would never grow again.
 const MIN_PREFILL_TOKEN_US: f64 = 2.0;
-/// Minimum weight of a new sample in the estimates of [`Latency`]. Samples are noisy, as the work ahead
-/// of a prompt is known only roughly.
+/// Minimum weight of a new sample in a mean of [`Latency`]; the relative step of a median is limited to
+/// half of it in the long run. Samples are noisy, as the work ahead of a prompt is known only roughly.
 const MIN_SAMPLE_WEIGHT: f64 = 0.1;
-/// Number of samples from which on an outlier is limited by [`MAX_SAMPLE_RATIO`], and the most samples
-/// that an estimate adopted from a peer counts for.
+/// Number of samples after which an outlier is limited by [`MAX_SAMPLE_RATIO`], and maximum number of
+/// samples that an estimate adopted from a peer counts for.
 const SETTLED_SAMPLES: u32 = 4;
 /// Weights of a sample in [`Latency::contended_token_us`]: of one above the estimate, and of one below.
 /// Most events that are assumed to coincide with a prefill are not delayed by it, because the prompt is
-/// cached or has not arrived yet. So a 90th percentile gave 1 to 6 ms per token on engines where
-/// prefill in fact raises it to 36 ms.
+/// cached or has not arrived yet. So a percentile would underestimate the effect: the 90th is 1 to 6 ms
+/// per token on engines where prefill in fact raises it to 36 ms.
 const CONTENDED_RISE_WEIGHT: f64 = 0.5;
 const CONTENDED_FALL_WEIGHT: f64 = 0.005;
-/// Number of samples from which on an estimate is only advertised to new peers: by then a wrong initial
-/// estimate has been replaced entirely, see [`MIN_SAMPLE_WEIGHT`].
+/// Number of samples after which an estimate is only advertised to new peers: the first samples, which
+/// may be far off, hardly count by then, see [`MIN_SAMPLE_WEIGHT`].
 const CONVERGED_SAMPLES: u32 = 32;
 /// Largest prompt, in work, that is a sample of the overhead. Larger ones are samples of the prefill
 /// time per token.
@@ -170,11 +171,11 @@
         }
     }
 
-    /// Adopts those estimates of another process that rest on more samples than the own ones, where the
-    /// own ones have few. Returns whether anything changed.
+    /// Adopts those estimates of another process that rest on more samples than this process's, as long
+    /// as this process has fewer than `SETTLED_SAMPLES`. Returns whether anything changed.
     ///
-    /// An adopted estimate counts as a few samples only, so that own samples soon correct it if it does
-    /// not hold here.
+    /// An adopted estimate counts as a few samples only, so that this process's own samples soon correct
+    /// it if it is wrong for its engines.
     pub fn adopt(&mut self, other: &Self) -> bool {
         let before = *self;
         adopt_estimate(
@@ -195,9 +196,9 @@
         *self != before
     }
 
-    /// Whether the estimates are still converging, so that each change is worth advertising to peers.
-    /// The estimate with the most samples decides, because prefill engines give no answers from which
-    /// the inter-token latency could be learnt.
+    /// Whether there are estimates and they are still converging, so that each change is worth
+    /// advertising to peers. The estimate with the most samples decides, because prefill engines give no
+    /// answers from which the inter-token latency could be learnt.
     #[must_use]
     pub fn is_converging(&self) -> bool {
         let Samples {
@@ -217,16 +218,16 @@
         );
     }
 
-    /// Learns from an event of so many tokens that came `gap` after the previous one. `before` and
+    /// Learns from an event of `tokens` tokens that came `gap` after the previous one. `before` and
     /// `after` are the remaining times of the prefills in flight at the previous event and at this one;
     /// `None` if there were none.
     ///
     /// The effect of prefill on answers shows only if there was enough to prefill for the whole gap, or
-    /// for as long as such an event is expected to take. Gaps with a short prefill made it look as if
+    /// for as long as such an event is expected to take. Gaps with a short prefill make it look as if
     /// prefill did not delay answers: with such samples, 55 % of the answers beside prompts of 10,000
-    /// tokens or more stalled for over 200 ms. Counting only gaps filled entirely left out the events
-    /// that were delayed most, and engines with 15 answers were sent prompts of 5,000 to 20,000 tokens
-    /// one after the other.
+    /// tokens or more stall for over 200 ms. Counting only gaps filled entirely leaves out the events
+    /// that are delayed most, and engines with 15 answers are sent prompts of 5,000 to 20,000 tokens one
+    /// after the other.
     pub fn observe_event(
         &mut self,
         tokens: u64,
@@ -249,7 +250,7 @@
         }
     }
 
-    /// Returns the expected time of an event of so many tokens while prompts are prefilled.
+    /// Returns the expected time for an event of `tokens` tokens while prompts are prefilled.
     fn contended_event_time(&self, tokens: u64) -> Micros {
         self.contended_token_us
             .map_or(Micros::MAX, |token_us| to_u64(token_us * to_f64(tokens)))
@@ -278,8 +279,8 @@
 }
 
 /// Updates a running median. The first sample replaces the initial estimate, and each later one moves it
-/// by at most a fraction of itself. A mean would follow prompts that took several times as long because
-/// they waited for work unknown to this process, which says nothing about the engine's speed.
+/// by at most a fraction of its value. A mean would follow prompts that took several times as long
+/// because they waited for work unknown to this process, which says nothing about the engine's speed.
 fn update_median(samples: &mut u32, estimate: &mut f64, sample: f64) {
     let weight = (MIN_SAMPLE_WEIGHT / 2.0).max(1.0 / (f64::from(*samples) + 2.0));
     *estimate = match *samples {
@@ -302,17 +303,17 @@
     *samples = samples.saturating_add(1);
 }
 
-/// Safety margin on an expected time: the lateness that all but one in `MARGIN_EXCEEDED_ONE_IN` events
-/// stay below.
+/// Safety margin on an expected time: the delay beyond it that only one in `MARGIN_EXCEEDED_ONE_IN`
+/// events exceeds.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Margin {
     us: f64,
 }
 
-/// One in so many events may be later than the margin.
+/// On average, one in this many events may be later than the margin.
 const MARGIN_EXCEEDED_ONE_IN: f64 = 7.0;
-/// Increase of the margin per event that exceeds it, in microseconds. Some ten such events take it from
-/// zero to some 30 ms, which is where it lies in overload.
+/// Increase of the margin per event that exceeds it, in microseconds. About ten such events raise it
+/// from zero to 30 ms, a typical value in overload.
 const MARGIN_STEP_US: f64 = 3_000.0;
 /// Upper bound of the margin, in microseconds. A larger one would refuse requests that an idle fleet can
 /// serve.
@@ -344,7 +345,7 @@
     factor: f64,
 }
 
-/// One in so many waits may exceed the expected time by more than the factor.
+/// On average, one in this many waits may exceed the expected time by more than the factor.
 const FACTOR_EXCEEDED_ONE_IN: f64 = 4.0;
 /// Relative increase of the factor per wait that exceeds it: seven such waits double it.
 const FACTOR_STEP_RATIO: f64 = 0.1;
@@ -369,7 +370,7 @@
         }
     }
 
-    /// Learns from a wait that was cancelled after a time and would have taken longer.
+    /// Learns from a wait that was cancelled after `after`, before it ended.
     pub fn observe_cancelled(&mut self, expected_us: f64, after: Micros) {
         if to_f64(after) > expected_us * self.factor {
             self.increase();
--- a/components/policy/src/fair.rs
+++ b/components/policy/src/fair.rs
@@ -1,12 +1,13 @@
 //! Weighted fair queueing over the tree of groups: which request goes next, and how long one would wait.
 //!
 //! Each group has a virtual time that advances by the work it was given, divided by its share. At each
-//! level of the tree, the group with waiting requests and the lowest virtual time goes first. An unused
-//! share is lent to others at once and is never saved up. See `docs/DESIGN.md#fair-share`.
+//! level of the tree, requests of the group itself go first, then those of its child with the lowest
+//! virtual time among those with waiting requests. An unused share is lent to others at once and is
+//! never saved up. See `docs/DESIGN.md#fair-share`.
 
 use crate::{Micros, to_f64, to_u64};
 
-/// A group as the queue needs it.
+/// The properties of a group that the queue uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Group {
     /// Index of the parent; `None` at the top level. Parents come before their children.
@@ -18,7 +19,7 @@
 /// A request that waits in the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QueuedRequest {
-    /// Its number.
+    /// Identifies the request in the queue.
     pub id: u64,
     /// From 0 to 9; the highest goes first within its group.
     pub priority: u8,
@@ -142,8 +143,8 @@
         Some(request)
     }
 
-    /// Charges a group for work that was done here or at a peer, or that on completion turned out to
-    /// exceed the estimate.
+    /// Charges a group for work that was done here or at a peer, or for the part of its work that
+    /// exceeded the estimate, which is known on completion.
     pub fn charge(&mut self, group: usize, work: Micros) {
         let mut index = group + 1;
         while index != ROOT {
@@ -219,7 +220,8 @@
             {
                 return;
             }
-            // An idle group starts level with its active siblings, so that it has saved up nothing.
+            // A group that becomes active starts at least at the current virtual time of its siblings,
+            // so that idle time gives no credit.
             let floor = self.nodes[parent].virtual_time_floor;
             let virtual_time = self.nodes[index].virtual_time.max(floor);
             self.nodes[index].virtual_time = virtual_time;
--- a/components/policy/src/lib.rs
+++ b/components/policy/src/lib.rs
@@ -1,8 +1,10 @@
-//! Decisions only: routing, admission, fair share, retries and roles.
+//! Decisions only: routing, admission, fair share, retries, roles and stages.
 //!
-//! Decisions take snapshots and a time as arguments; nothing here reads a clock or does I/O.
-//! The daemon, the gateway and the simulation `mixshift` run the same code. See
-//! `docs/DESIGN.md#decisions`.
+//! There are two models of an engine. In [`place`] and [`stage`], which the gateway uses, an engine
+//! either only prefills or also decodes. In [`route`] and [`role`], which the daemon and the simulation
+//! use, it has one of three roles, and its latencies depend on the size of its batch. Decisions take
+//! snapshots and a time as arguments; nothing here reads a clock or does I/O. The daemon, the gateway
+//! and the simulation `mixshift` run the same code. See `docs/DESIGN.md#decisions`.
 
 pub mod backlog;
 pub mod estimate;
@@ -17,7 +19,8 @@
 pub mod stage;
 pub mod suspect;
 
-/// A point in time on the caller's monotonic clock, or a duration, in microseconds.
+/// A point in time on the monotonic clock of the code that uses this crate, or a duration, in
+/// microseconds.
 pub type Micros = u64;
 
 /// Converts a count to floating point. Counts of tokens and microseconds stay far below 2^52, so the
--- a/components/policy/src/load.rs
+++ b/components/policy/src/load.rs
@@ -41,8 +41,8 @@
     pub decode_requests: u64,
 }
 
-/// Oldest report that is used. The work in an older one has long been done, while the dispatches of
-/// this process and its peers are known, so such a report is worse than none.
+/// Oldest report that is used. The work in an older one has long been done, while the dispatches of this
+/// process and its peers are known, so such a report would only add work that is no longer there.
 const MAX_REPORT_AGE: Micros = 500_000;
 
 /// Estimates the outstanding work of an engine for a request of a priority class.
--- a/components/policy/src/place.rs
+++ b/components/policy/src/place.rs
@@ -39,7 +39,7 @@
     pub fetch: Fetch,
     /// Its latencies in this stage.
     pub latency: Latency,
-    /// Additional round-trip time to an engine in another data centre; zero in the same one.
+    /// Additional round-trip time to an engine in a remote data centre; zero in the local one.
     pub extra_round_trip: Micros,
     /// Ratio of its attempts that fail, from 0 to 1.
     pub failure_ratio: f64,
@@ -63,7 +63,7 @@
     pub prompt_tokens: u64,
     /// Expected length of the answer.
     pub expected_output_tokens: u64,
-    /// Time left until the first event is due.
+    /// Time left to the latency objective. Not used by the decision.
     pub time_to_objective: Micros,
     /// Highest inter-token latency at which this answer meets its deadline, in microseconds.
     pub max_inter_token_latency_us: f64,
@@ -79,31 +79,33 @@
 /// Parameters of the decision.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Weights {
-    /// Most uncached tokens of a prompt that is prefilled where it is decoded: for so few, a second
-    /// engine would cost more than it saves.
+    /// Maximum number of tokens to prefill, neither cached nor fetched, of a prompt that is prefilled
+    /// where it is decoded. Up to this number, a second engine costs more than it saves.
     pub short_prompt_max_tokens: u64,
-    /// Most tokens of a short answer. Prefill on the same engine delays longer ones, and an engine that
-    /// already decodes some should get more of them rather than another engine.
+    /// Maximum number of tokens of a short answer. Prefill on the same engine delays longer ones, so
+    /// they are concentrated on engines that already decode some.
     pub short_answer_max_tokens: u64,
-    /// How many times as long a decode step takes while a prompt is prefilled. An engine then prefills a
-    /// quarter of a chunk per step at half its speed, which takes some three steps' time.
+    /// How many times as long a decode step takes while a prompt is prefilled. In each step, the engine
+    /// then also prefills a quarter of a chunk at half its prefill speed, which takes about the time of
+    /// three steps.
     pub prefill_slowdown_factor: f64,
-    /// Weight of a delay of one answer in flight against a delay of this request. It counts for each
-    /// answer where one more prompt may cause a stall, and for each long one otherwise.
+    /// Weight of a delay of one answer in flight against a delay of this request. Applied to all answers
+    /// if sustained prefill may make them stall, otherwise only to the long ones.
     pub interference_weight: f64,
-    /// Penalty for placing the first long answer on an engine, which from then on is of no use for
-    /// prefill, in microseconds.
+    /// Penalty for placing the first long answer on an engine, in microseconds. While it decodes long
+    /// answers, the engine can prefill a long prompt only if they still meet their deadlines.
     pub first_long_answer_penalty_us: f64,
-    /// Fraction of a latency limit up to which an engine is used, also while it prefills without a break.
+    /// Fraction of a latency limit up to which an engine is used, also during sustained prefill.
     pub latency_limit_ratio: f64,
-    /// Fraction of the stall limit that the present prefill backlog may reach where sustained prefill
-    /// would exceed [`Self::latency_limit_ratio`]. It is lower because other processes may send a prompt
-    /// there at the same moment, and more may follow within one event.
+    /// Fraction of the stall limit that the current prefill backlog may reach if sustained prefill would
+    /// exceed [`Self::latency_limit_ratio`]. It is lower than that ratio because other processes may
+    /// send a prompt there at the same moment, and more prompts may follow before the next event.
     pub backlog_limit_ratio: f64,
-    /// Fraction of an engine's slots up to which long answers are placed together. The rest is for short
-    /// answers, which are soon over: a prompt that has been prefilled must find a slot.
+    /// Fraction of an engine's slots that may be taken, by answers of any length, when a long one is
+    /// placed there. The rest is for short answers, which are soon over: a prompt that has been
+    /// prefilled must find a slot.
     pub long_answer_max_slot_ratio: f64,
-    /// Penalty for a placement in another data centre besides the round trip, for the bytes that it
+    /// Penalty for a placement in a remote data centre besides the round trip, for the bytes that it
     /// transfers, in microseconds.
     pub remote_penalty_us: f64,
     /// Penalty for an engine that fails every attempt, in microseconds; scaled by the failure ratio.
@@ -113,8 +115,8 @@
     pub max_slot_ratio: f64,
     /// Placements whose costs are within this many microseconds of the lowest count as equal, and a
     /// process takes the first of them by its own rank. Otherwise several processes with snapshots a few
-    /// milliseconds old would all take the same one. With random choices they collide more often than
-    /// when each fills its own engines first.
+    /// milliseconds old would all take the same one. With random choices, they would collide more often
+    /// than with a fixed rank, by which each fills its own engines first.
     pub tie_margin_us: f64,
 }
 
@@ -231,8 +233,9 @@
     pub prefill_us: f64,
 }
 
-/// Chooses a prefill engine for a deferred prompt: one that misses its time to first token anyway and
-/// yields to all that don't. `None` if no engine would prefill it within `max_prefill_us`.
+/// Chooses a prefill engine for a deferred prompt: its answer will begin too late anyway, so it yields
+/// to the prompts whose answers can still begin in time. `None` if no engine would prefill it within
+/// `max_prefill_us`.
 #[must_use]
 pub fn choose_deferred(
     engines: &[Engine],
@@ -245,7 +248,8 @@
             return None;
         }
         let cost = prefill_cost(engine, request, weights);
-        // It waits for all work there, of which `prefill_cost` includes what precedes a normal prompt.
+        // `prefill_cost` includes only the work ahead of a normal prompt; a deferred one waits for all
+        // work there.
         let extra_us =
             to_f64(engine.deferred_work + engine.prefill_work - engine_work_ahead(engine))
                 * engine.latency.prefill_token_us;
@@ -280,7 +284,7 @@
     duration_us: f64,
     /// The duration plus penalties; placements are compared by it.
     weighted_us: f64,
-    /// Prompt tokens that the engine would have to prefill.
+    /// Prompt tokens that the engine would have to prefill: neither cached nor fetched.
     tokens_to_prefill: u64,
 }
 
@@ -291,7 +295,8 @@
     tokens_to_prefill: u64,
 }
 
-/// Whether an engine has a slot for the answer and, if the answer is long, would complete it in time.
+/// Whether an engine has a slot for the answer and, if the answer is long, would complete it in time. An
+/// engine without long answers is assumed to.
 fn has_decode_slot(engine: &Engine, request: &Request, weights: &Weights) -> bool {
     let slots = to_f64(engine.decode_slots);
     let answers = to_f64(engine.answers);
@@ -378,8 +383,7 @@
     to_f64(engine.prefill_work + extra_work) * engine.latency.prefill_token_us
 }
 
-/// Returns the delay of one event while prompts are prefilled without a break; `None` until that has
-/// been observed.
+/// Returns the delay of one event during sustained prefill; `None` until that has been observed.
 fn sustained_prefill_delay_us(engine: &Engine, request: &Request) -> Option<f64> {
     let contended_us = engine.latency.contended_token_us?;
     Some(
@@ -454,7 +458,7 @@
     first_us + backlog_us
 }
 
-/// Returns the penalty for an engine in another data centre and for its failures.
+/// Returns the penalty of an engine for being in a remote data centre and for its failures.
 fn engine_penalty_us(engine: &Engine, weights: &Weights) -> f64 {
     let remote_us = if engine.extra_round_trip > 0 {
         weights.remote_penalty_us
--- a/components/policy/src/prefix_cache.rs
+++ b/components/policy/src/prefix_cache.rs
@@ -1,15 +1,17 @@
 //! Estimates which prompt parts an engine's KV cache still holds, from the prompts sent to it.
 //!
-//! An engine keeps the most recently used parts, as far as its memory goes. So a part is likely still
-//! cached if fewer tokens than fit into that memory have passed through the engine since its last use.
+//! An engine keeps the most recently used parts, as far as its KV cache has room. So a part is likely
+//! still cached if the engine has prefilled fewer tokens than fit into the cache since the last use of
+//! the part.
 
 use crate::{Micros, prompt::Part};
 
-/// Percentage of an engine's memory that is assumed to hold parts not in use; the rest is taken by
+/// Percentage of an engine's KV cache that is assumed to hold parts not in use; the rest is taken by
 /// requests in flight, which can't be evicted.
 const USABLE_PERCENT: u64 = 80;
 const PERCENT: u64 = 100;
-/// Maximum number of parts tracked per engine; the least recently used are dropped first.
+/// Maximum number of parts tracked per engine; above it, the least recently used are dropped, see
+/// `PrefixCache::evict`.
 const MAX_PARTS: usize = 4_096;
 
 /// A part that an engine has used.
@@ -25,16 +27,16 @@
 /// The parts that one engine likely holds.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PrefixCache {
-    /// Tokens that fit into the usable part of its memory.
+    /// Tokens that fit into the usable part of its KV cache.
     capacity_tokens: u64,
-    /// Tokens that have passed through the engine so far.
+    /// Tokens that the engine has prefilled so far, without those that were cached.
     processed_tokens: u64,
     /// Parts, sorted by key.
     parts: Vec<CachedPart>,
 }
 
 impl PrefixCache {
-    /// Creates an empty cache for an engine whose memory holds so many tokens.
+    /// Creates an empty cache for an engine whose KV cache holds `kv_capacity_tokens` tokens.
     #[must_use]
     pub fn new(kv_capacity_tokens: u64) -> Self {
         let mut cache = Self::default();
@@ -42,7 +44,7 @@
         cache
     }
 
-    /// Sets the number of tokens that the engine's memory holds; tracked parts are kept.
+    /// Sets the number of tokens that the engine's KV cache holds; tracked parts are kept.
     pub fn resize(&mut self, kv_capacity_tokens: u64) {
         self.capacity_tokens = kv_capacity_tokens * USABLE_PERCENT / PERCENT;
     }
@@ -118,7 +120,9 @@
         self.processed_tokens - part.last_used < self.capacity_tokens
     }
 
-    /// Drops the parts that are no longer cached, and the older half of the rest if too many remain.
+    /// Drops the parts that are no longer cached. If too many remain, also drops all whose last use was
+    /// at the median or earlier: at least half of them, and more if parts of one prompt, which were last
+    /// used together, lie at the median.
     fn evict(&mut self) {
         let (processed_tokens, capacity_tokens) = (self.processed_tokens, self.capacity_tokens);
         self.parts
--- a/components/policy/src/prompt.rs
+++ b/components/policy/src/prompt.rs
@@ -36,8 +36,8 @@
     }
 }
 
-/// Relative increase of a token's prefill time per token before it, as attention covers all of them.
-/// Dense models of some 30 billion weights lie between 3.8e-5 and 4.5e-5.
+/// Relative increase of a token's prefill time per token before it, as attention covers all of them. For
+/// dense models of about 30 billion parameters it is 3.8e-5 to 4.5e-5.
 const ATTENTION_COST_PER_TOKEN: f64 = 4e-5;
 
 /// Returns the work to prefill the rest of a prompt whose first `cached_tokens` an engine holds. One
--- a/components/policy/src/retry.rs
+++ b/components/policy/src/retry.rs
@@ -22,7 +22,7 @@
     credit: u32,
 }
 
-/// Credit that a retry takes; each success adds one.
+/// Credit that a retry spends; each success adds one.
 const CREDIT_PER_RETRY: u32 = 10;
 /// Maximum credit, with which a process also starts: twenty retries.
 const MAX_CREDIT: u32 = 20 * CREDIT_PER_RETRY;
@@ -39,7 +39,7 @@
         self.credit = (self.credit + 1).min(MAX_CREDIT);
     }
 
-    /// Takes one retry out of the budget. Returns whether there was one.
+    /// Spends one retry of the budget. Returns whether there was one.
     pub fn try_spend(&mut self) -> bool {
         let suffices = self.credit >= CREDIT_PER_RETRY;
         if suffices {
@@ -52,7 +52,7 @@
 /// Maximum number of attempts for one request, resumed ones included.
 pub const MAX_ATTEMPTS: u32 = 6;
 
-/// Whether another attempt may be made; if so, takes it out of the budget.
+/// Whether another attempt may be made; if so, spends it from the budget.
 #[must_use]
 pub fn allow_retry(
     class: FailureClass,
@@ -98,16 +98,16 @@
     requests: VecDeque<Micros>,
     /// Times of the retries in the window, the oldest first.
     retries: VecDeque<Micros>,
-    /// Until then, retries of the process that this one replaced may still be in the window.
+    /// Time until which retries of the process that this one replaced may still be in the window.
     inherited_until: Micros,
 }
 
-/// Fraction of the allowed retries that is used, because the processes' windows are not aligned and a
-/// retry arrives later than it was counted.
+/// Safety factor on the allowed retries: the processes' windows are not aligned and a retry arrives
+/// later than it was counted.
 const USED_RATIO: f64 = 0.8;
-/// Fraction of the ratio that a restarted process uses, with no slack, while retries of its predecessor
-/// may be in the window. The predecessor may have used its whole part, so both together must stay within
-/// the limit: `USED_RATIO * (1 + RESTARTED_RATIO) < 1`.
+/// Fraction of the ratio that a restarted process uses, with no slack, while retries of the previous
+/// process may be in the window. That process may have used its whole part, so both together must stay
+/// within the limit: `USED_RATIO * (1 + RESTARTED_RATIO) < 1`.
 const RESTARTED_RATIO: f64 = 0.2;
 
 impl Window {
@@ -154,7 +154,7 @@
         }
     }
 
-    /// Takes one retry if one is left. Returns the usage before it.
+    /// Spends one retry if one is left. Returns the usage before it.
     pub fn try_spend(&mut self, now: Micros, ratio: f64, slack: f64) -> Usage {
         let usage = self.usage(now, ratio, slack);
         if usage.allows_retry() {
@@ -163,7 +163,7 @@
         usage
     }
 
-    /// Returns a retry that was taken at this time but not sent.
+    /// Refunds a retry that was spent at this time but not sent.
     pub fn refund(&mut self, spent_at: Micros) {
         if let Ok(index) = self.retries.binary_search(&spent_at) {
             self.retries.remove(index);
--- a/components/policy/src/role.rs
+++ b/components/policy/src/role.rs
@@ -1,5 +1,5 @@
-//! Decides how many engines prefill and how many decode, and whether a change of role pays. See
-//! `docs/DESIGN.md#roles`.
+//! Decides how many engines prefill and how many decode, and whether a change of role is worth its cost.
+//! See `docs/DESIGN.md#roles`.
 
 use crate::{Micros, to_f64};
 
@@ -78,7 +78,7 @@
 /// Parameters of the decision.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
-    /// Number of engines that each of the two roles keeps at least.
+    /// Minimum number of engines that each of the two roles keeps.
     pub min_engines_per_role: u32,
     /// Time over which the gain of a change is counted.
     pub horizon: Micros,
@@ -88,7 +88,7 @@
     pub min_change_interval: Micros,
 }
 
-/// Chooses a change of role; `None` if no change pays.
+/// Chooses a change of role; `None` if no change is worth its cost.
 ///
 /// The gain of a change is the work that would remain unserved without it over the horizon. Its cost is
 /// the time for which the engine is unavailable. Both are in engine-microseconds.
@@ -119,7 +119,7 @@
 
 /// Ratio by which the gain of a change must exceed its cost: hysteresis against noise in the forecast.
 const GAIN_MARGIN_RATIO: f64 = 1.0;
-/// Utilisation of an engine above which queues grow faster than the work they hold.
+/// Utilisation of an engine above which waiting times grow out of proportion to the load.
 const MAX_UTILISATION: f64 = 0.8;
 
 fn apply_change(
--- a/components/policy/src/route.rs
+++ b/components/policy/src/route.rs
@@ -2,7 +2,7 @@
 //!
 //! The cost of a request on an engine is the time until its last token: prefill of the prompt tokens
 //! ahead of it and of its own uncached ones, then decode at the inter-token latency of the batch that it
-//! joins. Its delay of other requests counts too. See `docs/DESIGN.md#routing`.
+//! joins. The cost includes the delay that it causes to other requests. See `docs/DESIGN.md#routing`.
 
 use crate::{Micros, estimate::BatchLatency, to_f64};
 
@@ -53,10 +53,11 @@
 /// Limits and weights of routing.
 #[derive(Clone, Copy, Debug)]
 pub struct Weights {
-    /// Most prefill time that may wait at an engine. Further requests stay in the daemon's own queue,
+    /// Maximum prefill time that may wait at an engine. Further requests stay in the daemon's own queue,
     /// which applies fair shares and priorities.
     pub max_prefill_wait: Micros,
-    /// Most requests that decode at an engine, so that the inter-token latency stays within its limit.
+    /// Maximum number of requests that decode at an engine, so that the inter-token latency stays within
+    /// its limit.
     pub max_decode_requests: u64,
     /// Highest inter-token latency of an interactive answer.
     pub max_inter_token_latency: Micros,
@@ -151,8 +152,8 @@
     }
 }
 
-/// Estimates the shortest time until any engine accepts another request, in microseconds; callers are
-/// told to retry after it.
+/// Estimates the shortest time until the prefill backlog of any engine is within its limit, in
+/// microseconds; callers are told to retry after it. The limit on requests that decode does not count.
 #[must_use]
 pub fn estimate_shortest_prefill_wait(engines: &[Engine], weights: &Weights) -> Option<f64> {
     engines
@@ -214,8 +215,8 @@
 ///
 /// A mixed engine prefills between its decode steps. So a request is delayed by all prompts that wait
 /// there, also by those behind it, and its own prompt delays the requests that decode. Counting both
-/// separates the engines into some that mostly prefill and some that mostly decode, and shifts that
-/// boundary with every request, without a change of role.
+/// makes some mixed engines mostly prefill and others mostly decode, and this division adapts with every
+/// request, without a change of role.
 fn estimate_mixed(engine: &Engine, request: &Request, weights: &Weights) -> (f64, f64, f64) {
     let own_us = own_prefill_us(engine, request);
     let first_token_us =
--- a/components/policy/src/stage.rs
+++ b/components/policy/src/stage.rs
@@ -9,17 +9,20 @@
 /// Demand on a fleet, as moving averages.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Demand {
-    /// Prefill time that arrives per second, in seconds: the number of engines that it keeps busy.
+    /// Prefill engines needed: those that are busy or, if that is more in a saturated fleet, the prefill
+    /// time in seconds that arrives per second.
     pub prefill_engines: f64,
     /// The same over a shorter time.
     pub recent_prefill_engines: f64,
-    /// Slots of decode engines that answers occupy at the same time.
+    /// Slots of decode engines that answers occupy at the same time; at least those occupied at the last
+    /// observation.
     pub decode_slots: f64,
     updated_at: Option<Micros>,
 }
 
-/// Time constant of the averages, in microseconds: above swings of a few seconds, which are over before a
-/// change of stage is, and below the longer ones for which a change pays.
+/// Time constant of the averages, in microseconds: long enough to ignore swings of a few seconds, which
+/// end before a change of stage is complete, and short enough to follow longer ones, for which a change
+/// is worth its cost.
 const AVERAGE_US: f64 = 4_000_000.0;
 /// Time constant of the shorter average: a few intervals between the steward's observations.
 const RECENT_AVERAGE_US: f64 = 1_000_000.0;
@@ -39,14 +42,14 @@
     pub prefill_engines: f64,
 }
 
-/// Fraction of the prefill engines that are busy at one moment from which on the demand may exceed what
-/// they can do in time. Below it, prompts find an idle engine, and the busy engines are all that is
-/// needed. The same as [`Weights::prefill_utilisation`].
+/// If this fraction of the prefill engines is busy at one moment, the demand may exceed what they can do
+/// in time. Below it, prompts find an idle engine, and the number of busy engines shows the demand.
+/// Equal to the default of [`Weights::prefill_utilisation`].
 const SATURATED_RATIO: f64 = 0.7;
 
 impl Sample {
     /// Returns the number of prefill engines needed. The expected prefill time counts only when the
-    /// number of busy engines can't show the demand: it grows with each delay of a saturated fleet, and
+    /// number of busy engines can't show the demand: it grows with each delay in a saturated fleet, and
     /// would then ask for ever more prefill engines.
     fn prefill_engines_needed(&self, elapsed_us: f64) -> f64 {
         if self.busy_prefill_engines < self.prefill_engines * SATURATED_RATIO {
@@ -97,19 +100,20 @@
     pub prefill_utilisation: f64,
     /// Fraction of its slots that a decode engine should fill.
     pub slot_utilisation: f64,
-    /// Fewest engines that decode, so that one can fail.
+    /// Minimum number of engines that decode, so that one can fail.
     pub min_decode_engines: u64,
-    /// Fewest engines that a stage must lack for a change. A change makes an engine unavailable for
-    /// seconds, so that a fraction of an engine is no reason for one.
+    /// Minimum number of engines that a stage must lack for a change. A change makes an engine
+    /// unavailable for seconds, which a lack of less than this does not justify.
     pub change_margin_engines: f64,
     /// The same as a fraction of the fleet: the effect of one engine among many is soon lost in the
     /// swings of demand.
     pub change_margin_ratio: f64,
-    /// Fraction of the load that the engines of a stage should carry, below which they suffice. Prompts
-    /// hardly wait for each other then, and a change would have a cost and no benefit.
+    /// Fraction of its target utilisation that the load of a stage must exceed for it to get another
+    /// engine. Below it, prompts hardly wait for each other, and a change would have a cost and no
+    /// benefit.
     pub min_load_ratio: f64,
-    /// Number of prefill engines by which the plan for the shorter average must differ from the present
-    /// number to be followed before the longer average shows it. Swings of a few seconds stay below it.
+    /// If the plan for the shorter average differs from the current number of prefill engines by at
+    /// least this many, it is followed at once. Swings of a few seconds stay below it.
     pub min_recent_deviation_engines: f64,
     /// Demand below which a fleet is idle and nothing is planned, in engines and in slots.
     pub idle_demand: f64,
@@ -131,10 +135,12 @@
 }
 
 /// Plans how many engines of a fleet should prefill, as a fractional number. Follows the longer average,
-/// or the shorter one where its plan is far from the present number.
+/// or the shorter one if its plan differs from the current number by at least
+/// [`Weights::min_recent_deviation_engines`].
 ///
-/// Decode gets what it needs first, up to half of the fleet, then prefill. Spare engines are divided
-/// equally, and a shortage in proportion to the needs.
+/// Spare engines are divided equally. If there are too few, prefill gets them in proportion to the
+/// needs, but leaves decode what it needs, up to half of the fleet. At least one engine prefills, and at
+/// least [`Weights::min_decode_engines`] decode as far as the fleet is large enough.
 #[must_use]
 pub fn plan_prefill_engines(demand: &Demand, fleet: &Fleet, weights: &Weights) -> f64 {
     let plan = |prefill: f64| divide_engines(prefill, demand.decode_slots, fleet, weights);
@@ -219,8 +225,9 @@
 /// engines decodes. A decode engine can prefill too, so prefill engines are not needed. A data centre
 /// with a single engine is exempt and left to the plan for the whole fleet.
 ///
-/// Without this rule, a data centre of four engines that all prefilled refused every request during a
-/// partition: 250 of the 742 that came to the whole fleet in those six seconds.
+/// Without a decode engine, a partitioned data centre refuses every request: a data centre of four
+/// prefill engines refused 250 of the 742 requests that came to the whole fleet during a partition of
+/// six seconds.
 #[must_use]
 pub fn can_serve_alone(members: &[Member], data_centre: &str) -> bool {
     let local = || {
@@ -244,7 +251,7 @@
     demand.prefill_engines.max(demand.recent_prefill_engines) > target * weights.min_load_ratio
 }
 
-/// The same for the decode engines; too few of them to survive a failure count as under pressure.
+/// The same for the decode engines; fewer than [`Weights::min_decode_engines`] always count as loaded.
 fn is_decode_loaded(demand: &Demand, fleet: &Fleet, weights: &Weights) -> bool {
     let decode_engines = fleet.engines.saturating_sub(fleet.prefill_engines);
     let target = to_f64(decode_engines * fleet.slots_per_engine) * weights.slot_utilisation;
@@ -253,8 +260,8 @@
 }
 
 /// Fraction of a fleet that may change its stage at the same time. A change makes an engine unavailable
-/// for some four seconds, and only then shows whether it was enough. With a quarter of 18 engines, the
-/// plan went from 6 to 15 prefill engines within one burst and left too few for decode.
+/// for about four seconds, and its effect shows only afterwards. With a quarter of 18 engines, the plan
+/// goes from 6 to 15 prefill engines within one burst and leaves too few for decode.
 const MAX_CHANGING_RATIO: f64 = 0.12;
 
 /// Returns how many engines may change their stage at the same time: about an eighth of the fleet, and
--- a/components/policy/src/suspect.rs
+++ b/components/policy/src/suspect.rs
@@ -5,18 +5,19 @@
 //! that crashes every endpoint is never served, and is withheld from all endpoints after the third crash.
 //! See `docs/DESIGN.md#requests-that-end-endpoints`.
 
-/// Microseconds on the caller's monotonic clock; negative for times before the clock started.
+/// A point in time on the monotonic clock of the code that uses this crate, negative for times before
+/// the clock started, or a duration, in microseconds.
 pub type SignedMicros = i64;
 
 /// Number of crashes after which a request is withheld. Fewer would withhold requests that happened to
 /// be in flight during two unrelated crashes; more would cost the other requests on those endpoints.
 pub const CRASHES_TO_WITHHOLD: usize = 3;
 /// How long a request is withheld after the last crash; the endpoints may have been fixed by then. If
-/// another endpoint crashes under it, it is withheld again at once.
+/// another endpoint crashes while running it, it is withheld again at once.
 pub const WITHHOLD_DURATION: SignedMicros = 300 * SECOND;
 /// How long a suspect is remembered after the last update.
 pub const RECORD_TTL: SignedMicros = 2 * WITHHOLD_DURATION;
-/// Maximum number of remembered requests, of some 100 bytes each.
+/// Maximum number of remembered requests, of about 100 bytes each.
 pub const MAX_RECORDS: usize = 1_024;
 
 const SECOND: SignedMicros = 1_000_000;
@@ -113,7 +114,7 @@
         match self.find(fingerprint) {
             _ if is_expired => false,
             Ok(index) => self.0[index].1.merge(received),
-            // An answer to a request that is no suspect is of no interest.
+            // Success of a request that is not suspected needs no record.
             Err(_) if received.crashes.is_empty() => false,
             Err(_) => {
                 self.evict_if_full();
--- a/components/policy/tests/decisions.rs
+++ b/components/policy/tests/decisions.rs
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_role_changes_only_when_it_pays_and_never_below_the_reserve() {
+fn a_role_changes_only_when_worth_its_cost_and_never_below_the_minimum() {
     let bounds = Bounds {
         min_engines_per_role: 1,
         horizon: 120_000_000,
--- a/components/policy/tests/place.rs
+++ b/components/policy/tests/place.rs
@@ -9,7 +9,7 @@
 /// Milliseconds in microseconds.
 const MS: f64 = 1_000.0;
 
-/// A decode engine with so many answers, whose inter-token latency is 4 ms.
+/// A decode engine with the given number of answers, whose inter-token latency is 4 ms.
 fn decode_engine(answers: u64) -> Engine {
     Engine {
         stage: Stage::Decode,
@@ -33,7 +33,7 @@
     }
 }
 
-/// A prefill engine with so much work.
+/// A prefill engine with the given work.
 fn prefill_engine(prefill_work: u64) -> Engine {
     let latency = Latency {
         overhead_us: 3.0 * MS,
@@ -48,8 +48,8 @@
     }
 }
 
-/// A request with a prompt of so many tokens, whose answer has events of nine tokens that may be at most
-/// 200 ms apart.
+/// A request with a prompt of the given number of tokens, whose answer has events of nine tokens that
+/// may be at most 200 ms apart.
 fn request(prompt_tokens: u64) -> Request {
     Request {
         prompt_tokens,
@@ -213,7 +213,7 @@
     }
 }
 
-/// A prefill engine with so many deferred prompts of 30,000 tokens each.
+/// A prefill engine with the given number of deferred prompts of 30,000 tokens each.
 fn deferring_engine(prefill_work: u64, deferred_prompts: u64) -> Engine {
     Engine {
         deferred_work: 30_000 * deferred_prompts,
--- a/components/policy/tests/retry.rs
+++ b/components/policy/tests/retry.rs
@@ -51,8 +51,8 @@
 }
 
 proptest! {
-    /// A restarted process does not know the retries of its predecessor, so that restarts of all processes
-    /// during an outage could exceed the shared budget.
+    /// A restarted process does not know the retries of the process that it replaces, so that restarts
+    /// of all processes during an outage could exceed the shared budget.
     #[test]
     fn retries_stay_within_the_budget_when_all_processes_restart(
         start in 0..20 * SECOND,
--- a/components/policy/tests/stage.rs
+++ b/components/policy/tests/stage.rs
@@ -8,7 +8,7 @@
     to_u64,
 };
 
-/// Twelve engines of 48 slots each, so many of which prefill.
+/// Twelve engines of 48 slots each, of which `prefill_engines` prefill.
 fn small_fleet(prefill_engines: u64) -> Fleet {
     Fleet {
         engines: 12,
@@ -17,7 +17,7 @@
     }
 }
 
-/// Three hundred engines of 16 slots each, so many of which prefill.
+/// Three hundred engines of 16 slots each, of which `prefill_engines` prefill.
 fn large_fleet(prefill_engines: u64) -> Fleet {
     Fleet {
         engines: 300,
