--- a/components/policy/src/estimate.rs
+++ b/components/policy/src/estimate.rs
@@ -177,7 +177,7 @@
     /// An adopted estimate counts as a few samples only, so that this process's own samples soon correct
     /// it if it is wrong for its engines.
     pub fn adopt(&mut self, other: &Self) -> bool {
-        let before = *self;
+        let previous = *self;
         adopt_estimate(
             (&mut self.samples.overhead, &mut self.overhead_us),
             (other.samples.overhead, other.overhead_us),
@@ -193,7 +193,7 @@
             (&mut self.samples.decode, &mut self.decode_token_us),
             (other.samples.decode, other.decode_token_us),
         );
-        *self != before
+        *self != previous
     }
 
     /// Whether there are estimates and they are still converging, so that each change is worth
--- a/components/policy/src/fair.rs
+++ b/components/policy/src/fair.rs
@@ -149,9 +149,9 @@
         let mut index = group + 1;
         while index != ROOT {
             let parent = self.nodes[index].parent;
-            let before = self.nodes[index].virtual_time;
-            self.nodes[index].virtual_time = before + to_f64(work) / self.nodes[index].share;
-            self.reorder(parent, index, before);
+            let previous = self.nodes[index].virtual_time;
+            self.nodes[index].virtual_time = previous + to_f64(work) / self.nodes[index].share;
+            self.reorder(parent, index, previous);
             index = parent;
         }
     }
@@ -246,7 +246,7 @@
     }
 
     /// Moves a child that was charged to its new position among its active siblings.
-    fn reorder(&mut self, parent: usize, child: usize, before: f64) {
+    fn reorder(&mut self, parent: usize, child: usize, previous: f64) {
         let virtual_time = self.nodes[child].virtual_time;
         let siblings = &mut self.nodes[parent];
         if let Some(position) = siblings
@@ -256,7 +256,7 @@
         {
             siblings.active.remove(position);
             insert(&mut siblings.active, virtual_time, child);
-            siblings.virtual_time_floor = siblings.virtual_time_floor.max(before);
+            siblings.virtual_time_floor = siblings.virtual_time_floor.max(previous);
         }
     }
 }
--- a/components/policy/src/suspect.rs
+++ b/components/policy/src/suspect.rs
@@ -63,7 +63,7 @@
 
     /// Merges another record of the same request. Returns whether that changed anything.
     fn merge(&mut self, other: &Self) -> bool {
-        let before = self.clone();
+        let previous = self.clone();
         self.last_served = self.last_served.max(other.last_served);
         for crash in &other.crashes {
             match self
@@ -83,7 +83,7 @@
             .sort_unstable_by_key(|crash| (crash.at, crash.endpoint));
         let surplus = self.crashes.len().saturating_sub(CRASHES_TO_WITHHOLD);
         self.crashes.drain(..surplus);
-        *self != before
+        *self != previous
     }
 }
 
