--- a/components/clock/src/suspension.rs
+++ b/components/clock/src/suspension.rs
@@ -13,7 +13,7 @@
 
 /// Time between two checks for a suspension; timers that came due during a suspension fire up to this much late.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// Smaller differences between two readings come from the readings themselves, not from a suspension.
+/// Smaller differences between two readings are measurement noise, not a suspension.
 const MIN_SUSPENSION: Duration = Duration::from_millis(10);
 
 /// The offset of the boot-time clock from the monotonic clock at the first reading, in nanoseconds.
@@ -23,7 +23,7 @@
 /// The time that tests have added, in nanoseconds.
 static SIMULATED_NS: AtomicU64 = AtomicU64::new(0);
 /// Notified after a suspension.
-pub static RESUMED: Notify = Notify::const_new();
+pub static AFTER_SUSPENSION: Notify = Notify::const_new();
 
 /// Returns the time suspended since the first call; it never decreases.
 pub fn suspended_time() -> Duration {
@@ -68,7 +68,7 @@
         let suspended = now.saturating_sub(previous);
         previous = now;
         if suspended >= MIN_SUSPENSION {
-            RESUMED.notify_waiters();
+            AFTER_SUSPENSION.notify_waiters();
             on_resume(suspended);
         }
     }
--- a/components/daemon/src/process/pool/mod.rs
+++ b/components/daemon/src/process/pool/mod.rs
@@ -37,7 +37,7 @@
 /// Number of requests decoding together that the work of a response is estimated with.
 const TYPICAL_BATCH_REQUESTS: u64 = 16;
 /// Retry delay given to refused callers while no wait can be estimated.
-const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(2);
+const NO_ENDPOINT_RETRY_AFTER: Duration = Duration::from_secs(2);
 
 /// The requirements of a request for placement.
 #[derive(Clone, Debug)]
@@ -64,18 +64,19 @@
 /// Why a request was not placed. It was not executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlacementError {
-    /// It cannot complete before its deadline.
+    /// It cannot complete before its deadline, it was not placed by its latest start, or its group was
+    /// removed while it waited.
     WouldMissDeadline {
-        /// When a retry may succeed.
+        /// Time after which a retry may succeed.
         retry_after: Duration,
     },
     QueueFull {
-        /// When a retry may succeed.
+        /// Time after which a retry may succeed.
         retry_after: Duration,
     },
     /// No endpoint accepts requests.
     NoEndpoint {
-        /// When a retry may succeed.
+        /// Time after which a retry may succeed.
         retry_after: Duration,
     },
 }
@@ -142,7 +143,7 @@
         self: &Arc<Self>,
         requirements: Requirements,
     ) -> Result<Grant, PlacementError> {
-        // it would miss its deadline even on an idle engine
+        // refuses a request that would miss its deadline even on an idle engine
         let output = self.queue().expected_output(&requirements);
         let unloaded_time =
             Duration::from_micros(self.estimate_unloaded_time(requirements.prompt_tokens, output));
@@ -199,7 +200,7 @@
         if now + wait + service > requirements.deadline || now + wait > requirements.start_by {
             return Err(if engines == 0 {
                 PlacementError::NoEndpoint {
-                    retry_after: DEFAULT_RETRY_AFTER,
+                    retry_after: NO_ENDPOINT_RETRY_AFTER,
                 }
             } else {
                 PlacementError::WouldMissDeadline {
@@ -333,7 +334,7 @@
         u64::try_from(available.count()).unwrap_or(0)
     }
 
-    /// When a refused caller should retry.
+    /// Time after which a refused caller should retry.
     pub fn retry_after(&self) -> Duration {
         let entries = self.entries();
         let candidates: Vec<route::Engine> = entries
@@ -343,7 +344,7 @@
             .collect();
         drop(entries);
         route::estimate_shortest_prefill_wait(&candidates, &self.weights)
-            .map_or(DEFAULT_RETRY_AFTER, |us| {
+            .map_or(NO_ENDPOINT_RETRY_AFTER, |us| {
                 Duration::from_micros(to_u64(us)).max(Duration::from_secs(1))
             })
     }
@@ -360,7 +361,7 @@
     }
 
     /// Records the length of a complete response.
-    pub fn record_output(&self, group: &str, output: u64) {
+    pub fn record_output_length(&self, group: &str, output: u64) {
         let mut queue = self.queue();
         if let Ok(at) = queue
             .groups
--- a/components/daemon/src/process/settings_sync.rs
+++ b/components/daemon/src/process/settings_sync.rs
@@ -26,13 +26,13 @@
 /// Prefix of the row keys of changes.
 pub const LOG_PREFIX: &str = "settings/log/";
 /// Maximum number of changes that are fetched one by one; beyond it the whole tree is read.
-const MAX_REPLAYED_CHANGES: u64 = 64;
+const MAX_FETCHED_CHANGES: u64 = 64;
 /// Number of daemons per data centre that poll the head row at the full rate; the others learn of new
 /// versions through heartbeats and poll less often.
 const POLLERS_PER_DATA_CENTRE: usize = 2;
 const NON_POLLER_INTERVAL_FACTOR: u32 = 5;
-/// Timeout for fetching a whole tree from a peer. The largest one measured, 5.6 MB with 45,000 groups,
-/// takes this long at 2 Mbit/s. A call to a peer that stops responding fails sooner, see `super::members`.
+/// Timeout for fetching a whole tree from a peer. A tree of 5.6 MB with 45,000 groups takes about
+/// this long at 2 Mbit/s. A call to a peer that stops responding fails sooner, see `super::members`.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(25);
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -47,17 +47,17 @@
     let interval: Duration = process.settings.control.settings_poll.into();
     let mut next_slow_poll = Instant::now();
     let mut registration = process.registration.subscribe();
-    // a daemon dispatches only after it has registered or, if the table is unavailable, on what its peers
-    // report
+    // a daemon dispatches only after it has registered or, if the table is unavailable, with the settings and
+    // closed endpoints that its peers report
     let _ = registration
         .wait_for(|state| *state != registration::State::Registering)
         .await;
     loop {
-        let first = process.current.get().is_none();
+        let has_no_settings = process.current.get().is_none();
         let registered = *process.registration.borrow() == registration::State::Registered;
         match () {
-            () if first && !registered => update_from_peers(&process).await,
-            () if !first && !is_poller(&process) && Instant::now() < next_slow_poll => {}
+            () if has_no_settings && !registered => update_from_peers(&process).await,
+            () if !has_no_settings && !is_poller(&process) && Instant::now() < next_slow_poll => {}
             () => {
                 next_slow_poll = Instant::now() + interval * NON_POLLER_INTERVAL_FACTOR;
                 update_from_table(&process).await;
@@ -68,7 +68,8 @@
     }
 }
 
-/// Whether this daemon is one of its data centre's pollers: those with the lowest incarnations.
+/// Whether this daemon is one of its data centre's pollers: those with the lowest incarnations. They also
+/// remove expired claims.
 pub fn is_poller(process: &Process) -> bool {
     let before = process
         .members
@@ -88,8 +89,8 @@
     let head: Head = store::parse(store::find(&head, HEAD_KEY)).unwrap_or_default();
     match process.current.get() {
         Some(current) if head.version <= current.tree.version => true,
-        Some(current) if head.version - current.tree.version <= MAX_REPLAYED_CHANGES => {
-            match replay(process, &current.tree, head.version).await {
+        Some(current) if head.version - current.tree.version <= MAX_FETCHED_CHANGES => {
+            match apply_changes(process, &current.tree, head.version).await {
                 Some(tree) => {
                     apply(process, tree);
                     true
@@ -102,7 +103,7 @@
 }
 
 /// Applies the changes up to a version to `tree`; `None` if one of them cannot be read or applied.
-async fn replay(process: &Process, tree: &Tree, to: u64) -> Option<Tree> {
+async fn apply_changes(process: &Process, tree: &Tree, to: u64) -> Option<Tree> {
     let keys: Vec<String> = (tree.version + 1..=to).map(log_key).collect();
     let read = Read {
         keys: keys.clone(),
@@ -141,7 +142,8 @@
     format!("{LOG_PREFIX}{version:012}")
 }
 
-/// Applies the highest version among the peers. Used by a new daemon while the table is unavailable.
+/// Applies the highest version among the peers, and closes the endpoints that they report as closed. Used
+/// by a new daemon while the table is unavailable.
 async fn update_from_peers(process: &Arc<Process>) {
     let addresses = process.members.addresses(process.addresses.peers);
     let fetches = addresses
--- a/components/gateway/src/request/mod.rs
+++ b/components/gateway/src/request/mod.rs
@@ -110,7 +110,7 @@
         .ok_or(Reason::NoEndpoint(refusal::DEFAULT_RETRY_AFTER))?;
     let (route, service) = (Arc::clone(route), Arc::clone(service));
     let body = body::read(body, configuration.limits, arrived).await?;
-    exchange_guard.received();
+    exchange_guard.body_received();
     let received = Received {
         metadata,
         head,
--- a/components/protocol/src/lease.rs
+++ b/components/protocol/src/lease.rs
@@ -30,12 +30,12 @@
 
 /// Renewals of a lease as observed by a daemon that doesn't hold it, on its own monotonic clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Watch {
+pub struct RenewalWatch {
     renewal: Renewal,
     unchanged_since_ms: u64,
 }
 
-impl Watch {
+impl RenewalWatch {
     /// Starts to watch a lease; `now_ms` is the time on this daemon's monotonic clock.
     #[must_use]
     pub fn new(renewal: Renewal, now_ms: u64) -> Self {
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Takes a new read of the renewal row; if the row changed, the term starts again.
+    /// Records a new read of the renewal row; if the row changed, the term starts again.
     pub fn observe(&mut self, renewal: Renewal, now_ms: u64) {
         if renewal != self.renewal {
             *self = Self::new(renewal, now_ms);
--- a/components/protocol/src/order.rs
+++ b/components/protocol/src/order.rs
@@ -53,7 +53,7 @@
 #[display("a role is prefill, decode or mixed")]
 pub struct UnknownRole;
 
-/// Desired state of an engine. An order gives it in full, never as a change, so that orders are
+/// Wanted state of an engine. An order gives it in full, never as a change, so that orders are
 /// idempotent.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Wanted {
@@ -78,11 +78,11 @@
     /// The order may have been sent, or may be sent at any time.
     #[display("intent")]
     Intent,
-    /// The sender's call has ended, and the engine has the desired state.
+    /// The sender's call has ended, and the engine has the wanted state.
     #[display("done")]
     Done,
-    /// The sender's call has ended, or was never sent, and the engine isn't known to have the
-    /// desired state. If the order may still take effect, its sender is in `earlier`.
+    /// The sender's call has ended, or was never made, and the engine isn't known to have the
+    /// wanted state. If the order may still take effect, its sender is in `possible_senders`.
     #[display("failed")]
     Failed,
     /// Abandoned while closing; daemons dispatch again.
@@ -93,15 +93,16 @@
 /// Row of the latest order to an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Row {
-    /// Number of the order, also its fencing token; incremented with each new order.
+    /// Number of the order, also its fencing number; incremented with each new order.
     pub number: u64,
     /// Epoch of the lease under which the row was committed.
     pub epoch: u64,
     /// Process that may send the order.
     pub sender: Incarnation,
-    /// Earlier senders whose copy of this same order may still take effect.
-    pub earlier: Vec<Incarnation>,
-    /// Desired state of the engine.
+    /// Senders whose copy of this order may still take effect.
+    #[serde(rename = "earlier")]
+    pub possible_senders: Vec<Incarnation>,
+    /// Wanted state of the engine.
     pub wanted: Wanted,
     /// Stage of the order.
     pub stage: Stage,
@@ -110,15 +111,15 @@
 impl Row {
     /// Whether this row forbids daemons to dispatch to the endpoint.
     ///
-    /// At the stage `Intent`, and at `Failed` with earlier senders, the order may take effect at
-    /// any time. That does no harm if the engine has the desired state already (`reached`), since
+    /// At the stage `Intent`, and at `Failed` with possible senders, the order may take effect at
+    /// any time. That does no harm if the engine has the wanted state already (`reached`), since
     /// orders are idempotent.
     #[must_use]
     pub fn blocks_dispatch(&self, reached: bool) -> bool {
         match self.stage {
             Stage::Closing => true,
             Stage::Intent => !reached,
-            Stage::Failed => !self.earlier.is_empty() && !reached,
+            Stage::Failed => !self.possible_senders.is_empty() && !reached,
             Stage::Done | Stage::Reopened => false,
         }
     }
@@ -136,20 +137,21 @@
     /// Wait until this process is certainly gone: a different order that it sent may still take
     /// effect.
     Wait(Incarnation),
-    /// Nothing to do: the last order reached the desired state.
+    /// Nothing to do: the last order reached the wanted state.
     Nothing,
 }
 
 /// Decides the next step of a steward that holds the lease with `epoch`.
 ///
-/// `is_gone` tells whether an incarnation certainly can't send any more: it is off the VM list, or
-/// its address answers as another incarnation. If the engine checks fencing tokens (`fences`), a
-/// new order doesn't wait for earlier senders, since its higher number makes the engine reject the
-/// older order. `no_copy_in_flight` tells that no copy of this order that `me` may have sent can
-/// take effect any more: it was never sent, or its call has ended.
+/// `is_gone` tells whether an incarnation certainly sends nothing any more. If the engine checks
+/// fencing numbers (`fences`), a new order doesn't wait for the possible senders of the last one,
+/// since its higher number makes the engine refuse the older order. `no_copy_in_flight` tells that
+/// no copy of this order that `me` may have sent can take effect any more: it was never sent, or
+/// its call has ended.
 ///
 /// Must be called only while `me` has no order to this endpoint in flight. A row with `me` as
-/// sender that is still open was therefore left behind by a lost answer of the table.
+/// sender that is still open was therefore left behind by a commit that failed or whose response
+/// was lost.
 #[must_use]
 pub fn next_step(
     row: Option<&Row>,
@@ -174,7 +176,7 @@
         Stage::Done if row.wanted == *wanted => Step::Nothing,
         Stage::Done | Stage::Failed | Stage::Reopened => {
             let possible_sender = (!fences)
-                .then(|| row.earlier.iter().find(|other| !is_gone(**other)))
+                .then(|| row.possible_senders.iter().find(|other| !is_gone(**other)))
                 .flatten();
             match possible_sender {
                 Some(_) if row.wanted == *wanted && row.stage == Stage::Failed => {
@@ -192,7 +194,7 @@
         number: row.map_or(1, |row| row.number + 1),
         epoch,
         sender: me,
-        earlier: Vec::new(),
+        possible_senders: Vec::new(),
         wanted: wanted.clone(),
         stage: Stage::Closing,
     }
@@ -206,19 +208,19 @@
     is_gone: impl Fn(Incarnation) -> bool,
 ) -> Row {
     let may_take_effect = row.stage == Stage::Intent && (row.sender != me || !no_copy_in_flight);
-    let mut earlier: Vec<Incarnation> = row
-        .earlier
+    let mut possible_senders: Vec<Incarnation> = row
+        .possible_senders
         .iter()
         .copied()
         .chain(may_take_effect.then_some(row.sender))
         .filter(|other| !is_gone(*other))
         .collect();
-    earlier.sort_unstable();
-    earlier.dedup();
+    possible_senders.sort_unstable();
+    possible_senders.dedup();
     Row {
         epoch,
         sender: me,
-        earlier,
+        possible_senders,
         stage: Stage::Intent,
         ..row.clone()
     }
@@ -236,9 +238,9 @@
 /// Outcome of a sender's call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum CallOutcome {
-    /// The engine has the desired state.
+    /// The engine has the wanted state.
     Reached,
-    /// The engine doesn't have the desired state and the order can't take effect later: it was
+    /// The engine doesn't have the wanted state and the order can't take effect later: it was
     /// refused, never sent, or lost in a restart of the engine.
     NotReached,
     /// The answer was lost: the order may still take effect.
@@ -254,15 +256,15 @@
         CallOutcome::NotReached => next.stage = Stage::Failed,
         CallOutcome::Lost => {
             next.stage = Stage::Failed;
-            next.earlier.push(row.sender);
-            next.earlier.sort_unstable();
-            next.earlier.dedup();
+            next.possible_senders.push(row.sender);
+            next.possible_senders.sort_unstable();
+            next.possible_senders.dedup();
         }
     }
     next
 }
 
-/// Whether an engine that checks fencing tokens accepts an order.
+/// Whether an engine that checks fencing numbers accepts an order.
 #[must_use]
 pub fn passes_fencing(highest: u64, number: u64) -> bool {
     number >= highest
--- a/components/telemetry/src/metrics/mod.rs
+++ b/components/telemetry/src/metrics/mod.rs
@@ -11,7 +11,7 @@
 pub use prometheus::IntGauge as Gauge;
 
 /// Upper bounds of the latency histogram buckets, in seconds.
-const LATENCY_BUCKETS: &[f64] = &[
+const LATENCY_BUCKETS_S: &[f64] = &[
     0.001, 0.005, 0.01, 0.026, 0.05, 0.1, 0.25, 0.5, 1.3, 2.5, 5.0, 10.0, 30.0, 60.0, 300.0,
 ];
 
@@ -33,7 +33,7 @@
     pub request_duration: HistogramVec,
     /// Attempts after the first, by reason.
     pub retries: IntCounterVec,
-    /// Frames dropped because they belonged to no answer here, by verdict.
+    /// Dropped frames, by verdict: duplicates, and frames of another attempt.
     pub dropped_frames: IntCounterVec,
     /// Orders to engines, by outcome.
     pub orders: IntCounterVec,
@@ -43,7 +43,7 @@
     pub table_calls: IntCounterVec,
     /// Open connections of callers.
     pub connections: IntGauge,
-    /// Streams aborted by a forced shutdown.
+    /// Requests aborted by a forced shutdown, or when the grace period of a graceful shutdown ended.
     pub aborted_streams: IntCounter,
 }
 
@@ -135,7 +135,7 @@
 
 fn histogram(name: &str, help: &str, labels: &[&str]) -> prometheus::Result<HistogramVec> {
     let options = HistogramOpts::new(format!("wrenramp_{name}"), help);
-    HistogramVec::new(options.buckets(LATENCY_BUCKETS.to_vec()), labels)
+    HistogramVec::new(options.buckets(LATENCY_BUCKETS_S.to_vec()), labels)
 }
 
 fn text(registry: &Registry) -> Vec<u8> {
