--- a/components/gateway/src/endpoint/registry.rs
+++ b/components/gateway/src/endpoint/registry.rs
@@ -5,7 +5,7 @@
 use parking_lot::{Mutex, RwLock};
 
 use super::{BusySet, Id, IncarnationOrder, Profile, State, Target, subset};
-use crate::edge::Change;
+use crate::adapters::Change;
 
 /// Maximum number of changes in an update whose new endpoints are logged individually. Above the 60
 /// endpoints on the lists of the first deployments; at each start the thousands of endpoints of a
--- a/components/gateway/src/process/suspects.rs
+++ b/components/gateway/src/process/suspects.rs
@@ -9,7 +9,7 @@
 use clock::Instant;
 use derive_more::Display;
 use parking_lot::Mutex;
-use policy::suspect::{self, Crash, Moment, Record};
+use policy::suspect::{self, Crash, Record, SignedMicros};
 use tokio::sync::Notify;
 
 use super::Gateway;
@@ -20,7 +20,7 @@
 const RESEND_INTERVAL: Duration = Duration::from_secs(1);
 /// How long after its last crash or success a request with at most one crash is resent, in microseconds;
 /// those with more crashes are resent as long as they are known.
-const SINGLE_CRASH_RESEND_PERIOD_US: Moment = 5_000_000;
+const SINGLE_CRASH_RESEND_PERIOD_US: SignedMicros = 5_000_000;
 /// Maximum number of suspects that are queued to be resent at once, the most recent first. One digest
 /// contains at most 24 of them, so that a datagram fits into a packet; the rest waits for the next ones.
 const MAX_RESENT: usize = 32;
@@ -239,8 +239,8 @@
     }
 
     /// Returns the current time on the clock of suspects.
-    pub fn moment(&self) -> Moment {
-        Moment::try_from(self.micros()).unwrap_or(Moment::MAX)
+    pub fn moment(&self) -> SignedMicros {
+        SignedMicros::try_from(self.micros()).unwrap_or(SignedMicros::MAX)
     }
 }
 
--- a/components/gateway/src/request/attempts.rs
+++ b/components/gateway/src/request/attempts.rs
@@ -1,5 +1,5 @@
 //! The attempts of one request so far: endpoints tried, runs, and what counts against the retry
-//! budget. Decides whether another attempt may follow, and otherwise which refusal is true.
+//! budget. Decides whether another attempt may follow, and otherwise determines the refusal.
 
 use std::sync::Arc;
 
@@ -14,7 +14,7 @@
 
 /// What an attempt is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Phase {
+pub enum Purpose {
     /// Prefill only, which doesn't count as a run.
     Read,
     /// Running the request.
@@ -29,20 +29,20 @@
     /// Why it failed.
     pub cause: Cause,
     /// What it was for.
-    pub phase: Phase,
+    pub purpose: Purpose,
 }
 
 impl FailedAttempt {
     /// Whether the request certainly did not run in this attempt.
     pub fn not_run(&self) -> bool {
-        self.phase == Phase::Read || self.cause.not_run()
+        self.purpose == Purpose::Read || self.cause.not_run()
     }
 }
 
 /// The attempts of one request.
 #[derive(Debug, Default)]
 pub struct Attempts {
-    /// Endpoints on which it failed.
+    /// Endpoints on which it failed, without those that could not fetch a KV cache.
     tried: Vec<Arc<Target>>,
     /// Attempts in which it ran or may have run.
     runs: u32,
@@ -51,12 +51,13 @@
 }
 
 impl Attempts {
-    /// Returns the endpoints on which the request failed.
+    /// Returns the endpoints that must not be tried again: those on which the request failed,
+    /// without those that could not fetch a KV cache.
     pub fn tried(&self) -> &[Arc<Target>] {
         &self.tried
     }
 
-    /// Returns the endpoints on which the request failed and one more.
+    /// Returns the endpoints that must not be tried again, and one more.
     pub fn tried_with(&self, target: &Arc<Target>) -> Vec<Arc<Target>> {
         let more = std::iter::once(target);
         self.tried.iter().chain(more).map(Arc::clone).collect()
@@ -99,14 +100,14 @@
         self.failures += 1;
         let not_run = failed.not_run();
         self.runs += u32::from(!not_run);
-        let repeats = not_run || job.route.kind.is_retryable();
-        let left = !job.time_left().is_zero();
-        let attempts = self.runs < job.route.max_attempts;
-        let budget = failed.cause != Cause::RetryBudgetExhausted;
+        let is_retryable = not_run || job.route.kind.is_retryable();
+        let has_time_left = !job.time_left().is_zero();
+        let has_attempts_left = self.runs < job.route.max_attempts;
+        let has_budget = failed.cause != Cause::RetryBudgetExhausted;
         let withheld = job.gateway.withheld_for(job.fingerprint);
         log::info!(
             request = job.metadata.id, endpoint = &*failed.target.id.0, cause:% = failed.cause,
-            phase:? = failed.phase, runs = self.runs, not_run, repeats, left;
+            phase:? = failed.purpose, runs = self.runs, not_run, repeats = is_retryable, left = has_time_left;
             "an attempt failed"
         );
         // an engine that could not fetch the KV cache can still prefill the prompt itself
@@ -114,9 +115,9 @@
             self.tried.push(failed.target);
         }
         match withheld {
-            None if repeats && left && attempts && budget => Ok(()),
+            None if is_retryable && has_time_left && has_attempts_left && has_budget => Ok(()),
             Some(lapses) if self.runs == 0 => Err(Reason::Withheld(lapses)),
-            None | Some(_) => Err(self.refusal(left)),
+            None | Some(_) => Err(self.refusal(has_time_left)),
         }
     }
 
@@ -131,16 +132,16 @@
 
     /// Returns the refusal when the process would shut down before another attempt ends. It says
     /// that nothing has run only if nothing can have run.
-    pub fn stopping_refusal(&self) -> Reason {
+    pub fn shutdown_refusal(&self) -> Reason {
         if self.runs == 0 {
-            Reason::Stopping
+            Reason::ShuttingDown
         } else {
             self.refusal(true)
         }
     }
 
-    fn refusal(&self, left: bool) -> Reason {
-        match (self.runs, left) {
+    fn refusal(&self, has_time_left: bool) -> Reason {
+        match (self.runs, has_time_left) {
             (0, true) => Reason::AllRefused(DEFAULT_RETRY_AFTER),
             (0, false) => Reason::Expired,
             (_, true) => Reason::AnswerLost,
@@ -152,34 +153,34 @@
 /// Counts how often one request is sent to endpoints, as the operators' retry budget counts it.
 ///
 /// The first prefill that an engine accepts is free. One that an engine rejects or fails counts
-/// like a run, and so does each further prefill. Of all that counts, the first is the request
-/// itself, and the others are retries. Whether a prefill is free is known only once it has been
-/// accepted, so a retry that it may turn out to be is taken from the budget first and returned
-/// then.
+/// like a run, and so does each further prefill. The first send that counts is the request itself,
+/// and each further one is a retry. Whether a prefill is free is known only once it has been
+/// accepted, so if it may become a retry, one is spent before it is sent and refunded once it is
+/// accepted.
 #[derive(Debug, Default)]
-pub struct Arrivals(Mutex<Counters>);
+pub struct SendCounter(Mutex<Counters>);
 
 #[derive(Debug, Default)]
 struct Counters {
-    /// Requests sent that count.
+    /// Sends that count, the request itself included.
     counted: u32,
     /// Whether an engine has accepted the free prefill.
     free_prefill_used: bool,
     /// A prefill in flight that is free if the engine accepts it.
     pending: Option<PendingPrefill>,
-    /// Retries taken from the budget in advance.
+    /// Retries spent in advance for the next attempts.
     reserved: Vec<RetryPermit>,
 }
 
 #[derive(Debug)]
 struct PendingPrefill {
-    /// The retry taken from the budget in case the prefill isn't accepted.
+    /// The retry spent in case the prefill isn't accepted.
     retry: Option<RetryPermit>,
 }
 
-impl Arrivals {
+impl SendCounter {
     /// Counts a request that is about to be sent. Returns whether the budget allows it.
-    pub fn record(&self, job: &Job, phase: Phase) -> bool {
+    pub fn record(&self, job: &Job, purpose: Purpose) -> bool {
         let mut counters = self.0.lock();
         let retry = match counters.counted {
             0 => None,
@@ -188,7 +189,7 @@
                 retry => retry,
             },
         };
-        if phase == Phase::Read && !counters.free_prefill_used {
+        if purpose == Purpose::Read && !counters.free_prefill_used {
             counters.pending = Some(PendingPrefill { retry });
         } else {
             counters.counted += 1;
@@ -196,45 +197,45 @@
         true
     }
 
-    /// Takes `count` retries from the budget in advance. Returns whether it got all of them;
-    /// otherwise it takes none.
+    /// Reserves `count` retries of the budget for the next attempts. Returns whether there were as
+    /// many; otherwise it reserves none.
     pub fn reserve(&self, job: &Job, count: usize) -> bool {
         let taken: Vec<RetryPermit> = (0..count).map_while(|_| spend_retry(job)).collect();
         let enough = taken.len() == count;
         self.0.lock().reserved.extend(taken);
         if !enough {
-            self.release(job);
+            self.refund_reserved(job);
         }
         enough
     }
 
-    /// Takes one retry from the budget for the next attempt, if there is one.
+    /// Reserves one retry for the next attempt if the budget has one.
     pub fn reserve_one(&self, job: &Job) -> bool {
         // checked first because every retry that is requested writes a log line
         job.gateway.has_retry_budget(&job.service.name) && self.reserve(job, 1)
     }
 
-    /// Returns the retries that were reserved and not used.
-    pub fn release(&self, job: &Job) {
+    /// Refunds the retries that were reserved and not used.
+    pub fn refund_reserved(&self, job: &Job) {
         for retry in self.0.lock().reserved.drain(..) {
-            return_retry(job, &retry);
+            refund_retry(job, &retry);
         }
     }
 
     /// Records that an engine accepted a prefill.
-    pub fn prefill_accepted(&self, job: &Job) {
+    pub fn record_prefill_accepted(&self, job: &Job) {
         let mut counters = self.0.lock();
         let Some(pending) = counters.pending.take() else {
             return;
         };
         counters.free_prefill_used = true;
         if let Some(retry) = pending.retry {
-            return_retry(job, &retry);
+            refund_retry(job, &retry);
         }
     }
 
     /// Records that a prefill failed or was never sent.
-    pub fn prefill_failed(&self) {
+    pub fn record_prefill_failed(&self) {
         let mut counters = self.0.lock();
         let pending = counters.pending.take();
         counters.counted += u32::from(pending.is_some());
@@ -245,7 +246,7 @@
     job.gateway.spend_retry(&job.service.name, &job.metadata.id)
 }
 
-fn return_retry(job: &Job, retry: &RetryPermit) {
+fn refund_retry(job: &Job, retry: &RetryPermit) {
     let gateway = &job.gateway;
     gateway.refund_retry(&job.service.name, &job.metadata.id, retry);
 }
--- a/components/gateway/src/request/refusal.rs
+++ b/components/gateway/src/request/refusal.rs
@@ -1,4 +1,4 @@
-//! Refusals. They are typed, sent immediately, and true about whether the request ran.
+//! Refusals. Each has a type, is sent immediately, and states correctly whether the request ran.
 //!
 //! A status that says that the request did not run is used only where that is certain. See
 //! `docs/OPERATIONS.md#what-each-refusal-means`.
@@ -34,7 +34,7 @@
     /// The body is larger than the configuration allows.
     #[display("the body is too large")]
     TooLarge,
-    /// The body arrived too slowly or was cut off.
+    /// The body arrived too slowly or incompletely.
     #[display("the body did not come in time")]
     SlowBody,
     /// This process has not read the configuration yet.
@@ -42,7 +42,7 @@
     NotReady,
     /// This process would shut down before the answer ends.
     #[display("this process stops before the answer would end")]
-    Stopping,
+    ShuttingDown,
     /// No engine would begin to answer in time.
     #[display("no engine would begin to answer in time")]
     Overloaded(Duration),
@@ -52,7 +52,7 @@
     /// Endpoints were tried, and none accepted the request.
     #[display("no endpoint took the request")]
     AllRefused(Duration),
-    /// Too many endpoints have crashed while they ran requests with the same fingerprint.
+    /// Too many endpoints have crashed while running requests with the same fingerprint.
     #[display("endpoints have ended under requests for the same")]
     Withheld(Duration),
     /// The handler panicked before any endpoint received the request.
@@ -89,7 +89,7 @@
             Self::TooLarge => "too-large",
             Self::SlowBody => "slow-body",
             Self::NotReady => "not-ready",
-            Self::Stopping => "stopping",
+            Self::ShuttingDown => "stopping",
             Self::Overloaded(_) => "late",
             Self::NoEndpoint(_) => "no-endpoint",
             Self::AllRefused(_) => "not-taken",
@@ -107,7 +107,7 @@
             Self::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
             Self::SlowBody => StatusCode::REQUEST_TIMEOUT,
             Self::NotReady
-            | Self::Stopping
+            | Self::ShuttingDown
             | Self::Overloaded(_)
             | Self::NoEndpoint(_)
             | Self::AllRefused(_)
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Returns when a retry may help; none if it can't.
+    /// Returns when a retry may help; `None` if it can't.
     pub fn retry_after(self) -> Option<Duration> {
         match self {
             Self::Overloaded(after)
@@ -128,7 +128,7 @@
             | Self::Withheld(after) => Some(after),
             Self::NotReady | Self::Panicked => Some(DEFAULT_RETRY_AFTER),
             // another process accepts it immediately
-            Self::Stopping => Some(Duration::ZERO),
+            Self::ShuttingDown => Some(Duration::ZERO),
             _ => None,
         }
     }
--- a/components/policy/src/route.rs
+++ b/components/policy/src/route.rs
@@ -2,7 +2,7 @@
 //!
 //! The cost of a request on an engine is the time until its last token: prefill of the prompt tokens
 //! ahead of it and of its own uncached ones, then decode at the inter-token latency of the batch that it
-//! joins. Its delay of other requests counts too. See `docs/DESIGN.md#routing`.
+//! joins. The cost includes the delay that it causes to other requests. See `docs/DESIGN.md#routing`.
 
 use crate::{Micros, estimate::BatchLatency, to_f64};
 
@@ -53,10 +53,11 @@
 /// Limits and weights of routing.
 #[derive(Clone, Copy, Debug)]
 pub struct Weights {
-    /// Most prefill time that may wait at an engine. Further requests stay in the daemon's own queue,
+    /// Maximum prefill time that may wait at an engine. Further requests stay in the daemon's own queue,
     /// which applies fair shares and priorities.
     pub max_prefill_wait: Micros,
-    /// Most requests that decode at an engine, so that the inter-token latency stays within its limit.
+    /// Maximum number of requests that decode at an engine, so that the inter-token latency stays within
+    /// its limit.
     pub max_decode_requests: u64,
     /// Highest inter-token latency of an interactive answer.
     pub max_inter_token_latency: Micros,
@@ -129,21 +130,21 @@
 
 /// Chooses the engines for a request; `None` if every suitable engine has reached its limits.
 ///
-/// `draw` is a random number that breaks ties.
+/// `random` is a random number that breaks ties.
 #[must_use]
 pub fn choose(
     engines: &[Engine],
     request: &Request,
     weights: &Weights,
-    draw: u64,
+    random: u64,
 ) -> Option<Choice> {
-    let single = choose_single(engines, draw, weights, |engine| {
+    let single = choose_single(engines, random, weights, |engine| {
         (engine.role == Role::Mixed
             && accepts_prefill(engine, request, weights)
             && accepts_decode(engine, request, weights))
         .then(|| estimate_mixed(engine, request, weights))
     });
-    let split = choose_split(engines, request, weights, draw);
+    let split = choose_split(engines, request, weights, random);
     match (single, split) {
         (Some(single), Some(split)) if split.1 < single.1 => Some(split.0),
         (Some(single), _) => Some(single.0),
@@ -151,10 +152,10 @@
     }
 }
 
-/// Estimates the shortest time until any engine accepts another request, in microseconds; callers are
-/// told to retry after it.
+/// Estimates the shortest time until the prefill backlog of any engine is within its limit, in
+/// microseconds; callers are told to retry after it. The limit on requests that decode does not count.
 #[must_use]
-pub fn estimate_shortest_wait(engines: &[Engine], weights: &Weights) -> Option<f64> {
+pub fn estimate_shortest_prefill_wait(engines: &[Engine], weights: &Weights) -> Option<f64> {
     engines
         .iter()
         .filter(|engine| engine.role != Role::Decode)
@@ -214,8 +215,8 @@
 ///
 /// A mixed engine prefills between its decode steps. So a request is delayed by all prompts that wait
 /// there, also by those behind it, and its own prompt delays the requests that decode. Counting both
-/// separates the engines into some that mostly prefill and some that mostly decode, and shifts that
-/// boundary with every request, without a change of role.
+/// makes some mixed engines mostly prefill and others mostly decode, and this division adapts with every
+/// request, without a change of role.
 fn estimate_mixed(engine: &Engine, request: &Request, weights: &Weights) -> (f64, f64, f64) {
     let own_us = own_prefill_us(engine, request);
     let first_token_us =
@@ -239,9 +240,9 @@
     engines: &[Engine],
     request: &Request,
     weights: &Weights,
-    draw: u64,
+    random: u64,
 ) -> Option<(Choice, f64)> {
-    let (prefill, first_token_us) = cheapest(engines, draw, weights, |engine| {
+    let (prefill, first_token_us) = cheapest(engines, random, weights, |engine| {
         (engine.role == Role::Prefill && accepts_prefill(engine, request, weights)).then(|| {
             queueing_delay_us(engine, request)
                 + own_prefill_us(engine, request)
@@ -250,7 +251,7 @@
     })?;
     let transfer_us =
         to_f64(request.prompt_tokens) * to_f64(weights.kv_transfer_per_thousand_tokens) / THOUSAND;
-    let (decode, decode_us) = cheapest(engines, draw >> 32, weights, |engine| {
+    let (decode, decode_us) = cheapest(engines, random >> 32, weights, |engine| {
         (engine.role != Role::Prefill && accepts_decode(engine, request, weights)).then(|| {
             let token_us = engine.latency.inter_token_us(engine.decode_requests + 1);
             // The prompts that a mixed engine prefills delay the answers that it decodes.
@@ -280,11 +281,11 @@
 
 fn choose_single(
     engines: &[Engine],
-    draw: u64,
+    random: u64,
     weights: &Weights,
     estimate: impl Fn(&Engine) -> Option<(f64, f64, f64)>,
 ) -> Option<(Choice, f64)> {
-    let (engine, cost) = cheapest(engines, draw, weights, |engine| {
+    let (engine, cost) = cheapest(engines, random, weights, |engine| {
         estimate(engine).map(|(_, _, cost)| cost)
     })?;
     let (first_token_us, last_token_us, _) = estimate(&engines[engine])?;
@@ -302,7 +303,7 @@
 /// Returns a random one of the engines within [`Weights::tie_ratio`] of the lowest cost, and its cost.
 fn cheapest(
     engines: &[Engine],
-    draw: u64,
+    random: u64,
     weights: &Weights,
     cost: impl Fn(&Engine) -> Option<f64>,
 ) -> Option<(usize, f64)> {
@@ -310,7 +311,7 @@
     let limit = lowest * (1.0 + weights.tie_ratio);
     let is_close = |engine: &&Engine| cost(engine).is_some_and(|cost| cost <= limit);
     let ties = u64::try_from(engines.iter().filter(is_close).count()).unwrap_or(1);
-    let nth = usize::try_from((draw & u64::from(u32::MAX)) % ties.max(1)).unwrap_or(0);
+    let nth = usize::try_from((random & u64::from(u32::MAX)) % ties.max(1)).unwrap_or(0);
     engines
         .iter()
         .enumerate()
