--- a/components/gateway/src/connection/close.rs
+++ b/components/gateway/src/connection/close.rs
@@ -53,7 +53,7 @@
 pub struct CloseLogger<'a> {
     gateway: &'a Gateway,
     exchange: &'a Exchange,
-    /// Why the connection ended; that the process exits is assumed until another reason is known.
+    /// Why the connection ended: [`CloseReason::Process`] until another reason is known.
     pub reason: CloseReason,
 }
 
@@ -78,8 +78,8 @@
         } else {
             &self.reason
         };
-        let cuts = &self.gateway.metrics.interrupted_connections;
-        cuts.with_label_values(&[reason.label()]).inc();
+        let interrupted = &self.gateway.metrics.interrupted_connections;
+        interrupted.with_label_values(&[reason.label()]).inc();
         log::info!(
             request = request.id, endpoint = request.endpoint.as_deref(), reason:%,
             took_us = policy::micros(request.arrived.elapsed());
--- a/components/gateway/src/process/missing.rs
+++ b/components/gateway/src/process/missing.rs
@@ -9,7 +9,7 @@
 use clock::Instant;
 
 use super::Gateway;
-use crate::{edge::Change, endpoint::Id};
+use crate::{adapters::Change, endpoint::Id};
 
 /// How long after the store's recovery an expired entry may take to reappear if its endpoint is alive; after
 /// that the endpoint counts as gone. The time that the platform specifies, and a margin for the time until
--- a/components/gateway/src/request/generate/snapshot.rs
+++ b/components/gateway/src/request/generate/snapshot.rs
@@ -14,13 +14,13 @@
     request::job::Job,
 };
 
-/// Round-trip time assumed for an engine in another data centre, as it is not measured yet, in
-/// microseconds.
+/// Round-trip time assumed for an engine in a remote data centre, in microseconds: round-trip times
+/// are not measured.
 const REMOTE_RTT_US: policy::Micros = 4_000;
 /// Fewer tokens than this are prefilled rather than fetched.
 const MIN_FETCH_TOKENS: u64 = 512;
 /// Factor by which a fetch may exceed the pure transfer time, as other transfers are in flight and
-/// it may come from another data centre.
+/// it may come from a remote data centre.
 const FETCH_TIME_FACTOR: f64 = 3.0;
 const MICROS_PER_SECOND: f64 = 1e6;
 const NANOS_PER_MICRO: f64 = 1e3;
@@ -32,7 +32,7 @@
     /// The same endpoints as inputs to placement.
     pub engines: Vec<place::Engine>,
     /// The engine from which the others can fetch most of the prompt.
-    source: Option<usize>,
+    fetch_source: Option<usize>,
 }
 
 impl Snapshot {
@@ -47,14 +47,16 @@
             .as_ref()
             .map_or(&[][..], |prompt| &prompt.parts);
         let local = &job.gateway.settings.gateway.data_centre;
-        let cut_off = job.gateway.peers.unreachable_data_centres();
-        let common = job.gateway.service_defaults(&job.service.name);
+        let unreachable = job.gateway.peers.unreachable_data_centres();
+        let defaults = job.gateway.service_defaults(&job.service.name);
         let mut candidates: Vec<(Arc<Target>, endpoint::Snapshot)> = fleet
             .subset()
             .iter()
             .filter(|target| !tried.iter().any(|other| other.id == target.id))
-            .filter_map(|target| Some((Arc::clone(target), target.snapshot(now, parts, &common)?)))
-            .filter(|(_, seen)| !cut_off.contains(&seen.profile.data_centre))
+            .filter_map(|target| {
+                Some((Arc::clone(target), target.snapshot(now, parts, &defaults)?))
+            })
+            .filter(|(_, seen)| !unreachable.contains(&seen.profile.data_centre))
             .collect();
         if job.gateway.is_suspect(job.fingerprint) {
             isolate_suspects(&mut candidates);
@@ -66,14 +68,14 @@
         let (targets, engines) = candidates
             .into_iter()
             .map(|(target, seen)| {
-                let engine = engine(&seen, local, tie_break_order(job, &target));
+                let engine = engine(&seen, local, rank(job, &target));
                 (target, engine)
             })
             .unzip();
         let mut snapshot = Self {
             targets,
             engines,
-            source: None,
+            fetch_source: None,
         };
         snapshot.add_fetches(job, &fetchable);
         snapshot
@@ -87,41 +89,41 @@
         self.targets.retain(|_| kept.next() == Some(&true));
         let mut kept = keep.iter();
         self.engines.retain(|_| kept.next() == Some(&true));
-        self.source = None;
+        self.fetch_source = None;
         for engine in &mut self.engines {
             engine.fetch = place::Fetch::default();
         }
     }
 
-    /// Determines which parts of the prompt engines can fetch from the engine that has the most to
-    /// offer. Parts that are still being prefilled there don't count, as they would be prefilled
-    /// again.
+    /// Determines which parts of the prompt engines can fetch from the engine that has cached the
+    /// largest part of it. Parts that are still being prefilled there don't count, as they would be
+    /// prefilled again.
     fn add_fetches(&mut self, job: &Job, fetchable: &[u64]) {
         let Some(engines) = &job.service.engines else {
             return;
         };
         let sizes = fetchable.iter().copied().enumerate();
-        let Some((at, held)) = sizes.max_by_key(|(_, held)| *held) else {
+        let Some((index, available_tokens)) = sizes.max_by_key(|(_, tokens)| *tokens) else {
             return;
         };
-        let token_us = engines.transfer_per_token.as_secs_f64() * MICROS_PER_SECOND;
+        let transfer_token_us = engines.transfer_per_token.as_secs_f64() * MICROS_PER_SECOND;
         for engine in &mut self.engines {
-            let tokens = held.saturating_sub(engine.cached_tokens);
+            let tokens = available_tokens.saturating_sub(engine.cached_tokens);
             if tokens >= MIN_FETCH_TOKENS {
                 engine.fetch = place::Fetch {
                     tokens,
-                    time_us: policy::to_f64(tokens) * token_us * FETCH_TIME_FACTOR,
+                    time_us: policy::to_f64(tokens) * transfer_token_us * FETCH_TIME_FACTOR,
                 };
             }
         }
-        self.source = Some(at);
+        self.fetch_source = Some(index);
     }
 
     /// Returns the engine from which an engine should fetch parts of the prompt that it lacks.
-    pub fn fetch_from(&self, at: usize) -> Option<SocketAddr> {
-        let source = &self.targets[self.source?];
-        let fetches = self.engines[at].fetch.tokens > 0;
-        fetches.then(|| source.with(|state| state.profile.address))
+    pub fn fetch_from(&self, index: usize) -> Option<SocketAddr> {
+        let fetch_source = &self.targets[self.fetch_source?];
+        let fetches = self.engines[index].fetch.tokens > 0;
+        fetches.then(|| fetch_source.with(|state| state.profile.address))
     }
 
     /// Chooses the best placement of the request.
@@ -139,8 +141,9 @@
         u64::try_from(waiting).is_ok_and(|waiting| waiting < slots)
     }
 
-    /// Whether the plan prefills so few tokens on the engine that decodes the answer that it delays
-    /// nobody. Then a late request is placed there too.
+    /// Whether the prompt is prefilled on the engine that decodes the answer, and so little of it
+    /// that other requests are hardly delayed. Then the request is placed there even if it will be
+    /// late.
     pub fn has_negligible_prefill(&self, job: &Job, choice: &Choice) -> bool {
         match choice.placement {
             Placement::Single { engine } => place::is_short_prefill(
@@ -152,19 +155,20 @@
         }
     }
 
-    /// Returns the work for a prefill engine; zero if the prompt is short.
+    /// Returns the work that the prompt is for a prefill engine; zero if little of it must be
+    /// prefilled.
     fn prefill_work(&self, job: &Job) -> u64 {
         let prompt = placement_request(job).prompt_tokens;
         let prefill_engines = self
             .engines
             .iter()
             .filter(|engine| engine.stage == place::Stage::Prefill);
-        let held = prefill_engines
+        let cached_tokens = prefill_engines
             .map(|engine| engine.cached_tokens)
             .max()
             .unwrap_or(0);
-        if prompt.saturating_sub(held) > Weights::default().short_prompt_max_tokens {
-            policy::prompt::prefill_work(prompt, held)
+        if prompt.saturating_sub(cached_tokens) > Weights::default().short_prompt_max_tokens {
+            policy::prompt::prefill_work(prompt, cached_tokens)
         } else {
             0
         }
@@ -182,7 +186,7 @@
         log::info!(
             request = job.metadata.id, reads = names.0, writes = names.1,
             expected_us = policy::to_u64(choice.first_event_us),
-            margin_us = policy::to_u64(job.gateway.margin_us(&job.service.name)), left_us = request.first_event_timeout,
+            margin_us = policy::to_u64(job.gateway.margin_us(&job.service.name)), left_us = request.time_to_objective,
             prompt = request.prompt_tokens, held = prefill_engine.cached_tokens, fetched = prefill_engine.fetch.tokens, output = request.expected_output_tokens,
             content:% = job.fingerprint, parts = format_parts(job), reading = prefill_engine.prefill_work, writing = decode_engine.answers,
             long = decode_engine.long_answers, start_us = policy::to_u64(decode_engine.latency.overhead_us),
@@ -194,9 +198,9 @@
     }
 }
 
-/// Keeps only the engines with the fewest suspects of each stage. Of two requests that crash
-/// endpoints, or seem to, each must be observed on its own: a harmless one that was in flight
-/// beside the other would otherwise share its next crash as well.
+/// Keeps only the engines with the fewest suspects of each stage. Suspects are kept apart, because
+/// a harmless one that is in flight beside one that crashes endpoints would also be blamed for the
+/// next crash.
 fn isolate_suspects(candidates: &mut Vec<(Arc<Target>, endpoint::Snapshot)>) {
     for stage in [Some(Stage::Prefill), Some(Stage::Decode)] {
         let of_stage = candidates
@@ -218,14 +222,14 @@
     named.join(" ")
 }
 
-/// Returns the rank of an endpoint in this process's own order, which differs from that of other
+/// Returns the rank of an endpoint in this process's order of preference, which differs between
 /// processes.
-fn tie_break_order(job: &Job, target: &Target) -> u64 {
+fn rank(job: &Job, target: &Target) -> u64 {
     let seed = job.gateway.incarnation;
     xxhash_rust::xxh3::xxh3_64_with_seed(&target.short_id.to_le_bytes(), seed)
 }
 
-fn engine(seen: &endpoint::Snapshot, local: &str, order: u64) -> place::Engine {
+fn engine(seen: &endpoint::Snapshot, local: &str, rank: u64) -> place::Engine {
     let stage = seen.profile.stage.unwrap_or(Stage::Decode);
     place::Engine {
         stage: match stage {
@@ -247,11 +251,11 @@
             REMOTE_RTT_US
         },
         failure_ratio: seen.failure_ratio,
-        rank: order,
+        rank,
     }
 }
 
-/// Returns what a request asks of placement.
+/// Returns the input of a request to placement.
 pub fn placement_request(job: &Job) -> Request {
     let none = Prompt::default();
     let prompt = job.metadata.prompt.as_ref().unwrap_or(&none);
@@ -259,10 +263,10 @@
     Request {
         prompt_tokens: prompt.tokens,
         expected_output_tokens: prompt.expected_output_tokens(),
-        first_event_timeout: policy::micros(left),
+        time_to_objective: policy::micros(left),
         max_inter_token_latency_us: policy::to_f64(policy::micros(job.time_left()))
             / policy::to_f64(prompt.max_output_tokens.max(1)),
-        service_max_inter_token_latency_us: max_inter_token_latency(job),
+        service_max_inter_token_latency_us: max_inter_token_latency_us(job),
         tokens_per_event: tokens_per_event(job),
         max_stall_us: job
             .max_stall
@@ -276,15 +280,15 @@
     engines.map_or(1, |engines| engines.tokens_per_event.max(1))
 }
 
-/// Returns the longest inter-token latency that long answers of the request's service tolerate, in
+/// Returns the highest inter-token latency that long answers of the request's service tolerate, in
 /// microseconds.
-fn max_inter_token_latency(job: &Job) -> f64 {
-    let whole = job.gateway.max_inter_token_latency_us(&job.service.name);
-    let event = tokens_per_event(job);
+fn max_inter_token_latency_us(job: &Job) -> f64 {
+    let service_limit_us = job.gateway.max_inter_token_latency_us(&job.service.name);
+    let tokens_per_event = tokens_per_event(job);
     let limit = job.max_stall.map_or(f64::MAX, |stall| {
-        policy::to_f64(policy::micros(stall)) / policy::to_f64(event)
+        policy::to_f64(policy::micros(stall)) / policy::to_f64(tokens_per_event)
     });
-    whole.min(limit)
+    service_limit_us.min(limit)
 }
 
 /// Whether the answer is expected to be long.
@@ -296,16 +300,16 @@
 pub fn count_demand(job: &Job, snapshot: &Snapshot) {
     let gateway = &job.gateway;
     let service = &job.service.name;
-    let writing = if is_long_answer(job) {
+    let decode_tokens = if is_long_answer(job) {
         placement_request(job).expected_output_tokens
     } else {
         0
     };
-    let asked = DemandTotals {
+    let demand = DemandTotals {
         prefill_work: snapshot.prefill_work(job),
-        decode_tokens: writing,
+        decode_tokens,
     };
-    gateway.count_demand(service, asked);
+    gateway.count_demand(service, demand);
     if let Some(prompt) = job.metadata.prompt.as_ref().filter(|_| is_long_answer(job)) {
         let time = job.deadline - job.arrived;
         gateway.record_long_answer(service, prompt.max_output_tokens, time);
--- a/components/gateway/src/request/job.rs
+++ b/components/gateway/src/request/job.rs
@@ -7,18 +7,18 @@
 use clock::Instant;
 use hyper::{HeaderMap, Method, Uri, http::request::Parts};
 
-use super::{attempts::Arrivals, fingerprint::Fingerprint};
+use super::{attempts::SendCounter, fingerprint::Fingerprint};
 use crate::{
+    adapters::Metadata,
     connection::CountGuard,
-    edge::Metadata,
     process::Gateway,
     version::{Route, Service},
 };
 
 /// How long a caller waits if neither the caller nor the route sets a timeout.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(60);
-/// The part of a latency objective that the network takes between caller and gateway, both ways and
-/// with a new connection.
+/// The part of a latency objective that is reserved for the network between caller and gateway: a
+/// new connection and both directions.
 const CALLER_TRANSIT: Duration = Duration::from_millis(12);
 
 /// A request as it was received from the caller.
@@ -32,7 +32,7 @@
     /// When the headers had arrived.
     pub arrived: Instant,
     /// The request's entry on the caller's connection.
-    pub open: ExchangeGuard,
+    pub exchange_guard: ExchangeGuard,
 }
 
 /// A request with everything that is needed to serve it.
@@ -64,9 +64,9 @@
     /// The longest time between two events that streams of this service may have.
     pub max_stall: Option<Duration>,
     /// How often the request has been sent to endpoints, for the retry budget.
-    pub arrivals: Arrivals,
+    pub sends: SendCounter,
     /// The request's entry on the caller's connection.
-    pub open: ExchangeGuard,
+    pub exchange_guard: ExchangeGuard,
     _in_flight: CountGuard,
 }
 
@@ -83,7 +83,7 @@
             head,
             body,
             arrived,
-            open,
+            exchange_guard,
         } = received;
         let caller_timeout = metadata.timeout.unwrap_or(DEFAULT_TIMEOUT);
         let timeout = route.timeout.unwrap_or(caller_timeout);
@@ -92,7 +92,7 @@
         let headers = gateway.adapters.dialect.forwarded_headers(&head.headers);
         let max_stall = gateway
             .configuration()
-            .and_then(|version| version.tightest_max_stall(&service.name));
+            .and_then(|configuration| configuration.tightest_max_stall(&service.name));
         let in_flight = CountGuard::new(&gateway.in_flight);
         let fingerprint = Fingerprint::of(&head.method, super::host(&head), &head.uri, &body);
         Self {
@@ -109,8 +109,8 @@
             deadline,
             objective,
             max_stall,
-            arrivals: Arrivals::default(),
-            open,
+            sends: SendCounter::default(),
+            exchange_guard,
             _in_flight: in_flight,
         }
     }
@@ -128,35 +128,36 @@
     }
 
     /// Whether the request ends before this process shuts down, if it takes as long as `expected`.
-    /// A request that arrives when the load balancer should no longer send any must not be cut off
-    /// even if its endpoint goes silent, so it is only accepted if its whole time until the
-    /// deadline fits.
-    pub fn ends_before_stop(&self, expected: Duration) -> bool {
+    /// A request that arrives when the load balancer should no longer send any must not be
+    /// interrupted even if its endpoint goes silent, so it is only accepted if its whole time until
+    /// the deadline fits.
+    pub fn ends_before_shutdown(&self, expected: Duration) -> bool {
         let now = Instant::now();
-        self.gateway.shutdown().is_none_or(|stop| {
-            // until `quiet` the load balancer still sends requests, and tolerates one that is cut
-            // off
-            let ends = if now < stop.balancer_removed {
+        self.gateway.shutdown().is_none_or(|shutdown| {
+            // until `balancer_removed` the load balancer still sends requests, and tolerates one
+            // that is interrupted
+            let ends = if now < shutdown.balancer_removed {
                 (now + expected).min(self.deadline)
             } else {
                 self.deadline
             };
-            ends <= stop.deadline
+            ends <= shutdown.deadline
         })
     }
 
     /// Returns how many connections this process may hold to one endpoint of the service.
     pub fn max_connections(&self) -> usize {
-        let sharers = usize::try_from(self.gateway.peers.count_alive()).unwrap_or(0) + 1;
-        (self.service.max_connections / sharers).max(MIN_CONNECTIONS)
+        let sharing_processes = usize::try_from(self.gateway.peers.count_alive()).unwrap_or(0) + 1;
+        (self.service.max_connections / sharing_processes).max(MIN_CONNECTIONS)
     }
 }
 
 impl Drop for Job {
     fn drop(&mut self) {
-        self.arrivals.release(self);
+        self.sends.refund_reserved(self);
     }
 }
 
-/// Connections that a process may hold to an endpoint in any case.
+/// Minimum number of connections that a process may hold to an endpoint, however many processes
+/// share it.
 const MIN_CONNECTIONS: usize = 4;
